--- a/lib/edge/aggregate.c
+++ b/lib/edge/aggregate.c
@@ -1,29 +1,32 @@
-/* Who adds up the loads of a failure domain, and who is told which sum
- * (load_sum.h says why). While entries are few each tells each, as that is
- * within what an entry may send.
+/* Chooses the entry that aggregates the loads of a failure domain, and
+ * which loads each peer is sent (load_sum.h gives the reason). While
+ * entries are few, each reports its loads to each.
  *
- *     entry -> its domain's aggregator: what it has in flight
- *     aggregator -> those of other domains: the sum of its domain
- *     aggregator -> entries that told it: the sum of all others, by region
+ *     entry -> aggregator of its domain: its own requests in flight
+ *     aggregator -> aggregators of other domains: the sum over its domain
+ *     aggregator -> entries that report to it: the sum over all others, by
+ *                   region
  *
- * An aggregator is chosen by each entry for itself: the first of the failure
- * domain that is heard (GwNews_IsBefore). Two that are chosen at once know half
- * each for a moment; nobody's promise rests on it. */
+ * Each entry chooses for itself: the first live entry of the failure domain
+ * in the order of GwEntryRank_IsBefore. Two aggregators may be active for a
+ * short time, with half of the loads each; no guarantee depends on there
+ * being only one. */
 #include "edge/peers_internal.h"
 
 #include <string.h>
 
-/* Each entry tells each until reports have to be stretched by this. With sums
- * the bound on the others is half as high, so one entry more or less does not
- * change it to and fro. */
+/* Above this factor on the periods, loads go through aggregators. With
+ * sums, the bound on all other reports is half as high, so that a change of
+ * one entry does not switch the mode back and forth. */
 #define SUMS_ABOVE_STRETCH 1.25
-/* The entry that adds up is missed after two and a half of its reports and a
- * little: long before it counts as silent, since loads are blind meanwhile. */
+/* An aggregator is replaced after two and a half of its periods plus this
+ * margin, long before it counts as dead: until then, entries do not see
+ * each other's loads. */
 #define MISSED_PERIODS 2.5
 #define MISSED_MS      300
-/* What an entry had in flight counts for so long. */
+/* Reported loads expire after this time. */
 #define LOADS_LIFE_US 2000000
-/* One tick tells a sum to all. */
+/* A sum is reused for all reports of one tick. */
 #define SUM_LIFE_US 50000
 
 static bool
@@ -47,7 +50,7 @@
     return strcmp(peer->domain, peers->edge->settings->router.domain) == 0;
 }
 
-/* The first of each failure domain, among those that are heard. */
+/* Maps each failure domain to its first live entry. */
 static GHashTable *
 find_firsts(GwPeers *peers, int64_t now_us)
 {
@@ -75,7 +78,8 @@
     return firsts;
 }
 
-/* Forgets what was told of all; who tells it next has to tell it whole. */
+/* Drops the sum over all entries; the next aggregator has to send it in
+ * full. */
 static void
 drop_sums(GwPeers *peers, int64_t now_us)
 {
@@ -152,8 +156,8 @@
     return peer->is_first ? GW_LOADS_DOMAIN : GW_LOADS_NONE;
 }
 
-/* Adds what this entry has in flight, and what those of its failure domain or
- * of all told. */
+/* Sums the loads of this entry with those reported by its failure domain,
+ * or by all entries. */
 static void
 add_up(GwPeers *peers, bool all)
 {
@@ -248,8 +252,8 @@
     GwRouter_SetSum(peers->edge->router, GwEdge_Now(), region, server, count);
 }
 
-/* Two that add up at the same time know a part each: only the one that this
- * entry tells its own is listened to. */
+/* Accepts the sum only from the aggregator to which this entry reports: two
+ * active aggregators hold only a part of the loads each. */
 void
 GwPeers_TakeAllSum(GwPeers *peers, GwPeerEntry *peer,
                    const Gw__Peer__SumChange *change)
--- a/lib/edge/answers.c
+++ b/lib/edge/answers.c
@@ -1,4 +1,4 @@
-/* What the answer of a backend server says. */
+/* Interprets the response of a backend server. */
 #include "edge/edge_internal.h"
 
 #include <math.h>
@@ -18,7 +18,7 @@
     }
 }
 
-/* A number of requests a second, zero among them. */
+/* Parses a rate limit in requests per second; zero is valid. */
 static bool
 read_limit(const char *text, double *out)
 {
@@ -32,7 +32,7 @@
     return true;
 }
 
-/* Of several, the lowest that can be read. */
+/* Reads the lowest valid limit among the fields of this name. */
 static void
 read_limits(const GwHttpMessage *msg, const char *name, GwAttemptEnd *end)
 {
--- a/lib/edge/beliefs.c
+++ b/lib/edge/beliefs.c
@@ -1,4 +1,4 @@
-/* Rows of the store, as what the router believes. */
+/* Applies rows of the store to the router's state. */
 #include "edge/edge_internal.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
     GError *error = NULL;
 
     if (row->removed) {
-        return; /* what was in force stays */
+        return; /* the previous configuration stays in force */
     }
     GwRouting *routing = edge->adapter->read_config(row->value, &error);
     if (routing == NULL) {
@@ -47,9 +47,10 @@
     }
 }
 
-/* A server's own count of how long it stays cold may be off by this before
- * entries are told: it is cold for longer, or warm sooner, than they believe.
- * Sent work too early it falls over; too late costs a little room. */
+/* Tolerance for the remaining warm-up time that a server reports: within
+ * it, entries are not updated. Work sent to a cold server too early
+ * overloads it, so the tolerance for a longer warm-up is tight; work sent
+ * too late costs little capacity. */
 #define COLD_LONGER_MS 300
 #define WARM_SOONER_MS 2000
 
@@ -93,7 +94,7 @@
         region = GwEdge_RegionOf(edge, server.domain);
     }
     if (region == NULL) {
-        /* Gone, or an entry that names no server to use. */
+        /* Removed, or a row that describes no usable server. */
         GwRouter_DropServer(edge->router, now_us, row->key, edge->actions);
         GwLog_Event(GW_LOG_BACKEND_GONE, "server=%s removed=%d", row->key,
                     row->removed);
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -1,26 +1,28 @@
-/* Rows of the store that come from a peer, or go to one: what entries that do
- * not read the store themselves live on. */
+/* Fetches rows from a peer, and serves rows to peers: the source of all
+ * tables for entries that do not read the store. */
 #include "edge/feed_internal.h"
 
 #include <string.h>
 
-/* A copy that was fed by nobody for so long is read anew as a whole: marks of
- * dropped rows may be missing by now. */
+/* A copy that was not refreshed for this long is read again in full:
+ * tombstones of removed rows may have expired. */
 #define STALE_US 60000000
-/* A peer answers at once, so that a lost one must not keep the entry from
- * asking the next: two regions' round trip and its processor's turn. Time
- * without a byte counts: on a link of 10 Mbit/s a row of 300 KB that four read
- * at once takes a second. */
+/* Maximum time without a byte from a peer before another one is tried: a
+ * round trip between two regions and the peer's processing. Time since the
+ * last byte counts, not the whole transfer: on a link of 10 Mbit/s a row of
+ * 300 KB that four peers read at once takes a second. */
 #define PEER_ANSWER_MS 600
-/* In all, so that one who dribbles doesn't keep the entry either. */
+/* Maximum time of the whole transfer, which bounds the delay by a peer that
+ * sends very slowly. */
 #define PEER_WHOLE_MS 4000
-/* After a call for rows that the store did not answer, peers are asked. */
+/* After a failed call to the store, rows are fetched from peers for this
+ * long. */
 #define STORE_FAILED_US 2000000
 
 static const GwConnOps peer_ops;
 
-/* The store keeps no history from the beginning, so the whole table is another
- * call there. */
+/* The store's change history does not reach back to the beginning, so the
+ * full table needs another call. */
 static void
 ask_store_once(GwFeed *feed)
 {
@@ -69,7 +71,7 @@
     ask_peer(feed);
 }
 
-/* How an entry that does not read the store came to know what is in force. */
+/* Logs where an entry that does not read the store got new operator rows. */
 static void
 log_taken(const GwFeed *feed, const GwRowSet *set)
 {
@@ -109,7 +111,7 @@
     GwRowSet *set = NULL;
 
     if (msg->status == 410 && !feed->peer_full) {
-        /* It does not know of all that was removed since. */
+        /* The peer no longer has all removals since that version. */
         GwHttpMessage_Free(msg);
         feed->peer_full = true;
         ask_peer(feed);
@@ -128,7 +130,7 @@
     GwHttpMessage_Free(msg);
     GwConn_CloseAt(&feed->peer);
     if (set == NULL || set->more) {
-        note_store_failed(feed); /* a part of a table is not told as such */
+        note_store_failed(feed); /* a partial table can't be applied */
         GwRowSet_Free(set);
         set = NULL;
     }
@@ -204,8 +206,9 @@
     return GwRowCache_BytesAfter(feed->cache, version);
 }
 
-/* Whether the asker has all that is here, though it knows of an older version
- * only: tables are read at many versions when many entries start at once. */
+/* Whether the requester's rows are equal to this copy although its version
+ * is older: when many entries start together, tables are read at many
+ * versions. */
 static bool
 has_the_same(const GwFeed *feed, const GwRowsAsk *ask)
 {
--- a/lib/edge/fetch.c
+++ b/lib/edge/fetch.c
@@ -1,11 +1,11 @@
-/* Rows that this entry lacks and a peer has: when they are fetched, and from
- * whom (news.h says why not from anybody at once). */
+/* Decides when missing rows are fetched, and from which peer (fetch_tree.h
+ * gives the reason for the tree). */
 #include "edge/peers_internal.h"
 
 #include <string.h>
 
-/* Where this entry and the one that has news stand among those of our failure
- * domain. All of it know each other, so all see the same order. */
+/* Ranks this entry and the provider within this entry's failure domain. All
+ * entries of the domain know each other, so they agree on the order. */
 static GwNewsSight
 sight_of(const GwPeers *peers, const GwPeerEntry *teller)
 {
@@ -40,8 +40,7 @@
            peer->server_version > GwFeed_Version(edge->server_feed);
 }
 
-/* Whether the operators' rows that the peer has and this entry lacks are read
- * from the store instead. */
+/* Whether to read the missing operator rows from the store instead. */
 static bool
 is_for_store(const GwPeers *peers, const GwPeerEntry *peer)
 {
@@ -55,8 +54,6 @@
            GwFeed_MayAskStore(peers->edge->operator_feed);
 }
 
-/* The peer knows of rows that this entry lacks: fetches them from it, or
- * leaves that to another of the failure domain for a moment. */
 void
 GwPeers_AskForRows(GwPeers *peers, const GwPeerEntry *peer)
 {
@@ -93,7 +90,7 @@
         return;
     }
     if (peer == NULL || !has_news(peers, peer)) {
-        peers->behind = false; /* somebody else has brought it */
+        peers->behind = false; /* fetched from another peer */
         return;
     }
     GwPeers_AskForRows(peers, peer);
--- a/lib/edge/held_rows.c
+++ b/lib/edge/held_rows.c
@@ -4,20 +4,21 @@
 #include <string.h>
 
 #define HELD_TABLE "held"
-/* To the store, and before the next try. */
+/* Time limit of a call to the store, and delay before a retry. */
 #define CALL_TIMEOUT_US 1500000
 #define RETRY_US        700000
 #define ROWS_BODY_MAX   (8u << 20)
-/* Rows that wait to be written. */
+/* Maximum rows waiting to be written. */
 #define WAITING_MAX 256
 
 struct GwHeldRows_s {
     GwEdge *edge;
     GwConn *conn;
     bool has_read;
-    char *after;    /* the last row read; NULL: none yet */
-    GQueue waiting; /* GwSuspect, to be written */
-    int64_t at_us;  /* of the next try, or the end of this one */
+    char *after;    /* key of the last row read; NULL: none yet */
+    GQueue waiting; /* GwSuspect waiting to be written */
+    int64_t
+        at_us; /* time of the next attempt, or time limit of the current one */
 };
 
 /* ---- Values -------------------------------------------------------------- */
@@ -103,7 +104,7 @@
     g_free(value);
 }
 
-/* The next call, or the end of the connection. */
+/* Starts the next call, or closes the connection when none is left. */
 static void
 go_on(GwHeldRows *rows)
 {
@@ -228,7 +229,7 @@
     }
 }
 
-/* A system that starts for the first time has held nothing yet. */
+/* At the first start of the whole system, there are no rows to read. */
 GwHeldRows *
 GwHeldRows_Create(GwEdge *edge)
 {
--- a/lib/edge/held_rows.h
+++ b/lib/edge/held_rows.h
@@ -1,5 +1,5 @@
-/* Requests that crash servers, kept in the store: what is held must be held
- * still when no entry is left that knows of it. */
+/* Stores quarantined requests in the store, so that a quarantine survives
+ * the stop of every entry that knows it. */
 #ifndef GW_EDGE_HELD_ROWS_H
 #define GW_EDGE_HELD_ROWS_H
 
@@ -8,13 +8,14 @@
 GwHeldRows *GwHeldRows_Create(GwEdge *edge);
 void GwHeldRows_Close(GwHeldRows *rows);
 void GwHeldRows_Free(GwHeldRows *rows);
-/* Reads the rows after a start, writes what is to be written. */
+/* Reads the rows after a start; writes queued rows. */
 void GwHeldRows_Sweep(GwHeldRows *rows, int64_t now_us);
-/* The record has become held, or is no longer. */
+/* Queues a row for a request that was quarantined or released. Dropped when
+ * too many rows are waiting. */
 void GwHeldRows_Write(GwHeldRows *rows, const GwSuspect *suspect);
 
-/* A row's value; freed by g_free. The key is the fingerprint. `now_s` is the
- * time of day: a row outlives clocks that only rise. */
+/* Returns a row's value; free with g_free(). The key is the fingerprint.
+ * `now_s` is the wall clock, as rows outlive monotonic clocks. */
 char *GwHeldRow_WriteValue(const GwSuspect *suspect, int64_t now_s);
 bool GwHeldRow_Read(const char *key, const char *value, int64_t now_s,
                     GwSuspect *out);
--- a/lib/edge/introduce.c
+++ b/lib/edge/introduce.c
@@ -55,7 +55,7 @@
     return GwNews_IsBefore(&first, &second);
 }
 
-/* The first entries of one failure domain, best first. */
+/* The highest ranked entries of a failure domain, best first. */
 typedef struct {
     const GwEntryRow *rows[GW_GREETED_FAR];
 } Firsts;
--- a/lib/edge/introduce.h
+++ b/lib/edge/introduce.h
@@ -1,8 +1,8 @@
-/* What an entry tells one that has just started.
+/* Bootstrap state sent to a new entry: peer addresses and warm placements.
  *
- * When all start at once, each is new to each. If everybody told every newcomer
- * all it knows, 68 entries sent each other 40 MB in the first seconds, and bytes
- * between failure domains are paid for. */
+ * When all entries start together, each is new to each. Sending everything
+ * to every new entry cost 40 MB in the first seconds with 68 entries, and
+ * bytes between failure domains are paid for. */
 #ifndef GW_EDGE_INTRODUCE_H
 #define GW_EDGE_INTRODUCE_H
 
@@ -10,40 +10,41 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Of a region's entries, so many tell a newcomer where objects are warm: one
- * would do, and it may be lost. */
+/* Entries of a region that send warm placements to a new entry: one would
+ * do, but a single sender may be lost. */
 #define GW_INTRODUCERS 2
 
-/* Whether a newcomer is told the others' addresses: one that found them in the
- * store knows about as many as we do; one that came by seeds, while the store
- * was away, knows three. */
+/* Whether to send the known addresses to a new entry. An entry that read
+ * the addresses from the store knows about as many as this one; an entry
+ * that started from seeds, during a store outage, knows about three. */
 bool GwIntroduce_TellsAddresses(uint32_t own, uint32_t newcomers);
-/* Whether this entry is one of the introducers of the newcomer, among those of
- * the region that serve: `others` are their names, without either of the two.
- * All decide alike by a hash, without a word. */
+/* Whether this entry is one of those that send warm placements to the new
+ * entry. `others` are the names of the region's serving entries, without
+ * these two. All entries agree by a hash, without messages. */
 bool GwIntroduce_TellsPlaces(const char *own, const char *newcomer,
                              const GPtrArray *others);
 
-/* An entry as its row in the store tells it. */
+/* An entry as described by its row in the store. */
 typedef struct {
     char name[64];
-    char address[64]; /* for peers */
-    char region[64];  /* "": the row does not say */
+    char address[64]; /* peer address */
+    char region[64];  /* "" if absent */
     char domain[64];
     uint32_t link_kbps;
     uint32_t cpu_milli;
 } GwEntryRow;
 
-/* The row's value; freed by g_free. The row's key is the name. */
+/* Returns the row's value; free with g_free(). The row's key is the name. */
 char *GwEntryRow_WriteValue(const GwEntryRow *row);
 bool GwEntryRow_Read(const char *key, const char *value, GwEntryRow *row);
 
-/* Of the entries of another failure domain of another region, so many hear of
- * a newcomer at once: those that add up its loads, or would next. */
+/* Entries of a failure domain in another region that are notified of a new
+ * entry at once: the aggregator and the next in rank. */
 #define GW_GREETED_FAR 2
 
-/* Whom a newcomer tells at once that it is there: all of its region, and few
- * of the others, who have time. Sets `greeted` for each of the rows. */
+/* Chooses the peers that a new entry notifies at once: all of its region,
+ * and few of other regions, which may learn of it later. Sets `notified`
+ * for each row. */
 void GwIntroduce_ChooseGreeted(const char *region, const GArray *rows,
                                bool *greeted);
 
--- a/lib/edge/join.c
+++ b/lib/edge/join.c
@@ -1,5 +1,6 @@
-/* How an entry finds the others: it writes its own row into the store and
- * reads those of all. Seeds stand in while the store is away. */
+/* Discovers the other entries: writes this entry's row into the store and
+ * reads the rows of all entries. Seeds replace the rows during a store
+ * outage. */
 #include "edge/introduce.h"
 #include "edge/peers_internal.h"
 
@@ -72,7 +73,7 @@
     return rows;
 }
 
-/* Those that are greeted hear of this entry now, the others in their turn. */
+/* Notified peers get a report now, the others at their regular period. */
 static void
 take_entries(GwPeers *peers, const GwRowSet *set)
 {
--- a/lib/edge/limits.c
+++ b/lib/edge/limits.c
@@ -1,4 +1,4 @@
-/* Limits that servers name, in the reports of entries (rumor.h). */
+/* Exchanges the rate limits set by servers in reports (gossip.h). */
 #include "edge/peers_internal.h"
 
 static uint32_t
--- a/lib/edge/load_sum.c
+++ b/lib/edge/load_sum.c
@@ -7,7 +7,7 @@
 
 typedef struct {
     char *region;
-    GHashTable *counts; /* server's hash -> requests */
+    GHashTable *counts; /* server hash -> requests */
 } Part;
 
 struct GwLoadSum_s {
@@ -40,8 +40,8 @@
     }
 }
 
-/* The region's part, which is made where it is not there yet; NULL when there
- * are too many. */
+/* Returns the sum of the region, creating it if needed; NULL when there are
+ * too many regions. */
 static Part *
 part_of(GwLoadSum *sum, const char *region)
 {
--- a/lib/edge/peers.c
+++ b/lib/edge/peers.c
@@ -1,4 +1,4 @@
-/* The other entries, and which of them callers should use. */
+/* Table of the other entries: liveness, and the directory for callers. */
 #include "common/json.h"
 #include "edge/peers_internal.h"
 
@@ -8,12 +8,14 @@
 
 /* The shortest period of reports. */
 #define TICK_MS GW_SUM_PERIOD_MIN_MS
-/* A peer that missed three reports and half of a fourth is silent, but not
- * sooner than this: links lose a datagram now and then. A silent one is in no
- * answer of the directory, and what it had in flight is forgotten. */
+/* A peer is dead once three and a half of its periods passed without a
+ * report, but not sooner than SILENT_MIN_US, as links lose single
+ * datagrams. A dead peer is left out of the directory, and its requests in
+ * flight no longer count. */
 #define SILENT_MIN_US  2000000
 #define SILENT_PERIODS 3.5
-/* A silent peer still gets reports for so long: a cut may heal. */
+/* A dead peer still gets reports for this long, in case a network partition
+ * heals. */
 #define FORGET_US 90000000
 
 void
@@ -43,8 +45,8 @@
     g_free(peer);
 }
 
-/* The peer of that address, which is made where it is not known yet; NULL for
- * this entry itself and for what is no address. */
+/* Returns the peer with this address, creating it if needed; NULL for this
+ * entry's own or an invalid address. */
 GwPeerEntry *
 GwPeers_Add(GwPeers *peers, const char *address)
 {
@@ -182,8 +184,9 @@
     }
 }
 
-/* Entries of the caller's failure domain, if two are there, so that it
- * survives the loss of one; else those of its region; else all. */
+/* Lists the entries of the caller's failure domain if there are at least
+ * two, so that the caller survives the loss of one; else those of its
+ * region; else all. */
 GPtrArray *
 GwPeers_Directory(const GwPeers *peers, const char *region, const char *domain)
 {
@@ -310,7 +313,8 @@
     peers->relayed_region = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
     peers->stretch = 1;
     peers->stretch_unheard = 1;
-    /* A clock may be set back between two starts; names must not repeat. */
+    /* A random process ID: a start time could repeat after a clock was set
+     * back. */
     (void)uv_random(NULL, NULL, &peers->start, sizeof(peers->start), 0, NULL);
     GwPeers_CreateSums(peers, (uint32_t)peers->start);
     peers->step = GW_JOIN_WRITE;
--- a/lib/edge/peers_internal.h
+++ b/lib/edge/peers_internal.h
@@ -1,4 +1,5 @@
-/* What the parts of the exchange between entries share. */
+/* State and functions shared by the modules that exchange reports between
+ * entries. */
 #ifndef GW_EDGE_PEERS_INTERNAL_H
 #define GW_EDGE_PEERS_INTERNAL_H
 
@@ -8,17 +9,18 @@
 #include "edge/rumor.h"
 #include "edge/sum_change.h"
 
-/* Addresses in an answer of the directory, and told to a new entry. */
+/* Maximum addresses in a directory answer, and in the bootstrap state sent
+ * to a new entry. */
 #define GW_KNOWN_MAX 64
 /* Of one report. */
 #define GW_REPORT_MAX_BYTES 16384
 
-/* Whose loads a report tells; numbers as on the wire. */
+/* Which loads a report carries. The values are sent on the wire. */
 typedef enum {
     GW_LOADS_NONE = 0,
     GW_LOADS_OWN = 1,
-    GW_LOADS_DOMAIN = 2, /* the sum of the sender's failure domain */
-    GW_LOADS_ALL = 3     /* the sum of all but the receiver */
+    GW_LOADS_DOMAIN = 2, /* sum over the sender's failure domain */
+    GW_LOADS_ALL = 3     /* sum over all entries except the receiver */
 } GwLoadsTold;
 
 typedef enum {
@@ -27,46 +29,47 @@
     GW_RUMORS_COUNT
 } GwRumorKind;
 
-/* Another entry, as this one knows it. */
+/* Another entry: its last reported state and the state of the exchange with
+ * it. */
 typedef struct {
-    char *name; /* "" until the first report: a seed */
+    char *name; /* "" for a seed, until its first report */
     char *region;
     char *domain;
     char *peer_address;
     char *call_address;
     struct sockaddr_in to;
-    uint64_t start;      /* names the process; random */
-    uint64_t last_start; /* of the process before it */
+    uint64_t start;      /* random process ID */
+    uint64_t last_start; /* process ID before the last restart */
     uint64_t seq;
     bool serves;
-    bool reads;    /* the store, and it answers */
-    bool saw_away; /* the store was away until lately, it says */
-    bool heard;    /* at least once */
+    bool reads;    /* reads the store successfully */
+    bool saw_away; /* reports a recent store outage */
+    bool heard;    /* has sent at least one report */
     int64_t heard_us;
-    uint32_t next_ms; /* its next report comes within */
+    uint32_t next_ms; /* time until its next report, as announced */
     int64_t told_us;
-    uint32_t told;       /* reports sent to it */
-    uint32_t told_bytes; /* of the last one */
-    bool hurry;          /* the next report goes with the next tick */
+    uint32_t told;       /* reports sent to the peer */
+    uint32_t told_bytes; /* size of the last report sent */
+    bool hurry;          /* send the next report at the next tick */
     int64_t added_us;
     uint64_t operator_version;
     uint64_t server_version;
-    uint32_t link_kbps; /* of its instance; 0: it has not said */
+    uint32_t link_kbps; /* link of its instance; 0: unknown */
     uint32_t cpu_milli;
-    uint32_t news_bytes; /* of operators' rows that it has and we lack */
-    bool is_first;       /* of its failure domain: it adds up loads */
-    GArray *loads;    /* GwPeerLoad that it told, its own or a sum; or NULL */
-    int64_t loads_us; /* when; 0: it tells none now */
-    GwSumCopy *copy;  /* of the sum that it tells; or NULL */
-    GwSumAck ack;     /* what it has of the sum that it is told */
-    GArray *backlog;  /* GwPlacement still to be told to it; or NULL */
-    uint64_t backlog_start; /* of the process that it was made for */
+    uint32_t news_bytes; /* size of the operator rows that only the peer has */
+    bool is_first;       /* aggregates the loads of its failure domain */
+    GArray *loads;       /* GwPeerLoad received, own or summed; or NULL */
+    int64_t loads_us;    /* time of receipt; 0: sends no loads now */
+    GwSumCopy *copy;     /* copy of the sum it sends; or NULL */
+    GwSumAck ack;        /* its acknowledgement of the sum sent to it */
+    GArray *backlog;     /* GwPlacement not sent to it yet; or NULL */
+    uint64_t backlog_start; /* process ID for which the backlog was built */
     GwRumorPeer rumors[GW_RUMORS_COUNT];
 } GwPeerEntry;
 
 typedef enum {
-    GW_JOIN_WRITE = 1, /* this entry's row */
-    GW_JOIN_READ,      /* those of all */
+    GW_JOIN_WRITE = 1, /* write this entry's row */
+    GW_JOIN_READ,      /* read the rows of all entries */
     GW_JOIN_DONE
 } GwJoinStep;
 
@@ -77,46 +80,48 @@
     GHashTable *by_address; /* peer_address -> GwPeerEntry */
     uint64_t start;
     uint64_t seq;
-    double stretch; /* of all periods, so that reports stay few */
-    uint32_t ups;   /* peers that are heard since the periods were set */
-    double stretch_unheard; /* the same for peers that may not be there */
-    uint32_t asked_known;   /* peers that were asked for addresses, since */
+    double stretch; /* factor on all periods; bounds the report rate */
+    uint32_t ups;   /* peers that became live since the periods were set */
+    double stretch_unheard; /* the same, for peers that never reported */
+    uint32_t asked_known; /* requests for addresses since bootstrap_since_us */
     int64_t asked_known_us;
-    int64_t informed_us; /* a peer had the tables; 0: none was heard of yet */
-    bool reads_well;     /* as it was told to all */
+    int64_t
+        informed_us; /* first report of a peer that has the tables; 0: none */
+    bool reads_well; /* as last announced to all peers */
     int64_t reads_well_us;
-    uint32_t live; /* peers that are heard */
-    /* News that another of the failure domain is left to fetch, since then,
-     * and who has it. */
+    uint32_t live; /* number of live peers */
+    /* Since lacks_rows_since_us this entry waits for another entry of the
+     * failure domain to fetch rows that `provider` (an address) has. */
     bool behind;
     int64_t behind_since_us;
     char teller[32];
     GwConn *join;
     GwJoinStep step;
-    char *join_after; /* the last row read; NULL: none yet */
+    char *join_after; /* key of the last row read; NULL: none yet */
     int64_t join_at_us;
-    bool by_sums;    /* loads are told by way of who adds them up, */
-    bool aggregates; /* and in this failure domain this entry does */
+    bool by_sums;    /* loads are exchanged through aggregators */
+    bool aggregates; /* this entry aggregates its failure domain */
     GwLoadSum *sum;  /* reused */
-    /* What this entry has added up: of all that told it, and of its failure
-     * domain; and when. */
+    /* Sums built by an aggregator: over all entries that report to it and
+     * over its failure domain, with the times of the last update. */
     GwSumSource *all_source;
     GwSumSource *domain_source;
     int64_t all_us;
     int64_t domain_us;
     GwSumMessage *message; /* reused */
-    char sums_from[32];    /* who adds up for this entry: its address */
+    char sums_from[32];    /* address of this entry's aggregator */
     int64_t sums_heard_us;
-    GArray *relayed_domain; /* GwPlacement to pass on, by where from */
+    GArray *relayed_domain; /* GwPlacement to relay, by origin */
     GArray *relayed_region;
-    GArray *loads;                      /* reused */
-    GArray *placements;                 /* reused */
-    int64_t spread_us[GW_RUMORS_COUNT]; /* news was passed on until then */
-    uint32_t suspects_from; /* where the next page of them begins */
+    GArray *loads;      /* reused */
+    GArray *placements; /* reused */
+    int64_t
+        spread_us[GW_RUMORS_COUNT]; /* changes up to this time were gossiped */
+    uint32_t suspects_from;         /* start of the next page of suspects */
 };
 
-/* The peers that serve and are live, of one region or failure domain, or of
- * all (NULL). No peer may be added or removed meanwhile. */
+/* Iterates over the live, serving peers of a region or failure domain
+ * (NULL: any). No peer may be added or removed during the scan. */
 typedef struct {
     GHashTableIter iter;
     const char *region;
@@ -127,63 +132,68 @@
 /* peers.c */
 GwPeerScan GwPeers_Scan(const GwPeers *peers, const char *region,
                         const char *domain);
-GwPeerEntry *GwPeerScan_Next(GwPeerScan *scan); /* NULL: no more */
+GwPeerEntry *GwPeerScan_Next(GwPeerScan *scan); /* NULL at the end */
 GwPeerEntry *GwPeers_Add(GwPeers *peers, const char *address);
 bool GwPeerEntry_IsLive(const GwPeerEntry *peer, int64_t now_us);
 void GwPeerEntry_DropBacklog(GwPeerEntry *peer);
 
 /* reports.c */
-/* `with_known`: tells the addresses of others too. */
+/* Sends a report now. `with_known`: includes the addresses of other peers. */
 void GwPeers_Tell(GwPeers *peers, GwPeerEntry *peer, bool with_known);
 void GwPeers_TellDue(GwPeers *peers, int64_t now_us);
-/* Sets how much reports are stretched for the peers that are there now. */
+/* Recomputes the factors on the report periods from the current peers. */
 void GwPeers_SetPeriods(GwPeers *peers, int64_t now_us);
-/* A peer is heard that was not: when all start at once they are many long
- * before the next sweep. */
+/* A peer became live. Recomputes the periods after several such peers: when
+ * all entries start at once, many appear long before the next sweep. */
 void GwPeers_NoteUp(GwPeers *peers);
-/* Those that were told nothing yet are told in their turn, not all at once. */
+/* Spreads the first reports to new peers over one period, rather than
+ * sending all at once. */
 void GwPeers_SpreadUntold(GwPeers *peers);
 
 /* reports_in.c */
 bool GwPeers_ListenReports(GwPeers *peers);
 
 /* aggregate.c */
-/* Decides by whom loads are added up, for the peers that are there now. */
+/* Chooses the aggregators among the current peers. */
 void GwPeers_ChooseAggregators(GwPeers *peers, int64_t now_us);
-/* Whose loads the peer is to be told. */
+/* Which loads the next report to the peer carries. */
 GwLoadsTold GwPeers_LoadsFor(const GwPeers *peers, const GwPeerEntry *peer);
-/* Whether this entry counts what the peer tells of loads. */
+/* Whether this entry counts the loads that the peer reports. */
 bool GwPeers_TellsLoads(const GwPeers *peers, const GwPeerEntry *peer);
 void GwPeers_CreateSums(GwPeers *peers, uint32_t epoch);
 void GwPeers_FreeSums(GwPeers *peers);
-/* What this entry's failure domain has in flight, or all that told it. */
+/* The requests in flight of this entry's failure domain, or of all entries
+ * that report to it; rebuilt when out of date. */
 const GwSumSource *GwPeers_DomainSource(GwPeers *peers);
 const GwSumSource *GwPeers_AllSource(GwPeers *peers);
-/* The peer told a change of the sum of its failure domain, or of all. */
+/* The peer sent a change of the sum over its failure domain, or over all
+ * entries. */
 void GwPeers_TakeDomainSum(GwPeers *peers, GwPeerEntry *peer,
                            const Gw__Peer__SumChange *change);
 void GwPeers_TakeAllSum(GwPeers *peers, GwPeerEntry *peer,
                         const Gw__Peer__SumChange *change);
-/* The peer told what it, or its failure domain, has in flight. */
+/* Stores the requests in flight of the peer or of its failure domain. */
 void GwPeers_NoteLoads(GwPeers *peers, GwPeerEntry *peer,
                        const GwPeerLoad *loads, uint32_t count);
 
 /* places.c */
 bool GwPeers_IsNear(const GwPeers *peers, const GwPeerEntry *peer);
 GwWay GwPeerEntry_Way(const GwPeers *peers, const GwPeerEntry *peer);
-/* What the next report tells the peer, in place of `out`: GwPlacement. Returns
- * how many of them, the first, are known to be warm. */
+/* Replaces `out` with the GwPlacement of the next report to the peer.
+ * Returns how many of them, from the front, are known to be warm. */
 uint32_t GwPeers_PlacementsFor(GwPeers *peers, GwPeerEntry *peer,
                                GwLoadsTold told, uint32_t period_ms,
                                GArray *out);
-/* The peer told a new placement; who adds up loads passes it on. */
+/* The peer sent a new placement. An aggregator relays it. */
 void GwPeers_RelayPlacement(GwPeers *peers, const GwPeerEntry *from,
                             const GwPlacement *placement);
-/* A new entry of the region is told once where objects are warm. */
+/* Queues the warm placements for a new entry of the region, once per
+ * process. */
 void GwPeers_MakeBacklog(GwPeers *peers, GwPeerEntry *peer);
 
 /* spread.c */
-/* Has a few peers told at once of what has changed since the last call. */
+/* Sends what changed since the last call to a few random peers at the next
+ * tick. */
 void GwPeers_Spread(GwPeers *peers, GwRumorKind kind, int64_t now_us,
                     int64_t changed_us);
 
@@ -196,12 +206,12 @@
     Gw__Peer__Suspect *list[GW_SUSPECTS_MAX];
 } GwSuspectArrays;
 
-/* Puts into the report what the peer is to be told; it points into `arrays`. */
+/* Adds the suspects for the peer to the report, which points into `arrays`. */
 void GwPeers_FillSuspects(GwPeers *peers, GwPeerEntry *peer,
                           Gw__Peer__Report *report, GwSuspectArrays *arrays);
 void GwPeers_TakeSuspects(GwPeers *peers, GwPeerEntry *peer,
                           const Gw__Peer__Report *report);
-/* Sees to it that news of suspects reaches every entry soon. */
+/* Gossips changed suspects. */
 void GwPeers_SpreadSuspects(GwPeers *peers, int64_t now_us);
 
 /* limits.c */
@@ -219,13 +229,15 @@
 void GwPeers_SpreadLimits(GwPeers *peers, int64_t now_us);
 
 /* fetch.c */
-/* The peer has told its versions. */
+/* The peer reported its table versions. Fetches rows from it if this entry
+ * lacks them, or leaves that to another entry of the failure domain for
+ * now. */
 void GwPeers_AskForRows(GwPeers *peers, const GwPeerEntry *peer);
-/* Fetches rows that have been waited for long enough. */
+/* Fetches missing rows once the wait for the parent entry is over. */
 void GwPeers_AskDue(GwPeers *peers);
 
 /* readers.c */
-/* This entry, and a peer, in the order of GwNews_IsBefore. */
+/* Rank of this entry and of a peer, for GwEntryRank_IsBefore. */
 GwNewsEntry GwPeers_Own(const GwPeers *peers);
 GwNewsEntry GwPeerEntry_AsNews(const GwPeerEntry *peer);
 /* Decides whether this entry reads the store. */
--- a/lib/edge/places.c
+++ b/lib/edge/places.c
@@ -1,17 +1,17 @@
-/* Which placements of objects an entry tells another: its own, those that it
- * passes on for others of its failure domain or region, and, to one that has
- * just started, where objects are warm. */
+/* Chooses the placements sent to a peer: own ones, those that an aggregator
+ * relays for its failure domain or region, and the bootstrap state of a new
+ * entry. */
 #include "edge/introduce.h"
 #include "edge/peers_internal.h"
 
 #include <string.h>
 
-/* A placement is told in two reports, since one may be lost; and no longer
- * than this. */
+/* A placement is sent in two reports, as one may be lost, and never after
+ * this age. */
 #define PLACEMENT_LIFE_US 30000000
-/* One that is passed on is told at once or not at all. */
+/* A relayed placement is sent at once or dropped. */
 #define RELAYED_LIFE_US 3000000
-/* Of the places that a new entry of the region is told, a part a report. */
+/* Placements sent to a new entry of the region: in all, and per report. */
 #define BACKLOG_MAX  2000
 #define BACKLOG_PART 100
 
@@ -22,7 +22,7 @@
            strcmp(peer->region, peers->edge->settings->router.region) == 0;
 }
 
-/* Moves a part of what a new peer is still to be told into `out`. */
+/* Moves a part of the peer's backlog into `out`; returns the number moved. */
 static uint32_t
 take_backlog(GwPeerEntry *peer, GArray *out)
 {
--- a/lib/edge/readers.c
+++ b/lib/edge/readers.c
@@ -1,31 +1,34 @@
-/* Which entries read the store. Calls to it are priced and bounded, and all
- * entries would be told the same. One entry of each region polls; the others
- * learn from reports that there is news, and fetch it from a peer. */
+/* Chooses the entries that read the store. Calls to the store are paid for
+ * and rate limited, and all entries would read the same rows. One entry per
+ * region polls; the others learn of changes from reports and fetch the rows
+ * from a peer. */
 #include "edge/peers_internal.h"
 
 #include <string.h>
 
-/* With fewer others that read, every entry reads: the store may have turned
- * the readers away, or they may be cut off from it. */
+/* With fewer other readers than this, every entry reads: the store may have
+ * rejected the readers, or they may be unreachable. */
 #define OTHERS_MIN 2
-/* A reader counts while it was heard within this: sooner than it counts as
- * silent, for news must come within 2.5 s also when all readers end at once;
- * reading for nothing costs a call. */
+/* A reader counts for this long after its last report, which is shorter
+ * than the time after which it is dead: changes must arrive within 2.5 s
+ * even if all readers stop at once, while needless reading costs one call. */
 #define HEARD_PERIODS 2.4
 #define HEARD_MIN_US  1200000
-/* An entry that starts gets its tables from a peer, which costs no call. It
- * waits so long to hear of one that has them, and then for the tables. When all
- * start at once nobody has them: each reads for itself, for callers wait. */
+/* A new entry fetches its tables from a peer, which costs no call: it waits
+ * SEEK_US for a report of a peer that has them, and PEER_ROWS_US for the
+ * rows. When all entries start together no peer has them, and each reads
+ * the store, as callers are waiting. */
 #define SEEK_US      150000
 #define PEER_ROWS_US 700000
-/* At the first start of all callers come later: the first of each region reads
- * when it knows its peers, and the others if they still lack the tables then. */
+/* At the first start of the whole system, callers come later: the first
+ * entry of each region reads once it knows its peers, and the others if
+ * they still lack the tables at FIRST_ALONE_US. */
 #define FIRST_SEEK_US  600000
 #define FIRST_ALONE_US 2500000
-/* An entry that has just started may not have heard yet of those that read for
- * other regions. */
+/* A new entry may not have received reports from the readers of other
+ * regions yet. */
 #define SETTLE_US 3000000
-/* Between two announcements of who reads. */
+/* Minimum interval between two announcements of a reader. */
 #define ANNOUNCE_US 2000000
 
 GwNewsEntry
@@ -58,8 +61,9 @@
     return now_us - peer->heard_us < MAX(limit_us, HEARD_MIN_US);
 }
 
-/* Whether this entry is the one that reads for its region: among the peers that
- * serve, or, while none can yet, among all that are heard. */
+/* Whether this entry is the first of its region: among the serving peers,
+ * or, if `of_serving` is false, among all live peers, for when none can
+ * serve yet. */
 static bool
 is_first(const GwPeers *peers, int64_t now_us, bool of_serving)
 {
@@ -110,7 +114,8 @@
     return age_us > SEEK_US;
 }
 
-/* Others decide by who reads whether they have to. */
+/* Announces a change of the reader's health at once: other entries decide
+ * by it whether to read. */
 static void
 announce(GwPeers *peers, int64_t now_us)
 {
--- a/lib/edge/reports.c
+++ b/lib/edge/reports.c
@@ -1,38 +1,39 @@
-/* Reports to other entries, one datagram each.
+/* Sends reports to other entries, one datagram each.
  *
- * A report is whole and repeated, so a lost one costs a period and nothing
- * else. Entries that share backend servers need each other's load and places
- * soon; the others only need to know that the sender is there. While entries
- * are few each tells each; above that, loads go by who adds them up
- * (aggregate.c), and the periods of all other reports grow with the number of
- * entries: what one entry sends a second is bounded. Bytes between failure
- * domains are paid for, so names and addresses go along only now and then. */
+ * A report is complete and repeated, so a lost one delays its content by
+ * one period and has no other effect. Entries that share backend servers
+ * need each other's loads and placements soon; all others only need the
+ * sender's liveness. While entries are few, each reports to each. Above
+ * that, loads go through aggregators (aggregate.c), and the periods of all
+ * other reports grow with the number of entries, which bounds the reports
+ * that an entry sends per second. Bytes between failure domains are paid
+ * for, so names and addresses are sent only in some reports. */
 #include "edge/peers_internal.h"
 
 #include "wire/peer.pb-c.h"
 
 #include <string.h>
 
-/* Periods: with entries of the failure domain, of the region, and of others.
- * Twice as often as 100, 200 and 500 ms brought 0.010, 0.005 and 0.000 of a
- * day on three deployments of 9 to 12 entries (docs/STEERING.md). */
+/* Report periods by distance: same failure domain, same region, other
+ * region. */
 #define SAME_DOMAIN_MS 50
 #define SAME_REGION_MS 100
 #define FAR_MS         250
-/* Reports that an entry sends a second at most; 12 entries need 72. Where
- * loads go by sums, the others only tell that the sender is there. */
+/* Maximum reports that an entry sends per second; 12 entries need 72. With
+ * aggregated loads, reports to all others carry liveness only. */
 #define REPORTS_PER_S 80.0
 #define SIGNS_PER_S   40.0
-/* With sums of loads: from who adds them up to those of other failure domains
- * of the region, and of other regions, whose bytes are paid for. */
+/* Periods of an aggregator's reports to those of other failure domains in
+ * the region and in other regions, where bytes are paid for. */
 #define SUM_REGION_MS GW_SUM_PERIOD_MIN_MS
 #define SUM_FAR_MS    500
-/* Periods are set anew for so many more peers. */
+/* Periods are recomputed after this many new live peers. */
 #define UPS_MAX 8
-/* An entry that knows nobody asks so many in this time. */
+/* An entry without live peers requests addresses from this many per
+ * interval. */
 #define ASK_KNOWN_MAX 3
 #define ASK_KNOWN_US  1000000
-/* Every so many reports tell names and addresses. */
+/* One report out of this many carries name and addresses. */
 #define IDENTITY_EVERY 8
 #define PLACEMENTS_MAX 400
 #define LOADS_MAX      GW_SUM_LOADS_MAX
@@ -52,8 +53,8 @@
     }
 }
 
-/* Who is told loads is told soon; the others only need to know that this entry
- * is there. */
+/* Reports with loads are sent at short periods; all others only carry
+ * liveness. */
 static uint32_t
 period_ms(const GwPeers *peers, const GwPeerEntry *peer)
 {
@@ -131,7 +132,7 @@
     uint32_t counts[LOADS_MAX];
 } LoadArrays;
 
-/* Arrays that a report points into while it is packed. */
+/* Arrays that a report points into until it is packed. */
 typedef struct {
     LoadArrays loads;
     uint64_t placed_objects[PLACEMENTS_MAX];
@@ -204,8 +205,8 @@
     }
 }
 
-/* Entries of the region learn where objects went: all that is newer than the
- * report before the last one to this peer. */
+/* Adds the placements that are newer than the report before the last one to
+ * this peer. Only peers of the region get placements. */
 static void
 fill_placements(GwPeers *peers, GwPeerEntry *peer, Report *report,
                 Arrays *arrays)
@@ -279,8 +280,8 @@
     cost->bytes[GW_CONTROL_SIGNS][way] += len - loads - places - suspects;
 }
 
-/* An entry that knows nobody asks a few at a time: each answers with all that
- * it knows. */
+/* Whether to request addresses. Few peers are asked at a time, as each
+ * answers with all addresses that it knows. */
 static bool
 asks_known(GwPeers *peers)
 {
@@ -296,9 +297,9 @@
     return peers->asked_known++ < ASK_KNOWN_MAX;
 }
 
-/* A report that is too long for a datagram goes without its places, which are
- * told twice, or without its sum: who gets none for long asks for all of it, in
- * parts. Returns the size that is left. */
+/* Shrinks a report that does not fit into a datagram: drops the placements,
+ * which are sent twice, then the loads and their sum. A receiver that gets
+ * no sum for long requests it again, in parts. Returns the packed size. */
 static size_t
 fit(Report *report)
 {
--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -1,5 +1,5 @@
-/* Reports from other entries: what they say of themselves, of loads and of
- * places, and what is answered at once. */
+/* Receives reports of other entries: applies the sender's state, loads and
+ * placements, and answers new entries. */
 #include "edge/introduce.h"
 #include "edge/peers_internal.h"
 
@@ -22,8 +22,8 @@
     }
 }
 
-/* Datagrams overtake each other; those of a process that has ended since may
- * still come. */
+/* Rejects reordered datagrams and those of a process that has since
+ * restarted. */
 static bool
 is_newer(const GwPeerEntry *peer, const Report *report)
 {
@@ -94,8 +94,8 @@
     }
 }
 
-/* Loads that come both by themselves and within a sum would count twice: who
- * is told sums counts nothing else. */
+/* With aggregated loads, only an aggregator counts directly received loads:
+ * elsewhere the same requests would count twice, once more within the sum. */
 static void
 take_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
 {
@@ -152,9 +152,9 @@
                            .cells = report->sum_cells};
 }
 
-/* Those of other regions hear of this entry in their turn, but for those who
- * add up loads: at hundreds of entries a start of all would make each answer
- * each. */
+/* Whether to answer a new or restarted peer at once. Peers of other regions
+ * wait for the next periodic report, unless this entry aggregates loads:
+ * when hundreds of entries start together, each would answer each. */
 static bool
 answers_at_once(const GwPeers *peers, const GwPeerEntry *peer, bool was_live,
                 const Report *report)
--- a/lib/edge/rumor.c
+++ b/lib/edge/rumor.c
@@ -2,12 +2,13 @@
 
 #include <glib.h>
 
-/* News is passed on for so long; who has missed it is told everything. */
+/* A change is passed on for this long; later, peers that lack it get it
+ * with a page. */
 #define NEWS_LIFE_US 500000
-/* Sums differ while news is on its way. */
+/* Checksums may differ while a change is still propagating. */
 #define SETTLED_US 1000000
-/* Between two parts of everything to one peer, doubled while its sum stays as
- * it is: it may be of a build that knows no sums. */
+/* Interval between two pages to a peer, doubled while the peer's checksum
+ * does not change: the peer may run a version without checksums. */
 #define PAGE_MIN_MS 500
 #define PAGE_MAX_MS 64000
 
--- a/lib/edge/rumor.h
+++ b/lib/edge/rumor.h
@@ -1,42 +1,44 @@
-/* When one entry tells another of what few entries see and all have to know:
- * requests that crash servers, limits that servers name.
+/* Gossip of state that few entries observe and all entries need: suspects
+ * (requests that crash servers) and rate limits that servers set.
  *
- * News goes at once to GW_RUMOR_FAN peers at random, who pass it on: it reaches
- * hundreds of entries in a few steps, though each of them reports to each other
- * one only every few seconds. Each report has a sum of all that its sender
- * knows; where two differ for long, one has missed something and is told
- * everything, in parts. While there is nothing to know none of this takes a
- * byte. */
+ * Changes are sent at once to GW_GOSSIP_FANOUT random peers, which pass
+ * them on: they reach hundreds of entries in a few steps, although each
+ * pair of entries exchanges reports only every few seconds. Each report
+ * carries a checksum of all that its sender knows (anti-entropy): if two
+ * entries differ for long, one of them missed a change and is sent
+ * everything, in pages. With no state to exchange, gossip adds no bytes to
+ * reports. */
 #ifndef GW_EDGE_RUMOR_H
 #define GW_EDGE_RUMOR_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Peers that are told news at once. */
+/* Peers to which a change is sent at once. */
 #define GW_RUMOR_FAN 4
 
-/* A peer. All zero: it was told nothing. */
+/* State of the exchange with a peer. All zero: nothing was sent. */
 typedef struct {
-    uint64_t sum;     /* as it told */
-    int64_t told_us;  /* news was told to it then; 0: never */
-    bool news;        /* the next report tells news */
-    bool page;        /* the next report tells a part of everything */
-    int64_t page_us;  /* not again before then, */
-    uint32_t wait_ms; /* and the next time so much later */
+    uint64_t sum;     /* last checksum received from the peer */
+    int64_t told_us;  /* when changes were last sent to the peer; 0: never */
+    bool news;        /* the next report carries changes */
+    bool page;        /* the next report carries a page of everything */
+    int64_t page_us;  /* no page before this time */
+    uint32_t wait_ms; /* interval between pages */
 } GwRumorPeer;
 
 typedef enum {
     GW_RUMOR_NOTHING = 0,
-    GW_RUMOR_NEWS, /* what has changed since `since_us` */
-    GW_RUMOR_PAGE  /* a part of everything */
+    GW_RUMOR_NEWS, /* what changed since `since_us` */
+    GW_RUMOR_PAGE  /* a page of everything */
 } GwRumorTells;
 
-/* What the next report tells the peer; it is taken to be sent. */
+/* Decides what the next report to the peer carries, and marks that as sent. */
 GwRumorTells GwRumorPeer_Next(GwRumorPeer *peer, int64_t now_us,
                               int64_t *since_us);
-/* Its report has this sum; ours has changed last at `changed_us`. Returns
- * whether it misses something, and is to be told at once. */
+/* The peer's report carried the checksum `sum`; this entry's state has the
+ * checksum `own_sum` and last changed at `changed_us`. Returns whether the
+ * peer lacks state and needs a report at once. */
 bool GwRumorPeer_Heard(GwRumorPeer *peer, int64_t now_us, uint64_t sum,
                        uint64_t own_sum, int64_t changed_us);
 
--- a/lib/edge/spread.c
+++ b/lib/edge/spread.c
@@ -1,7 +1,8 @@
-/* Which peers hear news at once (rumor.h). */
+/* Chooses the peers to which a change is sent at once (gossip.h). */
 #include "edge/peers_internal.h"
 
-/* Live peers, each as likely as any other; NULL behind the last. */
+/* Chooses live peers uniformly at random (reservoir sampling); the list
+ * ends with NULL. */
 static void
 choose_some(GwPeers *peers, GwPeerEntry *chosen[GW_RUMOR_FAN + 1])
 {
--- a/lib/edge/sum_change.c
+++ b/lib/edge/sum_change.c
@@ -22,7 +22,7 @@
     return *(const uint64_t *)a == *(const uint64_t *)b;
 }
 
-/* The place of a region in a list of names, to which it is added. */
+/* Returns the index of a region in a list of names, appending it if absent. */
 static uint32_t
 place_of(GPtrArray *regions, const char *region)
 {
@@ -35,13 +35,13 @@
     return regions->len - 1;
 }
 
-/* ---- Teller -------------------------------------------------------------- */
+/* ---- Sender -------------------------------------------------------------- */
 
 typedef struct {
-    uint64_t key; /* region's place, server's hash */
+    uint64_t key; /* region index, server hash */
     uint32_t count;
-    uint32_t changed; /* by the change of this number */
-    uint32_t updated; /* the update that had it in its sum */
+    uint32_t changed; /* sequence number of the last change */
+    uint32_t updated; /* last update whose sum contained the cell */
 } Cell;
 
 struct GwSumSource_s {
@@ -49,8 +49,8 @@
     uint32_t seq;
     uint32_t updates;
     GPtrArray *regions; /* names */
-    GPtrArray *cells;   /* Cell, in the order of their numbers */
-    GHashTable *by_key; /* Cell's key -> its number */
+    GPtrArray *cells;   /* Cell, by number */
+    GHashTable *by_key; /* cell key -> cell number */
 };
 
 GwSumSource *
@@ -102,7 +102,7 @@
     return cell;
 }
 
-/* Returns whether the count was another. */
+/* Returns whether the count changed. */
 static bool
 set_count(Cell *cell, uint32_t count, uint32_t seq)
 {
@@ -199,7 +199,7 @@
     g_array_append_val(array, value);
 }
 
-/* Points the fields of the message at an array. */
+/* Points a field of the message at an array. */
 static void
 point(GArray *array, uint32_t **values, size_t *count)
 {
@@ -207,8 +207,8 @@
     *count = array->len;
 }
 
-/* Names the cells that the receiver does not know; returns how many it knows
- * then. */
+/* Writes the names of cells that the receiver does not know, up to
+ * GW_SUM_NAMED_MAX; returns how many cells it knows after that. */
 static uint32_t
 tell_names(const GwSumSource *source, uint32_t known, GwSumMessage *message)
 {
@@ -287,7 +287,7 @@
     for (guint i = 0; i < places->len; i++) {
         const Own *own = &g_array_index(places, Own, i);
         if (own->place < next) {
-            continue; /* told twice */
+            continue; /* duplicate */
         }
         append(message->own_gaps, own->place - next);
         append(message->own_counts, own->count);
@@ -341,18 +341,18 @@
 /* ---- Receiver ------------------------------------------------------------ */
 
 typedef struct {
-    uint32_t region; /* place among the names */
+    uint32_t region; /* index into the region names */
     uint32_t server;
     uint32_t total;
-    uint32_t own; /* of the receiver, within the total */
-    uint32_t set; /* as it was set last */
+    uint32_t own; /* the receiver's own part of the total */
+    uint32_t set; /* value last passed to the callback */
 } Copied;
 
 struct GwSumCopy_s {
     GwSumAck ack;
     GPtrArray *regions; /* names */
     GArray *cells;      /* Copied */
-    GArray *own;        /* places of cells whose `own` is not zero */
+    GArray *own;        /* numbers of cells whose `own` is not zero */
     GwSumSet set;
     void *ctx;
 };
@@ -413,7 +413,7 @@
     g_ptr_array_set_size(copy->regions, 0);
 }
 
-/* Whether the places that gaps tell are all below `end`. */
+/* Whether the cell numbers encoded by `gaps` are all below `end`. */
 static bool
 are_below(const uint32_t *gaps, size_t count, uint32_t end)
 {
@@ -434,21 +434,22 @@
     return change->since == 0 && change->first_named == 0;
 }
 
-/* Whether all is here that the change builds on, and nothing later. */
+/* Whether the copy has the state that the change builds on, and nothing
+ * later. */
 static bool
 has_base(const GwSumCopy *copy, const Gw__Peer__SumChange *change)
 {
     if (change->epoch != copy->ack.epoch) {
         return is_whole(change);
     }
-#if GW_MUTANT == 79 /* breaks: changes that were lost are not missed */
+#if GW_MUTANT == 79 /* breaks: lost changes go unnoticed */
     return change->first_named <= copy->cells->len;
 #endif
     return change->since <= copy->ack.seq && change->seq >= copy->ack.seq &&
            change->first_named <= copy->cells->len;
 }
 
-/* Whether the change follows from what is here, and can be read at all. */
+/* Whether the change is well-formed and builds on the current state. */
 static bool
 follows(const GwSumCopy *copy, const Gw__Peer__SumChange *change)
 {
--- a/lib/edge/sum_change.h
+++ b/lib/edge/sum_change.h
@@ -1,50 +1,51 @@
-/* Counts of requests in flight that one entry tells another again and again,
- * told as what has changed.
+/* Counts of requests in flight, sent repeatedly from one entry to another
+ * as changes (deltas).
  *
- * The teller numbers its counters ("cells": a server, seen from a region of
- * senders) in the order in which it met them, and remembers when each changed
- * last. A receiver says what it has (GwSumAck); it is told all cells that
- * changed since, with their whole counts, and the names of cells that it does
- * not know. So what is lost is told again, what comes late or twice is
- * ignored, and a receiver whose base the teller does not know is told
- * everything: it never holds a wrong count for longer than the way takes. */
+ * The sender numbers its counters ("cells": one per server and region of
+ * the requests' senders) in order of creation and stores when each last
+ * changed. A receiver acknowledges what it has (GwSumAck) and is sent all
+ * cells changed since then, with absolute counts, and the names of cells
+ * that it does not know. So lost changes are sent again, late or repeated
+ * ones are ignored, and a receiver with an unknown base is sent everything:
+ * no wrong count outlasts one message delay. */
 #ifndef GW_EDGE_SUM_CHANGE_H
 #define GW_EDGE_SUM_CHANGE_H
 
 #include "edge/load_sum.h"
 #include "wire/peer.pb-c.h"
 
-/* What a receiver has. All zero: nothing. */
+/* State that a receiver has. All zero: none. */
 typedef struct {
-    uint32_t epoch; /* names the teller's numbering */
-    uint32_t seq;   /* of the change that it applied last */
-    uint32_t cells; /* that it knows by name */
+    uint32_t epoch; /* identifies the sender's numbering */
+    uint32_t seq;   /* sequence number of the last applied change */
+    uint32_t cells; /* cells known by name */
 } GwSumAck;
 
-/* Cells named in one change; a teller with more names the rest in the next. */
+/* Maximum cells named in one change; the rest is named in later changes. */
 #define GW_SUM_NAMED_MAX 1000
-/* Cells of one teller. Above it the numbering begins anew without those of
- * servers that are gone. */
+/* Maximum cells of a sender. Above it, cells are renumbered without those
+ * of removed servers. */
 #define GW_SUM_CELLS_MAX 8000
 
-/* ---- Teller -------------------------------------------------------------- */
+/* ---- Sender -------------------------------------------------------------- */
 
 typedef struct GwSumSource_s GwSumSource;
 
-/* `epoch`: not zero, and no other process's; it rises by one when the
- * numbering begins anew. */
+/* `epoch`: nonzero and unique to the process; incremented by each
+ * renumbering. */
 GwSumSource *GwSumSource_Create(uint32_t epoch);
 void GwSumSource_Free(GwSumSource *source);
-/* Takes the counts of the sum in place of those before. */
+/* Replaces all counts by those of the sum. */
 void GwSumSource_Update(GwSumSource *source, const GwLoadSum *sum);
 
-/* A message that points into arrays of its own. */
+/* A change with the arrays that it points into. */
 typedef struct GwSumMessage_s GwSumMessage;
 
 GwSumMessage *GwSumMessage_Create(void);
 void GwSumMessage_Free(GwSumMessage *message);
-/* What a receiver lacks that has `ack`. `mine`, of `region`: what it told
- * itself, which it takes off; NULL for none. Valid until the next call. */
+/* Returns the change that a receiver with the state `ack` lacks. `mine`, of
+ * `region`: the loads that this receiver reported itself and subtracts from
+ * the sum; NULL for none. Valid until the next call with `message`. */
 Gw__Peer__SumChange *GwSumSource_Tell(const GwSumSource *source,
                                       const GwSumAck *ack, const char *region,
                                       const GArray *mine,
@@ -54,18 +55,19 @@
 
 typedef struct GwSumCopy_s GwSumCopy;
 
-/* A count, less the receiver's own, is now `count`. */
+/* Called with the new value of a count, without the receiver's own
+ * requests. */
 typedef void (*GwSumSet)(void *ctx, const char *region, uint32_t server,
                          uint32_t count);
 
 GwSumCopy *GwSumCopy_Create(GwSumSet set, void *ctx);
-/* Without a call to `set`. */
+/* Does not call `set`. */
 void GwSumCopy_Free(GwSumCopy *copy);
-/* False for a change that does not follow from what is here; nothing is taken
- * of it, and the teller learns by the ack what it has to tell. */
+/* Returns false, with no effect, for a change that does not build on the
+ * current state; the sender learns from the ack what to send. */
 bool GwSumCopy_Apply(GwSumCopy *copy, const Gw__Peer__SumChange *change);
 GwSumAck GwSumCopy_Ack(const GwSumCopy *copy);
-/* Appends what is in flight, whatever the region, as GwPeerLoad. */
+/* Appends the requests in flight from all regions as GwPeerLoad. */
 void GwSumCopy_Loads(const GwSumCopy *copy, GArray *out);
 
 #endif
--- a/lib/edge/suspects.c
+++ b/lib/edge/suspects.c
@@ -1,4 +1,4 @@
-/* Requests that crash servers, in the reports of entries (rumor.h). */
+/* Exchanges suspects (requests that crash servers) in reports (gossip.h). */
 #include "edge/peers_internal.h"
 
 #include "router/router_internal.h"
@@ -105,7 +105,8 @@
     }
 }
 
-/* So many write a row: one would do, and it may be lost. */
+/* Entries that write the same row: one would do, but a single writer may be
+ * lost. */
 #define WRITERS 2
 
 bool
