--- a/lib/edge/aggregate.c
+++ b/lib/edge/aggregate.c
@@ -18,79 +18,81 @@
 /* Above this factor on the periods, loads go through aggregators. With
  * sums, the bound on all other reports is half as high, so that a change of
  * one entry does not switch the mode back and forth. */
-#define SUMS_ABOVE_STRETCH 1.25
+#define SUMS_ABOVE_SCALE 1.25
 /* An aggregator is replaced after two and a half of its periods plus this
  * margin, long before it counts as dead: until then, entries do not see
  * each other's loads. */
 #define MISSED_PERIODS 2.5
 #define MISSED_MS      300
 /* Reported loads expire after this time. */
-#define LOADS_LIFE_US 2000000
+#define LOADS_EXPIRE_US 2000000
 /* A sum is reused for all reports of one tick. */
-#define SUM_LIFE_US 50000
+#define SUM_REUSE_US 50000
 
 static bool
-is_heard(const GwPeerEntry *peer, int64_t now_us)
+is_reachable(const GwPeerEntry *peer, int64_t now_us)
 {
     double limit_ms = MISSED_PERIODS * peer->next_ms + MISSED_MS;
 
-    return peer->serves && peer->heard &&
-           (double)(now_us - peer->heard_us) < limit_ms * 1000;
+    return peer->serves && peer->has_reported &&
+           (double)(now_us - peer->last_report_us) < limit_ms * 1000;
 }
 
 static bool
-tells_us(const GwPeerEntry *peer, int64_t now_us)
+has_fresh_loads(const GwPeerEntry *peer, int64_t now_us)
 {
-    return peer->loads != NULL && now_us - peer->loads_us < LOADS_LIFE_US;
+    return peer->loads != NULL &&
+           now_us - peer->loads_received_us < LOADS_EXPIRE_US;
 }
 
 static bool
-is_of_domain(const GwPeers *peers, const GwPeerEntry *peer)
+is_in_domain(const GwPeers *peers, const GwPeerEntry *peer)
 {
     return strcmp(peer->domain, peers->edge->settings->router.domain) == 0;
 }
 
 /* Maps each failure domain to its first live entry. */
 static GHashTable *
-find_firsts(GwPeers *peers, int64_t now_us)
+find_aggregators(GwPeers *peers, int64_t now_us)
 {
-    GHashTable *firsts = g_hash_table_new(g_str_hash, g_str_equal);
+    GHashTable *aggregators = g_hash_table_new(g_str_hash, g_str_equal);
     GHashTableIter iter;
     gpointer value;
 
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwPeerEntry *peer = value;
-        peer->is_first = false;
-        if (!is_heard(peer, now_us)) {
+        peer->is_aggregator = false;
+        if (!is_reachable(peer, now_us)) {
             continue;
         }
-        const GwPeerEntry *best = g_hash_table_lookup(firsts, peer->domain);
-        GwNewsEntry a = GwPeerEntry_AsNews(peer);
+        const GwPeerEntry *best =
+            g_hash_table_lookup(aggregators, peer->domain);
+        GwEntryRank a = GwPeerEntry_Rank(peer);
         if (best != NULL) {
-            GwNewsEntry b = GwPeerEntry_AsNews(best);
-            if (!GwNews_IsBefore(&a, &b)) {
+            GwEntryRank b = GwPeerEntry_Rank(best);
+            if (!GwEntryRank_IsBefore(&a, &b)) {
                 continue;
             }
         }
-        g_hash_table_replace(firsts, peer->domain, peer);
+        g_hash_table_replace(aggregators, peer->domain, peer);
     }
-    return firsts;
+    return aggregators;
 }
 
 /* Drops the sum over all entries; the next aggregator has to send it in
  * full. */
 static void
-drop_sums(GwPeers *peers, int64_t now_us)
+drop_all_sum(GwPeers *peers, int64_t now_us)
 {
     GwPeerEntry *peer =
-        g_hash_table_lookup(peers->by_address, peers->sums_from);
+        g_hash_table_lookup(peers->by_address, peers->aggregator);
 
     if (peer != NULL) {
         GwSumCopy_Free(peer->copy);
         peer->copy = NULL;
     }
-    peers->sums_from[0] = '\0';
+    peers->aggregator[0] = '\0';
     GwRouter_DropSums(peers->edge->router, now_us);
 }
 
@@ -98,68 +100,71 @@
 GwPeers_ChooseAggregators(GwPeers *peers, int64_t now_us)
 {
     const char *domain = peers->edge->settings->router.domain;
-    bool was = peers->by_sums;
+    bool used_sums = peers->uses_sums;
 
-    peers->by_sums = peers->stretch > SUMS_ABOVE_STRETCH;
-    peers->aggregates = false;
-    if (!peers->by_sums) {
-        if (was) {
-            drop_sums(peers, now_us);
+    peers->uses_sums = peers->period_scale > SUMS_ABOVE_SCALE;
+    peers->is_aggregator = false;
+    if (!peers->uses_sums) {
+        if (used_sums) {
+            drop_all_sum(peers, now_us);
         }
         return;
     }
-    GHashTable *firsts = find_firsts(peers, now_us);
+    GHashTable *aggregators = find_aggregators(peers, now_us);
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, firsts);
+    g_hash_table_iter_init(&iter, aggregators);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        ((GwPeerEntry *)value)->is_first = true;
+        ((GwPeerEntry *)value)->is_aggregator = true;
     }
-    GwPeerEntry *near = g_hash_table_lookup(firsts, domain);
-    GwNewsEntry own = GwPeers_Own(peers);
-    GwNewsEntry other = {0};
-    if (near != NULL) {
-        other = GwPeerEntry_AsNews(near);
+    GwPeerEntry *local = g_hash_table_lookup(aggregators, domain);
+    GwEntryRank own_rank = GwPeers_OwnRank(peers);
+    GwEntryRank local_rank = {0};
+    if (local != NULL) {
+        local_rank = GwPeerEntry_Rank(local);
     }
-    if (near == NULL || GwNews_IsBefore(&own, &other)) {
-        peers->aggregates = true;
-        if (near != NULL) {
-            near->is_first = false;
+    if (local == NULL || GwEntryRank_IsBefore(&own_rank, &local_rank)) {
+        peers->is_aggregator = true;
+        if (local != NULL) {
+            local->is_aggregator = false;
         }
     }
-    g_hash_table_destroy(firsts);
-    if (peers->aggregates || now_us - peers->sums_heard_us > LOADS_LIFE_US) {
-        drop_sums(peers, now_us);
+    g_hash_table_destroy(aggregators);
+    if (peers->is_aggregator ||
+        now_us - peers->sums_received_us > LOADS_EXPIRE_US) {
+        drop_all_sum(peers, now_us);
     }
 }
 
 bool
-GwPeers_TellsLoads(const GwPeers *peers, const GwPeerEntry *peer)
+GwPeers_CountsLoadsOf(const GwPeers *peers, const GwPeerEntry *peer)
 {
-    return peers->by_sums ? tells_us(peer, GwEdge_Now())
-                          : GwPeers_IsNear(peers, peer);
+    return peers->uses_sums ? has_fresh_loads(peer, GwEdge_Now())
+                            : GwPeers_IsInRegion(peers, peer);
 }
 
-GwLoadsTold
-GwPeers_LoadsFor(const GwPeers *peers, const GwPeerEntry *peer)
+GwLoadScope
+GwPeers_LoadScopeFor(const GwPeers *peers, const GwPeerEntry *peer)
 {
-    if (!peers->by_sums) {
+    if (!peers->uses_sums) {
         return GW_LOADS_OWN;
     }
-    if (!peers->aggregates) {
-        return peer->is_first && is_of_domain(peers, peer) ? GW_LOADS_OWN
-                                                           : GW_LOADS_NONE;
+    if (!peers->is_aggregator) {
+        return peer->is_aggregator && is_in_domain(peers, peer)
+                   ? GW_LOADS_OWN
+                   : GW_LOADS_NONE;
     }
-    if (is_of_domain(peers, peer)) {
-        return tells_us(peer, GwEdge_Now()) ? GW_LOADS_ALL : GW_LOADS_NONE;
+    if (is_in_domain(peers, peer)) {
+        return has_fresh_loads(peer, GwEdge_Now()) ? GW_LOADS_ALL
+                                                   : GW_LOADS_NONE;
     }
-    return peer->is_first ? GW_LOADS_DOMAIN : GW_LOADS_NONE;
+    return peer->is_aggregator ? GW_LOADS_DOMAIN : GW_LOADS_NONE;
 }
 
 /* Sums the loads of this entry with those reported by its failure domain,
  * or by all entries. */
 static void
-add_up(GwPeers *peers, bool all)
+build_sum(GwPeers *peers, bool all)
 {
     const char *region = peers->edge->settings->router.region;
     int64_t now_us = GwEdge_Now();
@@ -173,19 +178,20 @@
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwPeerEntry *peer = value;
-        if (tells_us(peer, now_us) && (all || is_of_domain(peers, peer))) {
+        if (has_fresh_loads(peer, now_us) &&
+            (all || is_in_domain(peers, peer))) {
             GwLoadSum_Add(peers->sum, peer->region, peer->loads);
         }
     }
 }
 
 static const GwSumSource *
-keep_fresh(GwPeers *peers, GwSumSource *source, int64_t *at_us, bool all)
+refresh(GwPeers *peers, GwSumSource *source, int64_t *at_us, bool all)
 {
     int64_t now_us = GwEdge_Now();
 
-    if (now_us - *at_us > SUM_LIFE_US) {
-        add_up(peers, all);
+    if (now_us - *at_us > SUM_REUSE_US) {
+        build_sum(peers, all);
         GwSumSource_Update(source, peers->sum);
         *at_us = now_us;
     }
@@ -195,13 +201,14 @@
 const GwSumSource *
 GwPeers_DomainSource(GwPeers *peers)
 {
-    return keep_fresh(peers, peers->domain_source, &peers->domain_us, false);
+    return refresh(peers, peers->domain_source, &peers->domain_updated_us,
+                   false);
 }
 
 const GwSumSource *
 GwPeers_AllSource(GwPeers *peers)
 {
-    return keep_fresh(peers, peers->all_source, &peers->all_us, true);
+    return refresh(peers, peers->all_source, &peers->all_updated_us, true);
 }
 
 void
@@ -215,9 +222,9 @@
     if (count > 0) {
         g_array_append_vals(peer->loads, loads, count);
     }
-    peer->loads_us = GwEdge_Now();
-    peers->domain_us = 0;
-    peers->all_us = 0;
+    peer->loads_received_us = GwEdge_Now();
+    peers->domain_updated_us = 0;
+    peers->all_updated_us = 0;
 }
 
 static void
@@ -230,8 +237,8 @@
 }
 
 void
-GwPeers_TakeDomainSum(GwPeers *peers, GwPeerEntry *peer,
-                      const Gw__Peer__SumChange *change)
+GwPeers_ApplyDomainSum(GwPeers *peers, GwPeerEntry *peer,
+                       const Gw__Peer__SumChange *change)
 {
     if (peer->copy == NULL) {
         peer->copy = GwSumCopy_Create(ignore_count, NULL);
@@ -245,7 +252,8 @@
 }
 
 static void
-set_in_router(void *ctx, const char *region, uint32_t server, uint32_t count)
+set_router_count(void *ctx, const char *region, uint32_t server,
+                 uint32_t count)
 {
     const GwPeers *peers = ctx;
 
@@ -255,22 +263,22 @@
 /* Accepts the sum only from the aggregator to which this entry reports: two
  * active aggregators hold only a part of the loads each. */
 void
-GwPeers_TakeAllSum(GwPeers *peers, GwPeerEntry *peer,
-                   const Gw__Peer__SumChange *change)
+GwPeers_ApplyAllSum(GwPeers *peers, GwPeerEntry *peer,
+                    const Gw__Peer__SumChange *change)
 {
-    if (!peers->by_sums || peers->aggregates || !peer->is_first ||
-        !is_of_domain(peers, peer)) {
+    if (!peers->uses_sums || peers->is_aggregator || !peer->is_aggregator ||
+        !is_in_domain(peers, peer)) {
         return;
     }
-    if (strcmp(peers->sums_from, peer->peer_address) != 0) {
-        drop_sums(peers, GwEdge_Now());
+    if (strcmp(peers->aggregator, peer->peer_address) != 0) {
+        drop_all_sum(peers, GwEdge_Now());
         GwSumCopy_Free(peer->copy);
-        peer->copy = GwSumCopy_Create(set_in_router, peers);
-        g_strlcpy(peers->sums_from, peer->peer_address,
-                  sizeof(peers->sums_from));
+        peer->copy = GwSumCopy_Create(set_router_count, peers);
+        g_strlcpy(peers->aggregator, peer->peer_address,
+                  sizeof(peers->aggregator));
     }
     if (GwSumCopy_Apply(peer->copy, change)) {
-        peers->sums_heard_us = GwEdge_Now();
+        peers->sums_received_us = GwEdge_Now();
     }
 }
 
--- a/lib/edge/answers.c
+++ b/lib/edge/answers.c
@@ -55,7 +55,7 @@
 }
 
 static GwAttemptOutcome
-outcome_of(const GwAdapter *names, const GwHttpMessage *msg)
+attempt_outcome(const GwAdapter *names, const GwHttpMessage *msg)
 {
     if (msg->status == 421 || GwHttpMessage_Get(msg, names->not_run)) {
         return GW_ATTEMPT_REFUSED;
@@ -72,7 +72,7 @@
 {
     const char *cold = GwHttpMessage_Get(msg, names->cold_ms);
     GwAttemptEnd end = {
-        .outcome = outcome_of(names, msg),
+        .outcome = attempt_outcome(names, msg),
         .status = msg->status,
         .other_server = msg->status == 421,
         .cold_ms = cold != NULL ? (uint32_t)strtoul(cold, NULL, 10) : 0,
@@ -88,11 +88,11 @@
 GwAnswer_IsTo(const GwAdapter *names, const GwHttpMessage *msg,
               const GwHttpMessage *request)
 {
-    const char *theirs = GwHttpMessage_Get(msg, names->request_id);
-    const char *ours = GwHttpMessage_Get(request, names->request_id);
+    const char *answer_id = GwHttpMessage_Get(msg, names->request_id);
+    const char *request_id = GwHttpMessage_Get(request, names->request_id);
 
-    if (theirs == NULL) {
-        return msg->status >= 300 || ours == NULL;
+    if (answer_id == NULL) {
+        return msg->status >= 300 || request_id == NULL;
     }
-    return ours != NULL && strcmp(theirs, ours) == 0;
+    return request_id != NULL && strcmp(answer_id, request_id) == 0;
 }
--- a/lib/edge/beliefs.c
+++ b/lib/edge/beliefs.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static void
-take_config(GwEdge *edge, const GwStoreRow *row)
+apply_config(GwEdge *edge, const GwStoreRow *row)
 {
     GError *error = NULL;
 
@@ -35,7 +35,7 @@
 
     switch (edge->adapter->operator_row(row->key, &name)) {
     case GW_ROW_CONFIG:
-        take_config(edge, row);
+        apply_config(edge, row);
         break;
     case GW_ROW_EVACUATION:
         GwRouter_SetEvacuated(edge->router, GwEdge_Now(), name, !row->removed);
@@ -68,16 +68,16 @@
                  const char *value)
 {
     const GwAdapter *adapter = ((GwEdge *)ctx)->adapter;
-    GwRegistered was;
-    GwRegistered is;
+    GwRegistered old_server;
+    GwRegistered new_server;
 
-    if (!adapter->read_server(key, old, &was, NULL) ||
-        !adapter->read_server(key, value, &is, NULL) ||
-        !is_same_server(&was, &is)) {
+    if (!adapter->read_server(key, old, &old_server, NULL) ||
+        !adapter->read_server(key, value, &new_server, NULL) ||
+        !is_same_server(&old_server, &new_server)) {
         return true;
     }
-    int64_t expected_ms = MAX(was.warmup_left_ms - age_us / 1000, 0);
-    int64_t longer_ms = is.warmup_left_ms - expected_ms;
+    int64_t expected_ms = MAX(old_server.warmup_left_ms - age_us / 1000, 0);
+    int64_t longer_ms = new_server.warmup_left_ms - expected_ms;
     return longer_ms > COLD_LONGER_MS || longer_ms < -WARM_SOONER_MS;
 }
 
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -14,7 +14,7 @@
 #define PEER_ANSWER_MS 600
 /* Maximum time of the whole transfer, which bounds the delay by a peer that
  * sends very slowly. */
-#define PEER_WHOLE_MS 4000
+#define PEER_TRANSFER_MS 4000
 /* After a failed call to the store, rows are fetched from peers for this
  * long. */
 #define STORE_FAILED_US 2000000
@@ -24,7 +24,7 @@
 /* The store's change history does not reach back to the beginning, so the
  * full table needs another call. */
 static void
-ask_store_once(GwFeed *feed)
+request_from_store(GwFeed *feed)
 {
     const GwAdapter *a = feed->edge->adapter;
     char *target = feed->peer_full
@@ -37,12 +37,12 @@
 }
 
 static void
-ask_peer(GwFeed *feed)
+request_rows(GwFeed *feed)
 {
     GwRowsAsk ask = {.after = feed->peer_full ? 0 : GwFeed_Version(feed)};
 
     if (feed->peer_is_store) {
-        ask_store_once(feed);
+        request_from_store(feed);
         return;
     }
     if (ask.after > 0) {
@@ -68,12 +68,12 @@
     GwFeed *feed = owner;
 
     feed->peer_full = GwEdge_Now() - feed->fresh_us > STALE_US;
-    ask_peer(feed);
+    request_rows(feed);
 }
 
 /* Logs where an entry that does not read the store got new operator rows. */
 static void
-log_taken(const GwFeed *feed, const GwRowSet *set)
+log_rows(const GwFeed *feed, const GwRowSet *set)
 {
     const GwEdge *edge = feed->edge;
 
@@ -88,11 +88,11 @@
 }
 
 static void
-take_from_peer(GwFeed *feed, const GwRowSet *set)
+apply_rows(GwFeed *feed, const GwRowSet *set)
 {
     int64_t now_us = GwEdge_Now();
 
-    log_taken(feed, set);
+    log_rows(feed, set);
 
     if (feed->peer_full || !feed->known) {
         GwRowCache_ApplyFull(feed->cache, now_us, set);
@@ -114,7 +114,7 @@
         /* The peer no longer has all removals since that version. */
         GwHttpMessage_Free(msg);
         feed->peer_full = true;
-        ask_peer(feed);
+        request_rows(feed);
         return;
     }
     if (!feed->peer_is_store) {
@@ -135,7 +135,7 @@
         set = NULL;
     }
     if (set != NULL) {
-        take_from_peer(feed, set);
+        apply_rows(feed, set);
         GwRowSet_Free(set);
         GwPeers_HurryDomain(feed->edge->peers);
         GwEdge_Carry(feed->edge);
@@ -161,7 +161,7 @@
 };
 
 static void
-read_once(GwFeed *feed, const char *address, bool is_store)
+fetch_once(GwFeed *feed, const char *address, bool is_store)
 {
     GwConnParams params = {
         .loop = &feed->edge->loop,
@@ -180,7 +180,7 @@
 GwFeed_AskPeer(GwFeed *feed, const char *address, uint64_t version)
 {
     if (feed->peer == NULL && version > GwFeed_Version(feed)) {
-        read_once(feed, address, false);
+        fetch_once(feed, address, false);
     }
 }
 
@@ -188,7 +188,7 @@
 GwFeed_AskStore(GwFeed *feed, uint64_t version)
 {
     if (feed->peer == NULL && version > GwFeed_Version(feed)) {
-        read_once(feed, feed->edge->settings->store_address, true);
+        fetch_once(feed, feed->edge->settings->store_address, true);
     }
 }
 
@@ -210,7 +210,7 @@
  * is older: when many entries start together, tables are read at many
  * versions. */
 static bool
-has_the_same(const GwFeed *feed, const GwRowsAsk *ask)
+has_same_rows(const GwFeed *feed, const GwRowsAsk *ask)
 {
     return ask->digest != 0 && ask->digest == GwRowCache_Digest(feed->cache);
 }
@@ -225,7 +225,7 @@
         return NULL;
     }
     if (after != 0 && !GwRowCache_KnowsAllAfter(feed->cache, after)) {
-        if (!has_the_same(feed, ask)) {
+        if (!has_same_rows(feed, ask)) {
             *status = 410;
             return NULL;
         }
@@ -239,18 +239,19 @@
 }
 
 static bool
-is_silent(const GwFeed *feed, int64_t now_us)
+is_timed_out(const GwFeed *feed, int64_t now_us)
 {
-    int64_t heard_us = MAX(feed->peer_asked_us, GwConn_LastHeard(feed->peer));
+    int64_t received_us =
+        MAX(feed->peer_asked_us, GwConn_LastHeard(feed->peer));
 
-    return now_us - heard_us > PEER_ANSWER_MS * 1000 ||
-           now_us - feed->peer_asked_us > PEER_WHOLE_MS * 1000;
+    return now_us - received_us > PEER_ANSWER_MS * 1000 ||
+           now_us - feed->peer_asked_us > PEER_TRANSFER_MS * 1000;
 }
 
 void
 GwFeed_SweepPeer(GwFeed *feed, int64_t now_us)
 {
-    if (feed->peer != NULL && is_silent(feed, now_us)) {
+    if (feed->peer != NULL && is_timed_out(feed, now_us)) {
         GwConn_CloseAt(&feed->peer);
         note_store_failed(feed);
     }
--- a/lib/edge/fetch.c
+++ b/lib/edge/fetch.c
@@ -6,33 +6,36 @@
 
 /* Ranks this entry and the provider within this entry's failure domain. All
  * entries of the domain know each other, so they agree on the order. */
-static GwNewsSight
-sight_of(const GwPeers *peers, const GwPeerEntry *teller)
+static GwFetchView
+create_view(const GwPeers *peers, const GwPeerEntry *provider)
 {
     const GwRouterParams *own = &peers->edge->settings->router;
-    bool near = strcmp(teller->domain, own->domain) == 0;
-    GwNewsEntry self = GwPeers_Own(peers);
-    GwNewsEntry told = GwPeerEntry_AsNews(teller);
-    GwNewsSight sight = {
+    bool same_domain = strcmp(provider->domain, own->domain) == 0;
+    GwEntryRank own_rank = GwPeers_OwnRank(peers);
+    GwEntryRank provider_rank = GwPeerEntry_Rank(provider);
+    GwFetchView view = {
         .domain_size = 1,
-        .teller = near ? GwNews_IsBefore(&self, &told) : GW_NEWS_OUTSIDE,
-        .waited_us = GwEdge_Now() - peers->behind_since_us,
-        .starts = !GwFeed_IsKnown(peers->edge->server_feed),
+        .provider_rank = same_domain
+                             ? GwEntryRank_IsBefore(&own_rank, &provider_rank)
+                             : GW_FETCH_OUTSIDE,
+        .waited_us = GwEdge_Now() - peers->awaits_rows_since_us,
+        .is_bootstrapping = !GwFeed_IsKnown(peers->edge->server_feed),
     };
     GwPeerScan scan = GwPeers_Scan(peers, NULL, own->domain);
     const GwPeerEntry *peer;
 
     while ((peer = GwPeerScan_Next(&scan)) != NULL) {
-        GwNewsEntry other = GwPeerEntry_AsNews(peer);
-        sight.domain_size++;
-        sight.own += GwNews_IsBefore(&other, &self);
-        sight.teller += near && GwNews_IsBefore(&other, &told);
+        GwEntryRank peer_rank = GwPeerEntry_Rank(peer);
+        view.domain_size++;
+        view.own_rank += GwEntryRank_IsBefore(&peer_rank, &own_rank);
+        view.provider_rank +=
+            same_domain && GwEntryRank_IsBefore(&peer_rank, &provider_rank);
     }
-    return sight;
+    return view;
 }
 
 static bool
-has_news(const GwPeers *peers, const GwPeerEntry *peer)
+has_newer_rows(const GwPeers *peers, const GwPeerEntry *peer)
 {
     const GwEdge *edge = peers->edge;
 
@@ -42,39 +45,40 @@
 
 /* Whether to read the missing operator rows from the store instead. */
 static bool
-is_for_store(const GwPeers *peers, const GwPeerEntry *peer)
+reads_from_store(const GwPeers *peers, const GwPeerEntry *peer)
 {
     uint32_t own_kbps = peers->edge->settings->link_kbps;
-    GwNewsSize size = {
-        .bytes = peer->news_bytes,
+    GwFetchCopy copy = {
+        .bytes = peer->missing_bytes,
         .link_kbps = MIN(own_kbps, peer->link_kbps),
     };
 
-    return GwNews_IsLarge(&size) &&
+    return GwFetchCopy_IsLarge(&copy) &&
            GwFeed_MayAskStore(peers->edge->operator_feed);
 }
 
 void
-GwPeers_AskForRows(GwPeers *peers, const GwPeerEntry *peer)
+GwPeers_FetchRowsFrom(GwPeers *peers, const GwPeerEntry *peer)
 {
     GwEdge *edge = peers->edge;
 
-    if (!has_news(peers, peer)) {
+    if (!has_newer_rows(peers, peer)) {
         return;
     }
-    if (is_for_store(peers, peer)) {
+    if (reads_from_store(peers, peer)) {
         GwFeed_AskStore(edge->operator_feed, peer->operator_version);
     }
-    if (!peers->behind) {
-        peers->behind = true;
-        peers->behind_since_us = GwEdge_Now();
+    if (!peers->awaits_rows) {
+        peers->awaits_rows = true;
+        peers->awaits_rows_since_us = GwEdge_Now();
     }
-    GwNewsSight sight = sight_of(peers, peer);
-    if (!GwNews_AsksNow(&sight)) {
-        g_strlcpy(peers->teller, peer->peer_address, sizeof(peers->teller));
+    GwFetchView view = create_view(peers, peer);
+    if (!GwFetchView_MayFetch(&view)) {
+        g_strlcpy(peers->provider, peer->peer_address,
+                  sizeof(peers->provider));
         return;
     }
-    peers->behind = false;
+    peers->awaits_rows = false;
     GwFeed_AskPeer(edge->operator_feed, peer->peer_address,
                    peer->operator_version);
     GwFeed_AskPeer(edge->server_feed, peer->peer_address,
@@ -82,16 +86,17 @@
 }
 
 void
-GwPeers_AskDue(GwPeers *peers)
+GwPeers_FetchDueRows(GwPeers *peers)
 {
-    GwPeerEntry *peer = g_hash_table_lookup(peers->by_address, peers->teller);
+    GwPeerEntry *peer =
+        g_hash_table_lookup(peers->by_address, peers->provider);
 
-    if (!peers->behind) {
+    if (!peers->awaits_rows) {
         return;
     }
-    if (peer == NULL || !has_news(peers, peer)) {
-        peers->behind = false; /* fetched from another peer */
+    if (peer == NULL || !has_newer_rows(peers, peer)) {
+        peers->awaits_rows = false; /* fetched from another peer */
         return;
     }
-    GwPeers_AskForRows(peers, peer);
+    GwPeers_FetchRowsFrom(peers, peer);
 }
--- a/lib/edge/held_rows.c
+++ b/lib/edge/held_rows.c
@@ -61,17 +61,17 @@
     int64_t age_s = 0;
 
     *out = (GwSuspect){.generation = 0};
-    bool good = GwFingerprint_Read(key, &out->fingerprint) &&
-                g_strv_length(words) >= 3 &&
-                sscanf(value, "%u %" SCNd64 " %u", &out->generation, &at_s,
-                       &out->span_ms) == 3 &&
-                read_servers(words + 3, out);
-    if (good) {
+    bool ok = GwFingerprint_Read(key, &out->fingerprint) &&
+              g_strv_length(words) >= 3 &&
+              sscanf(value, "%u %" SCNd64 " %u", &out->generation, &at_s,
+                     &out->span_ms) == 3 &&
+              read_servers(words + 3, out);
+    if (ok) {
         age_s = CLAMP(now_s - at_s, 0, UINT32_MAX / 1000);
         out->age_ms = (uint32_t)age_s * 1000;
     }
     g_strfreev(words);
-    return good;
+    return ok;
 }
 
 static int64_t
@@ -106,7 +106,7 @@
 
 /* Starts the next call, or closes the connection when none is left. */
 static void
-go_on(GwHeldRows *rows)
+start_call(GwHeldRows *rows)
 {
     const GwEdge *edge = rows->edge;
     const GwSuspect *next = g_queue_peek_head(&rows->waiting);
@@ -127,7 +127,7 @@
 }
 
 static bool
-take_rows(GwHeldRows *rows, const GwHttpMessage *msg)
+apply_rows(GwHeldRows *rows, const GwHttpMessage *msg)
 {
     GwRowSet *set =
         rows->edge->adapter->read_rows(msg->body->str, msg->body->len, NULL);
@@ -157,17 +157,17 @@
 on_message(void *owner, GwHttpMessage *msg)
 {
     GwHeldRows *rows = owner;
-    bool good = msg->status == 200;
+    bool ok = msg->status == 200;
 
-    if (good && rows->has_read) {
+    if (ok && rows->has_read) {
         g_free(g_queue_pop_head(&rows->waiting));
     }
-    else if (good) {
-        good = take_rows(rows, msg);
+    else if (ok) {
+        ok = apply_rows(rows, msg);
     }
     GwHttpMessage_Free(msg);
-    if (good) {
-        go_on(rows);
+    if (ok) {
+        start_call(rows);
     }
     else {
         retry(rows);
@@ -177,7 +177,7 @@
 static void
 on_connected(void *owner)
 {
-    go_on(owner);
+    start_call(owner);
 }
 
 static void
--- a/lib/edge/introduce.c
+++ b/lib/edge/introduce.c
@@ -7,23 +7,23 @@
 #include <string.h>
 
 bool
-GwIntroduce_TellsAddresses(uint32_t own, uint32_t newcomers)
+GwBootstrap_SendsAddresses(uint32_t own_known, uint32_t peer_known)
 {
-    return own > 2 * newcomers;
+    return own_known > 2 * peer_known;
 }
 
 bool
-GwIntroduce_TellsPlaces(const char *own, const char *newcomer,
-                        const GPtrArray *others)
+GwBootstrap_SendsPlacements(const char *own, const char *new_entry,
+                            const GPtrArray *others)
 {
-    uint64_t seed = GwHash_Text(newcomer, 2);
+    uint64_t seed = GwHash_Text(new_entry, 2);
     uint64_t rank = GwHash_Text(own, seed);
     uint32_t before = 0;
 
     for (guint i = 0; i < others->len; i++) {
         before += GwHash_Text(others->pdata[i], seed) > rank;
     }
-    return before < GW_INTRODUCERS;
+    return before < GW_BOOTSTRAP_SENDERS;
 }
 
 char *
@@ -49,24 +49,24 @@
 static bool
 is_before(const GwEntryRow *a, const GwEntryRow *b)
 {
-    GwNewsEntry first = {a->name, a->link_kbps, a->cpu_milli};
-    GwNewsEntry second = {b->name, b->link_kbps, b->cpu_milli};
+    GwEntryRank first = {a->name, a->link_kbps, a->cpu_milli};
+    GwEntryRank second = {b->name, b->link_kbps, b->cpu_milli};
 
-    return GwNews_IsBefore(&first, &second);
+    return GwEntryRank_IsBefore(&first, &second);
 }
 
 /* The highest ranked entries of a failure domain, best first. */
 typedef struct {
-    const GwEntryRow *rows[GW_GREETED_FAR];
-} Firsts;
+    const GwEntryRow *rows[GW_NOTIFIED_REMOTE];
+} TopRanked;
 
 static void
-offer(Firsts *firsts, const GwEntryRow *row)
+insert_ranked(TopRanked *top, const GwEntryRow *row)
 {
-    for (int i = 0; i < GW_GREETED_FAR; i++) {
-        if (firsts->rows[i] == NULL || is_before(row, firsts->rows[i])) {
-            const GwEntryRow *next = firsts->rows[i];
-            firsts->rows[i] = row;
+    for (int i = 0; i < GW_NOTIFIED_REMOTE; i++) {
+        if (top->rows[i] == NULL || is_before(row, top->rows[i])) {
+            const GwEntryRow *next = top->rows[i];
+            top->rows[i] = row;
             if (next == NULL) {
                 return;
             }
@@ -76,14 +76,14 @@
 }
 
 static bool
-is_near(const char *region, const GwEntryRow *row)
+may_be_in_region(const char *region, const GwEntryRow *row)
 {
     return row->region[0] == '\0' || strcmp(row->region, region) == 0;
 }
 
 void
-GwIntroduce_ChooseGreeted(const char *region, const GArray *rows,
-                          bool *greeted)
+GwBootstrap_ChooseNotified(const char *region, const GArray *rows,
+                           bool *notified)
 {
     GHashTable *domains =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -92,19 +92,19 @@
     gpointer value;
 
     for (guint i = 0; i < rows->len; i++) {
-        greeted[i] = is_near(region, &all[i]);
-        Firsts *firsts = g_hash_table_lookup(domains, all[i].domain);
-        if (firsts == NULL) {
-            firsts = g_new0(Firsts, 1);
-            g_hash_table_insert(domains, (gpointer)all[i].domain, firsts);
+        notified[i] = may_be_in_region(region, &all[i]);
+        TopRanked *top = g_hash_table_lookup(domains, all[i].domain);
+        if (top == NULL) {
+            top = g_new0(TopRanked, 1);
+            g_hash_table_insert(domains, (gpointer)all[i].domain, top);
         }
-        offer(firsts, &all[i]);
+        insert_ranked(top, &all[i]);
     }
     g_hash_table_iter_init(&iter, domains);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const Firsts *firsts = value;
-        for (int i = 0; i < GW_GREETED_FAR && firsts->rows[i] != NULL; i++) {
-            greeted[firsts->rows[i] - all] = true;
+        const TopRanked *top = value;
+        for (int i = 0; i < GW_NOTIFIED_REMOTE && top->rows[i] != NULL; i++) {
+            notified[top->rows[i] - all] = true;
         }
     }
     g_hash_table_destroy(domains);
--- a/lib/edge/introduce.h
+++ b/lib/edge/introduce.h
@@ -3,8 +3,8 @@
  * When all entries start together, each is new to each. Sending everything
  * to every new entry cost 40 MB in the first seconds with 68 entries, and
  * bytes between failure domains are paid for. */
-#ifndef GW_EDGE_INTRODUCE_H
-#define GW_EDGE_INTRODUCE_H
+#ifndef GW_EDGE_BOOTSTRAP_H
+#define GW_EDGE_BOOTSTRAP_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -12,17 +12,17 @@
 
 /* Entries of a region that send warm placements to a new entry: one would
  * do, but a single sender may be lost. */
-#define GW_INTRODUCERS 2
+#define GW_BOOTSTRAP_SENDERS 2
 
 /* Whether to send the known addresses to a new entry. An entry that read
  * the addresses from the store knows about as many as this one; an entry
  * that started from seeds, during a store outage, knows about three. */
-bool GwIntroduce_TellsAddresses(uint32_t own, uint32_t newcomers);
+bool GwBootstrap_SendsAddresses(uint32_t own_known, uint32_t peer_known);
 /* Whether this entry is one of those that send warm placements to the new
  * entry. `others` are the names of the region's serving entries, without
  * these two. All entries agree by a hash, without messages. */
-bool GwIntroduce_TellsPlaces(const char *own, const char *newcomer,
-                             const GPtrArray *others);
+bool GwBootstrap_SendsPlacements(const char *own, const char *new_entry,
+                                 const GPtrArray *others);
 
 /* An entry as described by its row in the store. */
 typedef struct {
@@ -40,12 +40,12 @@
 
 /* Entries of a failure domain in another region that are notified of a new
  * entry at once: the aggregator and the next in rank. */
-#define GW_GREETED_FAR 2
+#define GW_NOTIFIED_REMOTE 2
 
 /* Chooses the peers that a new entry notifies at once: all of its region,
  * and few of other regions, which may learn of it later. Sets `notified`
  * for each row. */
-void GwIntroduce_ChooseGreeted(const char *region, const GArray *rows,
-                               bool *greeted);
+void GwBootstrap_ChooseNotified(const char *region, const GArray *rows,
+                                bool *notified);
 
 #endif
--- a/lib/edge/join.c
+++ b/lib/edge/join.c
@@ -15,7 +15,7 @@
 retry_join(GwPeers *peers)
 {
     GwConn_CloseAt(&peers->join);
-    peers->join_at_us = GwEdge_Now() + JOIN_RETRY_US;
+    peers->next_join_us = GwEdge_Now() + JOIN_RETRY_US;
 }
 
 static void
@@ -38,7 +38,7 @@
 }
 
 static void
-ask_join(GwPeers *peers)
+send_call(GwPeers *peers)
 {
     GwEdge *edge = peers->edge;
 
@@ -55,7 +55,7 @@
 static void
 on_join_connected(void *owner)
 {
-    ask_join(owner);
+    send_call(owner);
 }
 
 static GArray *
@@ -75,23 +75,23 @@
 
 /* Notified peers get a report now, the others at their regular period. */
 static void
-take_entries(GwPeers *peers, const GwRowSet *set)
+add_entries(GwPeers *peers, const GwRowSet *set)
 {
     const char *region = peers->edge->settings->router.region;
     GArray *rows = read_entries(set);
-    bool *greeted = g_new(bool, rows->len + 1);
+    bool *notified = g_new(bool, rows->len + 1);
 
-    GwIntroduce_ChooseGreeted(region, rows, greeted);
+    GwBootstrap_ChooseNotified(region, rows, notified);
     for (guint i = 0; i < rows->len; i++) {
         GwPeerEntry *peer =
             GwPeers_Add(peers, g_array_index(rows, GwEntryRow, i).address);
-        if (peer != NULL && greeted[i]) {
-            GwPeers_Tell(peers, peer, false);
+        if (peer != NULL && notified[i]) {
+            GwPeers_SendReport(peers, peer, false);
         }
     }
     GwPeers_SetPeriods(peers, GwEdge_Now());
-    GwPeers_SpreadUntold(peers);
-    g_free(greeted);
+    GwPeers_StaggerFirstReports(peers);
+    g_free(notified);
     g_array_free(rows, TRUE);
 }
 
@@ -113,14 +113,14 @@
     }
     else if (set == NULL) {
         peers->step = GW_JOIN_READ;
-        ask_join(peers);
+        send_call(peers);
     }
     else {
-        take_entries(peers, set);
+        add_entries(peers, set);
         if (set->more && set->rows->len > 0) {
             g_free(peers->join_after);
             peers->join_after = g_strdup(GwRowSet_LastKey(set));
-            ask_join(peers);
+            send_call(peers);
         }
         else {
             peers->step = GW_JOIN_DONE;
@@ -158,14 +158,14 @@
         .body_max = ROWS_BODY_MAX,
     };
 
-    if (peers->step == GW_JOIN_DONE || now_us < peers->join_at_us) {
+    if (peers->step == GW_JOIN_DONE || now_us < peers->next_join_us) {
         return;
     }
     if (peers->join != NULL) {
         retry_join(peers);
         return;
     }
-    peers->join_at_us = now_us + JOIN_TIMEOUT_US;
+    peers->next_join_us = now_us + JOIN_TIMEOUT_US;
     peers->join =
         GwConn_Connect(&params, peers->edge->settings->store_address);
 }
--- a/lib/edge/limits.c
+++ b/lib/edge/limits.c
@@ -2,7 +2,7 @@
 #include "edge/peers_internal.h"
 
 static uint32_t
-next_limits(GwPeers *peers, GwPeerEntry *peer, GwLimit *out)
+select_limits(GwPeers *peers, GwPeerEntry *peer, GwLimit *out)
 {
     const GwRouter *router = peers->edge->router;
     int64_t now_us = GwEdge_Now();
@@ -10,7 +10,7 @@
     uint32_t count = 0;
 
     switch (
-        GwRumorPeer_Next(&peer->rumors[GW_RUMORS_LIMITS], now_us, &since_us)) {
+        GwRumorPeer_Next(&peer->gossip[GW_GOSSIP_LIMITS], now_us, &since_us)) {
     case GW_RUMOR_NOTHING:
         break;
     case GW_RUMOR_NEWS:
@@ -28,21 +28,21 @@
                    GwLimitArrays *arrays)
 {
     report->limits_sum = GwRouter_LimitsSum(peers->edge->router);
-    report->n_limits = next_limits(peers, peer, arrays->known);
+    report->n_limits = select_limits(peers, peer, arrays->known);
     for (size_t i = 0; i < report->n_limits; i++) {
-        Gw__Peer__Limit *told = &arrays->told[i];
-        gw__peer__limit__init(told);
-        told->server = arrays->known[i].server;
-        told->per_s = arrays->known[i].per_s;
-        told->age_ms = arrays->known[i].age_ms;
-        arrays->list[i] = told;
+        Gw__Peer__Limit *message = &arrays->messages[i];
+        gw__peer__limit__init(message);
+        message->server = arrays->known[i].server;
+        message->per_s = arrays->known[i].per_s;
+        message->age_ms = arrays->known[i].age_ms;
+        arrays->list[i] = message;
     }
     report->limits = arrays->list;
 }
 
 void
-GwPeers_TakeLimits(GwPeers *peers, GwPeerEntry *peer,
-                   const Gw__Peer__Report *report)
+GwPeers_ApplyLimits(GwPeers *peers, GwPeerEntry *peer,
+                    const Gw__Peer__Report *report)
 {
     GwRouter *router = peers->edge->router;
     int64_t now_us = GwEdge_Now();
@@ -53,16 +53,16 @@
                          .age_ms = report->limits[i]->age_ms};
         GwRouter_PutLimit(router, now_us, &limit);
     }
-    if (GwRumorPeer_Heard(&peer->rumors[GW_RUMORS_LIMITS], now_us,
+    if (GwRumorPeer_Heard(&peer->gossip[GW_GOSSIP_LIMITS], now_us,
                           report->limits_sum, GwRouter_LimitsSum(router),
                           GwRouter_LimitsChangedUs(router))) {
-        peer->hurry = true;
+        peer->is_urgent = true;
     }
 }
 
 void
-GwPeers_SpreadLimits(GwPeers *peers, int64_t now_us)
+GwPeers_GossipLimits(GwPeers *peers, int64_t now_us)
 {
-    GwPeers_Spread(peers, GW_RUMORS_LIMITS, now_us,
-                   GwRouter_LimitsChangedUs(peers->edge->router));
+    GwPeers_GossipChanges(peers, GW_GOSSIP_LIMITS, now_us,
+                          GwRouter_LimitsChangedUs(peers->edge->router));
 }
--- a/lib/edge/load_sum.c
+++ b/lib/edge/load_sum.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-#define PERIOD_MAX_MS 1000
-#define LINK_SHARE    0.03
+#define PERIOD_MAX_MS  1000
+#define MAX_LINK_SHARE 0.03
 
 typedef struct {
     char *region;
     GHashTable *counts; /* server hash -> requests */
-} Part;
+} RegionSum;
 
 struct GwLoadSum_s {
     uint32_t count;
-    Part parts[GW_SUM_REGIONS_MAX];
+    RegionSum parts[GW_SUM_REGIONS_MAX];
 };
 
 GwLoadSum *
@@ -42,8 +42,8 @@
 
 /* Returns the sum of the region, creating it if needed; NULL when there are
  * too many regions. */
-static Part *
-part_of(GwLoadSum *sum, const char *region)
+static RegionSum *
+find_or_add_region(GwLoadSum *sum, const char *region)
 {
     for (uint32_t i = 0; i < sum->count; i++) {
         if (strcmp(sum->parts[i].region, region) == 0) {
@@ -53,22 +53,23 @@
     if (sum->count == GW_SUM_REGIONS_MAX) {
         return NULL;
     }
-    Part *part = &sum->parts[sum->count++];
-    part->region = g_strdup(region);
-    part->counts = g_hash_table_new(g_direct_hash, g_direct_equal);
-    return part;
+    RegionSum *region_sum = &sum->parts[sum->count++];
+    region_sum->region = g_strdup(region);
+    region_sum->counts = g_hash_table_new(g_direct_hash, g_direct_equal);
+    return region_sum;
 }
 
 void
 GwLoadSum_Add(GwLoadSum *sum, const char *region, const GArray *loads)
 {
-    Part *part = part_of(sum, region);
+    RegionSum *region_sum = find_or_add_region(sum, region);
 
-    for (guint i = 0; part != NULL && i < loads->len; i++) {
+    for (guint i = 0; region_sum != NULL && i < loads->len; i++) {
         const GwPeerLoad *load = &g_array_index(loads, GwPeerLoad, i);
         gpointer key = GUINT_TO_POINTER(load->server);
-        guint old = GPOINTER_TO_UINT(g_hash_table_lookup(part->counts, key));
-        g_hash_table_insert(part->counts, key,
+        guint old =
+            GPOINTER_TO_UINT(g_hash_table_lookup(region_sum->counts, key));
+        g_hash_table_insert(region_sum->counts, key,
                             GUINT_TO_POINTER(old + load->in_flight));
     }
 }
@@ -105,7 +106,7 @@
 uint32_t
 GwLoadSum_PeriodMs(uint32_t bytes, uint32_t link_kbps)
 {
-    double ms = bytes * 8.0 / (MAX(link_kbps, 1) * LINK_SHARE);
+    double ms = bytes * 8.0 / (MAX(link_kbps, 1) * MAX_LINK_SHARE);
 
     return (uint32_t)CLAMP(ms, GW_SUM_PERIOD_MIN_MS, PERIOD_MAX_MS);
 }
--- a/lib/edge/news.c
+++ b/lib/edge/news.c
@@ -3,7 +3,7 @@
 #include "router/router_internal.h"
 
 bool
-GwNews_IsBefore(const GwNewsEntry *a, const GwNewsEntry *b)
+GwEntryRank_IsBefore(const GwEntryRank *a, const GwEntryRank *b)
 {
     if (a->link_kbps != b->link_kbps) {
         return a->link_kbps > b->link_kbps;
@@ -15,22 +15,23 @@
 }
 
 bool
-GwNews_IsLarge(const GwNewsSize *size)
+GwFetchCopy_IsLarge(const GwFetchCopy *copy)
 {
     uint64_t copy_us =
-        size->link_kbps > 0 ? size->bytes * 8000 / size->link_kbps : 0;
+        copy->link_kbps > 0 ? copy->bytes * 8000 / copy->link_kbps : 0;
 
-    return copy_us > GW_NEWS_COPY_US;
+    return copy_us > GW_FETCH_COPY_US;
 }
 
 bool
-GwNews_AsksNow(const GwNewsSight *sight)
+GwFetchView_MayFetch(const GwFetchView *view)
 {
-    int64_t wait_us = sight->starts ? GW_NEWS_START_WAIT_US : GW_NEWS_WAIT_US;
+    int64_t wait_us =
+        view->is_bootstrapping ? GW_FETCH_START_WAIT_US : GW_FETCH_WAIT_US;
 
-    if (sight->own == 0 || sight->domain_size < GW_NEWS_DOMAIN_MIN ||
-        sight->waited_us >= wait_us) {
+    if (view->own_rank == 0 || view->domain_size < GW_FETCH_TREE_MIN ||
+        view->waited_us >= wait_us) {
         return true;
     }
-    return sight->teller == (sight->own - 1) / GW_NEWS_FAN;
+    return view->provider_rank == (view->own_rank - 1) / GW_FETCH_FANOUT;
 }
--- a/lib/edge/peers.c
+++ b/lib/edge/peers.c
@@ -9,14 +9,14 @@
 /* The shortest period of reports. */
 #define TICK_MS GW_SUM_PERIOD_MIN_MS
 /* A peer is dead once three and a half of its periods passed without a
- * report, but not sooner than SILENT_MIN_US, as links lose single
+ * report, but not sooner than DEAD_MIN_US, as links lose single
  * datagrams. A dead peer is left out of the directory, and its requests in
  * flight no longer count. */
-#define SILENT_MIN_US  2000000
-#define SILENT_PERIODS 3.5
+#define DEAD_MIN_US  2000000
+#define DEAD_PERIODS 3.5
 /* A dead peer still gets reports for this long, in case a network partition
  * heals. */
-#define FORGET_US 90000000
+#define REMOVE_US 90000000
 
 void
 GwPeerEntry_DropBacklog(GwPeerEntry *peer)
@@ -65,7 +65,7 @@
     peer->call_address = g_strdup("");
     peer->peer_address = g_strdup(address);
     peer->to = to;
-    peer->added_us = GwEdge_Now();
+    peer->created_us = GwEdge_Now();
     g_hash_table_insert(peers->by_address, peer->peer_address, peer);
     return peer;
 }
@@ -73,10 +73,10 @@
 bool
 GwPeerEntry_IsLive(const GwPeerEntry *peer, int64_t now_us)
 {
-    int64_t limit_us = (int64_t)(SILENT_PERIODS * peer->next_ms * 1000);
+    int64_t limit_us = (int64_t)(DEAD_PERIODS * peer->next_ms * 1000);
 
-    return peer->heard &&
-           now_us - peer->heard_us < MAX(limit_us, SILENT_MIN_US);
+    return peer->has_reported &&
+           now_us - peer->last_report_us < MAX(limit_us, DEAD_MIN_US);
 }
 
 GwWay
@@ -110,7 +110,7 @@
 }
 
 static bool
-is_in(const char *wanted, const char *name)
+matches(const char *wanted, const char *name)
 {
     return wanted == NULL || strcmp(wanted, name) == 0;
 }
@@ -122,8 +122,8 @@
 
     while (g_hash_table_iter_next(&scan->iter, NULL, &value)) {
         GwPeerEntry *peer = value;
-        if (peer->serves && is_in(scan->region, peer->region) &&
-            is_in(scan->domain, peer->domain) &&
+        if (peer->serves && matches(scan->region, peer->region) &&
+            matches(scan->domain, peer->domain) &&
             GwPeerEntry_IsLive(peer, scan->now_us)) {
             return peer;
         }
@@ -132,13 +132,14 @@
 }
 
 static gboolean
-is_forgotten(gpointer key, gpointer value, gpointer now)
+is_expired(gpointer key, gpointer value, gpointer now)
 {
     const GwPeerEntry *peer = value;
-    int64_t since = peer->heard ? peer->heard_us : peer->added_us;
+    int64_t since =
+        peer->has_reported ? peer->last_report_us : peer->created_us;
 
     (void)key;
-    return *(int64_t *)now - since > FORGET_US;
+    return *(int64_t *)now - since > REMOVE_US;
 }
 
 void
@@ -150,14 +151,15 @@
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwPeerEntry *peer = value;
-        if (peer->heard && !GwPeerEntry_IsLive(peer, now_us) && peer->serves) {
+        if (peer->has_reported && !GwPeerEntry_IsLive(peer, now_us) &&
+            peer->serves) {
             peer->serves = false;
             GwRouter_DropPeer(peers->edge->router, now_us, peer->name);
             GwLog_Event(GW_LOG_MEMBER_DEAD, "member=%s silent_ms=%" PRId64,
-                        peer->name, (now_us - peer->heard_us) / 1000);
+                        peer->name, (now_us - peer->last_report_us) / 1000);
         }
     }
-    g_hash_table_foreach_remove(peers->by_address, is_forgotten, &now_us);
+    g_hash_table_foreach_remove(peers->by_address, is_expired, &now_us);
     GwPeers_SetPeriods(peers, now_us);
     GwRouter_SetEntries(peers->edge->router,
                         g_hash_table_size(peers->by_address) + 1);
@@ -167,16 +169,16 @@
 }
 
 static void
-collect(const GwPeers *peers, const char *region, const char *domain,
-        GPtrArray *out)
+collect_addresses(const GwPeers *peers, const char *region, const char *domain,
+                  GPtrArray *out)
 {
     const GwEdge *edge = peers->edge;
     const GwRouterParams *own = &edge->settings->router;
     GwPeerScan scan = GwPeers_Scan(peers, region, domain);
     GwPeerEntry *peer;
 
-    if (GwEdge_IsReady(edge) && is_in(region, own->region) &&
-        is_in(domain, own->domain)) {
+    if (GwEdge_IsReady(edge) && matches(region, own->region) &&
+        matches(domain, own->domain)) {
         g_ptr_array_add(out, (char *)edge->settings->call_address);
     }
     while ((peer = GwPeerScan_Next(&scan)) != NULL) {
@@ -192,17 +194,17 @@
 {
     GPtrArray *out = g_ptr_array_new();
 
-    collect(peers, region, domain, out);
+    collect_addresses(peers, region, domain, out);
     if (out->len < 2) {
         g_ptr_array_set_size(out, 0);
-        collect(peers, region, NULL, out);
+        collect_addresses(peers, region, NULL, out);
     }
     if (out->len < 2) {
         g_ptr_array_set_size(out, 0);
-        collect(peers, NULL, NULL, out);
+        collect_addresses(peers, NULL, NULL, out);
     }
-    if (out->len > GW_KNOWN_MAX) {
-        g_ptr_array_set_size(out, GW_KNOWN_MAX);
+    if (out->len > GW_KNOWN_ADDRESSES_MAX) {
+        g_ptr_array_set_size(out, GW_KNOWN_ADDRESSES_MAX);
     }
     return out;
 }
@@ -222,13 +224,13 @@
             continue;
         }
         view.live++;
-        if (GwPeers_TellsLoads(peers, peer)) {
+        if (GwPeers_CountsLoadsOf(peers, peer)) {
             view.loads_age_ms =
-                MAX(view.loads_age_ms, (now_us - peer->heard_us) / 1000);
+                MAX(view.loads_age_ms, (now_us - peer->last_report_us) / 1000);
         }
     }
-    if (peers->by_sums && !peers->aggregates) {
-        view.loads_age_ms = (now_us - peers->sums_heard_us) / 1000;
+    if (peers->uses_sums && !peers->is_aggregator) {
+        view.loads_age_ms = (now_us - peers->sums_received_us) / 1000;
     }
     return view;
 }
@@ -247,10 +249,10 @@
                    : peer->serves ? "alive"
                                   : "not-serving");
     GwJson_SetU64(item, "heard_ms_ago",
-                  (uint64_t)(now_us - peer->heard_us) / 1000);
+                  (uint64_t)(now_us - peer->last_report_us) / 1000);
     GwJson_SetU64(item, "operator_row", peer->operator_version);
     GwJson_SetU64(item, "server_row", peer->server_version);
-    GwJson_SetBool(item, "reads_store", peer->reads);
+    GwJson_SetBool(item, "reads_store", peer->reads_store);
     return item;
 }
 
@@ -265,7 +267,7 @@
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwPeerEntry *peer = value;
-        if (peer->heard) {
+        if (peer->has_reported) {
             json_object_array_add(all, member_json(peer, now_us));
         }
     }
@@ -280,7 +282,7 @@
 
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        GwPeers_Tell(peers, value, false);
+        GwPeers_SendReport(peers, value, false);
     }
 }
 
@@ -290,10 +292,10 @@
     GwPeers *peers = timer->data;
     int64_t now_us = GwEdge_Now();
 
-    GwPeers_SpreadSuspects(peers, now_us);
-    GwPeers_SpreadLimits(peers, now_us);
-    GwPeers_TellDue(peers, now_us);
-    GwPeers_AskDue(peers);
+    GwPeers_GossipSuspects(peers, now_us);
+    GwPeers_GossipLimits(peers, now_us);
+    GwPeers_SendDueReports(peers, now_us);
+    GwPeers_FetchDueRows(peers);
     if (!GwEdge_IsReady(peers->edge)) {
         GwPeers_ChooseReader(peers, now_us);
     }
@@ -309,14 +311,15 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_peer);
     peers->loads = g_array_new(FALSE, FALSE, sizeof(GwPeerLoad));
     peers->placements = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
-    peers->relayed_domain = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
-    peers->relayed_region = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
-    peers->stretch = 1;
-    peers->stretch_unheard = 1;
+    peers->domain_relays = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
+    peers->region_relays = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
+    peers->period_scale = 1;
+    peers->unseen_period_scale = 1;
     /* A random process ID: a start time could repeat after a clock was set
      * back. */
-    (void)uv_random(NULL, NULL, &peers->start, sizeof(peers->start), 0, NULL);
-    GwPeers_CreateSums(peers, (uint32_t)peers->start);
+    (void)uv_random(NULL, NULL, &peers->process_id, sizeof(peers->process_id),
+                    0, NULL);
+    GwPeers_CreateSums(peers, (uint32_t)peers->process_id);
     peers->step = GW_JOIN_WRITE;
     (void)uv_udp_init(&edge->loop, &peers->udp);
     peers->udp.data = peers;
@@ -351,8 +354,8 @@
     g_hash_table_destroy(peers->by_address);
     g_array_free(peers->loads, TRUE);
     g_array_free(peers->placements, TRUE);
-    g_array_free(peers->relayed_domain, TRUE);
-    g_array_free(peers->relayed_region, TRUE);
+    g_array_free(peers->domain_relays, TRUE);
+    g_array_free(peers->region_relays, TRUE);
     GwPeers_FreeSums(peers);
     g_free(peers->join_after);
     g_free(peers);
--- a/lib/edge/places.c
+++ b/lib/edge/places.c
@@ -8,17 +8,17 @@
 
 /* A placement is sent in two reports, as one may be lost, and never after
  * this age. */
-#define PLACEMENT_LIFE_US 30000000
+#define PLACEMENT_EXPIRE_US 30000000
 /* A relayed placement is sent at once or dropped. */
-#define RELAYED_LIFE_US 3000000
+#define RELAYED_EXPIRE_US 3000000
 /* Placements sent to a new entry of the region: in all, and per report. */
 #define BACKLOG_MAX  2000
 #define BACKLOG_PART 100
 
 bool
-GwPeers_IsNear(const GwPeers *peers, const GwPeerEntry *peer)
+GwPeers_IsInRegion(const GwPeers *peers, const GwPeerEntry *peer)
 {
-    return peer->heard &&
+    return peer->has_reported &&
            strcmp(peer->region, peers->edge->settings->router.region) == 0;
 }
 
@@ -39,7 +39,7 @@
 }
 
 static void
-append_younger(const GArray *from, int64_t since_us, GArray *out)
+append_since(const GArray *from, int64_t since_us, GArray *out)
 {
     for (guint i = 0; i < from->len; i++) {
         const GwPlacement *p = &g_array_index(from, GwPlacement, i);
@@ -50,64 +50,64 @@
 }
 
 uint32_t
-GwPeers_PlacementsFor(GwPeers *peers, GwPeerEntry *peer, GwLoadsTold told,
+GwPeers_PlacementsFor(GwPeers *peers, GwPeerEntry *peer, GwLoadScope scope,
                       uint32_t period_ms, GArray *out)
 {
     int64_t now_us = GwEdge_Now();
-    int64_t age_us = now_us - peer->told_us + (int64_t)period_ms * 1000;
+    int64_t age_us = now_us - peer->sent_us + (int64_t)period_ms * 1000;
     int64_t since_us = now_us - age_us;
 
     g_array_set_size(out, 0);
-    if (!GwPeers_IsNear(peers, peer)) {
+    if (!GwPeers_IsInRegion(peers, peer)) {
         return 0;
     }
     uint32_t warm = take_backlog(peer, out);
-    if (told == GW_LOADS_NONE) {
+    if (scope == GW_LOADS_NONE) {
         return warm;
     }
     GwRouter_OwnPlacements(peers->edge->router, now_us,
-                           MIN(age_us, PLACEMENT_LIFE_US), PLACEMENT_LIFE_US,
-                           out);
-    if (told == GW_LOADS_DOMAIN || told == GW_LOADS_ALL) {
-        append_younger(peers->relayed_domain, since_us, out);
+                           MIN(age_us, PLACEMENT_EXPIRE_US),
+                           PLACEMENT_EXPIRE_US, out);
+    if (scope == GW_LOADS_DOMAIN || scope == GW_LOADS_ALL) {
+        append_since(peers->domain_relays, since_us, out);
     }
-    if (told == GW_LOADS_ALL) {
-        append_younger(peers->relayed_region, since_us, out);
+    if (scope == GW_LOADS_ALL) {
+        append_since(peers->region_relays, since_us, out);
     }
     return warm;
 }
 
 static void
-drop_old(GArray *relayed, int64_t now_us)
+drop_expired(GArray *relays, int64_t now_us)
 {
-    guint old = 0;
+    guint expired = 0;
 
-    while (old < relayed->len &&
-           now_us - g_array_index(relayed, GwPlacement, old).at_us >
-               RELAYED_LIFE_US) {
-        old++;
+    while (expired < relays->len &&
+           now_us - g_array_index(relays, GwPlacement, expired).at_us >
+               RELAYED_EXPIRE_US) {
+        expired++;
     }
-    g_array_remove_range(relayed, 0, old);
+    g_array_remove_range(relays, 0, expired);
 }
 
 void
 GwPeers_RelayPlacement(GwPeers *peers, const GwPeerEntry *from,
                        const GwPlacement *placement)
 {
-    bool same =
+    bool same_domain =
         strcmp(from->domain, peers->edge->settings->router.domain) == 0;
-    GArray *relayed = same ? peers->relayed_domain : peers->relayed_region;
+    GArray *relays = same_domain ? peers->domain_relays : peers->region_relays;
     GwPlacement copy = *placement;
 
-    if (peers->aggregates) {
+    if (peers->is_aggregator) {
         copy.at_us = GwEdge_Now();
-        drop_old(relayed, copy.at_us);
-        g_array_append_val(relayed, copy);
+        drop_expired(relays, copy.at_us);
+        g_array_append_val(relays, copy);
     }
 }
 
 static bool
-is_introducer(const GwPeers *peers, const GwPeerEntry *newcomer)
+sends_bootstrap(const GwPeers *peers, const GwPeerEntry *new_entry)
 {
     const GwRouterParams *own = &peers->edge->settings->router;
     GPtrArray *others = g_ptr_array_new();
@@ -115,24 +115,26 @@
     const GwPeerEntry *peer;
 
     while ((peer = GwPeerScan_Next(&scan)) != NULL) {
-        if (peer != newcomer) {
+        if (peer != new_entry) {
             g_ptr_array_add(others, peer->name);
         }
     }
-    bool is_one = GwIntroduce_TellsPlaces(own->name, newcomer->name, others);
+    bool is_sender =
+        GwBootstrap_SendsPlacements(own->name, new_entry->name, others);
     g_ptr_array_free(others, TRUE);
-    return is_one;
+    return is_sender;
 }
 
 void
 GwPeers_MakeBacklog(GwPeers *peers, GwPeerEntry *peer)
 {
-    if (!GwPeers_IsNear(peers, peer) || peer->backlog_start == peer->start ||
-        !is_introducer(peers, peer)) {
+    if (!GwPeers_IsInRegion(peers, peer) ||
+        peer->backlog_process_id == peer->process_id ||
+        !sends_bootstrap(peers, peer)) {
         return;
     }
     GwPeerEntry_DropBacklog(peer);
-    peer->backlog_start = peer->start;
+    peer->backlog_process_id = peer->process_id;
     peer->backlog = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
     GwRouter_WarmPlacements(peers->edge->router, BACKLOG_MAX, peer->backlog);
 }
--- a/lib/edge/reports.c
+++ b/lib/edge/reports.c
@@ -16,23 +16,23 @@
 
 /* Report periods by distance: same failure domain, same region, other
  * region. */
-#define SAME_DOMAIN_MS 50
-#define SAME_REGION_MS 100
-#define FAR_MS         250
+#define DOMAIN_PERIOD_MS 50
+#define REGION_PERIOD_MS 100
+#define REMOTE_PERIOD_MS 250
 /* Maximum reports that an entry sends per second; 12 entries need 72. With
  * aggregated loads, reports to all others carry liveness only. */
-#define REPORTS_PER_S 80.0
-#define SIGNS_PER_S   40.0
+#define REPORTS_PER_S  80.0
+#define LIVENESS_PER_S 40.0
 /* Periods of an aggregator's reports to those of other failure domains in
  * the region and in other regions, where bytes are paid for. */
 #define SUM_REGION_MS GW_SUM_PERIOD_MIN_MS
-#define SUM_FAR_MS    500
+#define SUM_REMOTE_MS 500
 /* Periods are recomputed after this many new live peers. */
-#define UPS_MAX 8
+#define NEW_LIVE_MAX 8
 /* An entry without live peers requests addresses from this many per
  * interval. */
-#define ASK_KNOWN_MAX 3
-#define ASK_KNOWN_US  1000000
+#define ADDRESS_REQUESTS_MAX 3
+#define ADDRESS_REQUESTS_US  1000000
 /* One report out of this many carries name and addresses. */
 #define IDENTITY_EVERY 8
 #define PLACEMENTS_MAX 400
@@ -45,11 +45,11 @@
 {
     switch (GwPeerEntry_Way(peers, peer)) {
     case GW_WAY_DOMAIN:
-        return SAME_DOMAIN_MS;
+        return DOMAIN_PERIOD_MS;
     case GW_WAY_REGION:
-        return SAME_REGION_MS;
+        return REGION_PERIOD_MS;
     default:
-        return FAR_MS;
+        return REMOTE_PERIOD_MS;
     }
 }
 
@@ -58,20 +58,21 @@
 static uint32_t
 period_ms(const GwPeers *peers, const GwPeerEntry *peer)
 {
-    double stretch = peer->heard ? peers->stretch : peers->stretch_unheard;
-    uint32_t stretched = (uint32_t)(base_period_ms(peers, peer) * stretch);
+    double scale =
+        peer->has_reported ? peers->period_scale : peers->unseen_period_scale;
+    uint32_t scaled_ms = (uint32_t)(base_period_ms(peers, peer) * scale);
 
-    switch (GwPeers_LoadsFor(peers, peer)) {
+    switch (GwPeers_LoadScopeFor(peers, peer)) {
     case GW_LOADS_OWN:
-        return peers->by_sums ? GW_SUM_PERIOD_MIN_MS : stretched;
+        return peers->uses_sums ? GW_SUM_PERIOD_MIN_MS : scaled_ms;
     case GW_LOADS_ALL:
-        return GwLoadSum_PeriodMs(peer->told_bytes, peer->link_kbps);
+        return GwLoadSum_PeriodMs(peer->sent_bytes, peer->link_kbps);
     case GW_LOADS_DOMAIN:
-        return GwPeers_IsNear(peers, peer) ? SUM_REGION_MS : SUM_FAR_MS;
+        return GwPeers_IsInRegion(peers, peer) ? SUM_REGION_MS : SUM_REMOTE_MS;
     case GW_LOADS_NONE:
         break;
     }
-    return stretched;
+    return scaled_ms;
 }
 
 void
@@ -80,11 +81,11 @@
     GHashTableIter iter;
     gpointer value;
     double per_s = 0;
-    double unheard_per_s = 0;
-    double most_per_s = peers->by_sums ? SIGNS_PER_S : REPORTS_PER_S;
+    double unseen_per_s = 0;
+    double max_per_s = peers->uses_sums ? LIVENESS_PER_S : REPORTS_PER_S;
 
     peers->live = 0;
-    peers->ups = 0;
+    peers->new_live = 0;
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwPeerEntry *peer = value;
@@ -92,24 +93,25 @@
             peers->live++;
             per_s += 1000.0 / base_period_ms(peers, peer);
         }
-        else if (!peer->heard) {
-            unheard_per_s += 1000.0 / base_period_ms(peers, peer);
+        else if (!peer->has_reported) {
+            unseen_per_s += 1000.0 / base_period_ms(peers, peer);
         }
     }
-    peers->stretch = MAX(1.0, per_s / most_per_s);
-    peers->stretch_unheard = MAX(1.0, (per_s + unheard_per_s) / SIGNS_PER_S);
+    peers->period_scale = MAX(1.0, per_s / max_per_s);
+    peers->unseen_period_scale =
+        MAX(1.0, (per_s + unseen_per_s) / LIVENESS_PER_S);
 }
 
 void
-GwPeers_NoteUp(GwPeers *peers)
+GwPeers_NoteLive(GwPeers *peers)
 {
-    if (++peers->ups >= UPS_MAX) {
+    if (++peers->new_live >= NEW_LIVE_MAX) {
         GwPeers_SetPeriods(peers, GwEdge_Now());
     }
 }
 
 void
-GwPeers_SpreadUntold(GwPeers *peers)
+GwPeers_StaggerFirstReports(GwPeers *peers)
 {
     int64_t now_us = GwEdge_Now();
     GHashTableIter iter;
@@ -118,9 +120,9 @@
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwPeerEntry *peer = value;
-        if (peer->told_us == 0) {
+        if (peer->sent_us == 0) {
             int64_t period_us = (int64_t)period_ms(peers, peer) * 1000;
-            peer->told_us =
+            peer->sent_us =
                 now_us - g_str_hash(peer->peer_address) % period_us;
         }
     }
@@ -137,7 +139,7 @@
     LoadArrays loads;
     uint64_t placed_objects[PLACEMENTS_MAX];
     uint32_t placed_servers[PLACEMENTS_MAX];
-    char *known[GW_KNOWN_MAX];
+    char *known[GW_KNOWN_ADDRESSES_MAX];
     GwSuspectArrays suspects;
     GwLimitArrays limits;
 } Arrays;
@@ -176,20 +178,21 @@
 fill_loads(GwPeers *peers, const GwPeerEntry *peer, Report *report,
            Arrays *arrays)
 {
-    switch ((GwLoadsTold)report->loads_of) {
+    switch ((GwLoadScope)report->loads_of) {
     case GW_LOADS_NONE:
         break;
     case GW_LOADS_OWN:
         fill_own_loads(peers, report, &arrays->loads);
         break;
     case GW_LOADS_DOMAIN:
-        report->sum = GwSumSource_Tell(GwPeers_DomainSource(peers), &peer->ack,
-                                       NULL, NULL, peers->message);
+        report->sum =
+            GwSumSource_WriteChange(GwPeers_DomainSource(peers), &peer->ack,
+                                    NULL, NULL, peers->message);
         break;
     case GW_LOADS_ALL:
         report->sum =
-            GwSumSource_Tell(GwPeers_AllSource(peers), &peer->ack,
-                             peer->region, peer->loads, peers->message);
+            GwSumSource_WriteChange(GwPeers_AllSource(peers), &peer->ack,
+                                    peer->region, peer->loads, peers->message);
         break;
     }
 }
@@ -212,7 +215,7 @@
                 Arrays *arrays)
 {
     report->placed_warm =
-        GwPeers_PlacementsFor(peers, peer, (GwLoadsTold)report->loads_of,
+        GwPeers_PlacementsFor(peers, peer, (GwLoadScope)report->loads_of,
                               report->next_ms, peers->placements);
     guint count = MIN(peers->placements->len, PLACEMENTS_MAX);
     for (guint i = 0; i < count; i++) {
@@ -228,14 +231,14 @@
 }
 
 static void
-fill_known(GwPeers *peers, Report *report, Arrays *arrays)
+fill_known_addresses(GwPeers *peers, Report *report, Arrays *arrays)
 {
     GHashTableIter iter;
     gpointer value;
 
     report->known = arrays->known;
     g_hash_table_iter_init(&iter, peers->by_address);
-    while (report->n_known < GW_KNOWN_MAX &&
+    while (report->n_known < GW_KNOWN_ADDRESSES_MAX &&
            g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwPeerEntry *peer = value;
         if (GwPeerEntry_IsLive(peer, GwEdge_Now())) {
@@ -258,13 +261,13 @@
 }
 
 static void
-note_cost(const GwPeers *peers, const GwPeerEntry *peer, const Report *report,
-          size_t len)
+count_cost(const GwPeers *peers, const GwPeerEntry *peer, const Report *report,
+           size_t len)
 {
     GwControlCost *cost = &peers->edge->cost;
     GwWay way = GwPeerEntry_Way(peers, peer);
     size_t loads = loads_size(report);
-    size_t places =
+    size_t placements =
         report->n_placed_objects * (sizeof(uint64_t) + sizeof(uint32_t));
 
     size_t suspects = 0;
@@ -275,33 +278,33 @@
     GwControlKind kind =
         report->loads_of == GW_LOADS_ALL ? GW_CONTROL_SUMS : GW_CONTROL_LOADS;
     cost->bytes[kind][way] += loads;
-    cost->bytes[GW_CONTROL_PLACES][way] += places;
+    cost->bytes[GW_CONTROL_PLACES][way] += placements;
     cost->bytes[GW_CONTROL_SUSPECTS][way] += suspects;
-    cost->bytes[GW_CONTROL_SIGNS][way] += len - loads - places - suspects;
+    cost->bytes[GW_CONTROL_SIGNS][way] += len - loads - placements - suspects;
 }
 
 /* Whether to request addresses. Few peers are asked at a time, as each
  * answers with all addresses that it knows. */
 static bool
-asks_known(GwPeers *peers)
+needs_addresses(GwPeers *peers)
 {
     int64_t now_us = GwEdge_Now();
 
     if (peers->live >= 2) {
         return false;
     }
-    if (now_us - peers->asked_known_us > ASK_KNOWN_US) {
-        peers->asked_known_us = now_us;
-        peers->asked_known = 0;
+    if (now_us - peers->address_requests_us > ADDRESS_REQUESTS_US) {
+        peers->address_requests_us = now_us;
+        peers->address_requests = 0;
     }
-    return peers->asked_known++ < ASK_KNOWN_MAX;
+    return peers->address_requests++ < ADDRESS_REQUESTS_MAX;
 }
 
 /* Shrinks a report that does not fit into a datagram: drops the placements,
  * which are sent twice, then the loads and their sum. A receiver that gets
  * no sum for long requests it again, in parts. Returns the packed size. */
 static size_t
-fit(Report *report)
+shrink_to_fit(Report *report)
 {
     size_t len = gw__peer__report__get_packed_size(report);
 
@@ -320,31 +323,31 @@
 }
 
 void
-GwPeers_Tell(GwPeers *peers, GwPeerEntry *peer, bool with_known)
+GwPeers_SendReport(GwPeers *peers, GwPeerEntry *peer, bool with_known)
 {
     GwEdge *edge = peers->edge;
     Report report = GW__PEER__REPORT__INIT;
     Arrays arrays;
     uint8_t bytes[GW_REPORT_MAX_BYTES];
 
-    report.start = peers->start;
+    report.start = peers->process_id;
     report.seq = ++peers->seq;
     report.serves = GwEdge_IsReady(edge);
     report.reads = GwFeed_IsHealthy(edge->operator_feed) &&
                    GwFeed_IsHealthy(edge->server_feed);
     report.store_was_away = GwFeed_WasAway(edge->server_feed, GwEdge_Now());
     report.next_ms = period_ms(peers, peer);
-    report.loads_of = GwPeers_LoadsFor(peers, peer);
+    report.loads_of = GwPeers_LoadScopeFor(peers, peer);
     report.operator_version = GwFeed_Version(edge->operator_feed);
     report.server_version = GwFeed_Version(edge->server_feed);
     report.news_bytes = (uint32_t)MIN(
         GwFeed_BytesAfter(edge->operator_feed, peer->operator_version),
         UINT32_MAX);
     report.is_new = peers->live < 2;
-    report.asks_known = asks_known(peers);
+    report.asks_known = needs_addresses(peers);
     report.knows = g_hash_table_size(peers->by_address);
-    if (!peer->heard || with_known || report.is_new ||
-        peer->told++ % IDENTITY_EVERY == 0) {
+    if (!peer->has_reported || with_known || report.is_new ||
+        peer->sent_count++ % IDENTITY_EVERY == 0) {
         fill_identity(peers, &report);
     }
     fill_loads(peers, peer, &report, &arrays);
@@ -353,24 +356,24 @@
     GwPeers_FillSuspects(peers, peer, &report, &arrays.suspects);
     GwPeers_FillLimits(peers, peer, &report, &arrays.limits);
     if (with_known) {
-        fill_known(peers, &report, &arrays);
+        fill_known_addresses(peers, &report, &arrays);
     }
-    size_t len = fit(&report);
+    size_t len = shrink_to_fit(&report);
     if (len <= sizeof(bytes)) {
         (void)gw__peer__report__pack(&report, bytes);
         uv_buf_t buf = uv_buf_init((char *)bytes, (unsigned int)len);
         edge->counts.reports++;
-        note_cost(peers, peer, &report, len);
-        peer->told_bytes = (uint32_t)len;
+        count_cost(peers, peer, &report, len);
+        peer->sent_bytes = (uint32_t)len;
         (void)uv_udp_try_send(&peers->udp, &buf, 1,
                               (const struct sockaddr *)&peer->to);
     }
-    peer->told_us = GwEdge_Now();
-    peer->hurry = false;
+    peer->sent_us = GwEdge_Now();
+    peer->is_urgent = false;
 }
 
 void
-GwPeers_TellDue(GwPeers *peers, int64_t now_us)
+GwPeers_SendDueReports(GwPeers *peers, int64_t now_us)
 {
     GHashTableIter iter;
     gpointer value;
@@ -379,9 +382,9 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwPeerEntry *peer = value;
         int64_t due_us =
-            peer->told_us + (int64_t)period_ms(peers, peer) * 1000;
-        if (now_us >= due_us - 5000 || peer->hurry) {
-            GwPeers_Tell(peers, peer, false);
+            peer->sent_us + (int64_t)period_ms(peers, peer) * 1000;
+        if (now_us >= due_us - 5000 || peer->is_urgent) {
+            GwPeers_SendReport(peers, peer, false);
         }
     }
 }
@@ -396,7 +399,7 @@
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwPeerEntry *peer = value;
-        peer->hurry = peer->hurry || strcmp(peer->domain, own) == 0;
+        peer->is_urgent = peer->is_urgent || strcmp(peer->domain, own) == 0;
     }
 }
 
@@ -409,8 +412,8 @@
     g_hash_table_iter_init(&iter, peers->by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwPeerEntry *peer = value;
-        if (GwPeers_IsNear(peers, peer)) {
-            peer->hurry = true;
+        if (GwPeers_IsInRegion(peers, peer)) {
+            peer->is_urgent = true;
         }
     }
 }
--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -14,7 +14,7 @@
 typedef Gw__Peer__Report Report;
 
 static void
-replace_text(char **at, const char *text)
+set_text(char **at, const char *text)
 {
     if (strcmp(*at, text) != 0) {
         g_free(*at);
@@ -27,13 +27,13 @@
 static bool
 is_newer(const GwPeerEntry *peer, const Report *report)
 {
-    if (!peer->heard) {
+    if (!peer->has_reported) {
         return true;
     }
-    if (report->start == peer->start) {
+    if (report->start == peer->process_id) {
         return report->seq > peer->seq;
     }
-    return report->start != peer->last_start;
+    return report->start != peer->last_process_id;
 }
 
 static bool
@@ -43,12 +43,12 @@
 }
 
 static void
-take_identity(GwPeerEntry *peer, const Report *report)
+apply_identity(GwPeerEntry *peer, const Report *report)
 {
-    replace_text(&peer->name, report->name);
-    replace_text(&peer->region, report->region);
-    replace_text(&peer->domain, report->domain);
-    replace_text(&peer->call_address, report->call_address);
+    set_text(&peer->name, report->name);
+    set_text(&peer->region, report->region);
+    set_text(&peer->domain, report->domain);
+    set_text(&peer->call_address, report->call_address);
     peer->link_kbps = report->link_kbps;
     peer->cpu_milli = report->cpu_milli;
 }
@@ -66,7 +66,7 @@
 }
 
 static void
-note_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
+store_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
 {
     GwPeerLoad loads[LOADS_MAX];
 
@@ -79,17 +79,17 @@
         break;
     case GW_LOADS_DOMAIN:
         if (report->sum != NULL) {
-            GwPeers_TakeDomainSum(peers, peer, report->sum);
+            GwPeers_ApplyDomainSum(peers, peer, report->sum);
         }
         break;
     case GW_LOADS_ALL:
-        peer->loads_us = 0;
+        peer->loads_received_us = 0;
         if (report->sum != NULL) {
-            GwPeers_TakeAllSum(peers, peer, report->sum);
+            GwPeers_ApplyAllSum(peers, peer, report->sum);
         }
         break;
     default:
-        peer->loads_us = 0;
+        peer->loads_received_us = 0;
         break;
     }
 }
@@ -97,7 +97,7 @@
 /* With aggregated loads, only an aggregator counts directly received loads:
  * elsewhere the same requests would count twice, once more within the sum. */
 static void
-take_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
+apply_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
 {
     GwPeerInfo info = {
         .name = peer->name,
@@ -105,8 +105,9 @@
         .serves = report->serves,
     };
 
-    note_loads(peers, peer, report);
-    if (peer->loads_us != 0 && (!peers->by_sums || peers->aggregates)) {
+    store_loads(peers, peer, report);
+    if (peer->loads_received_us != 0 &&
+        (!peers->uses_sums || peers->is_aggregator)) {
         info.loads = (const GwPeerLoad *)peer->loads->data;
         info.load_count = peer->loads->len;
     }
@@ -114,7 +115,7 @@
 }
 
 static void
-take_placements(GwPeers *peers, const GwPeerEntry *peer, const Report *report)
+apply_placements(GwPeers *peers, const GwPeerEntry *peer, const Report *report)
 {
     size_t placed = MIN(report->n_placed_objects, report->n_placed_servers);
 
@@ -130,23 +131,23 @@
 }
 
 static void
-note(GwPeerEntry *peer, const Report *report)
+store_state(GwPeerEntry *peer, const Report *report)
 {
-    if (report->start != peer->start) {
-        peer->last_start = peer->start;
-        peer->start = report->start;
-        memset(peer->rumors, 0, sizeof(peer->rumors));
+    if (report->start != peer->process_id) {
+        peer->last_process_id = peer->process_id;
+        peer->process_id = report->start;
+        memset(peer->gossip, 0, sizeof(peer->gossip));
     }
     peer->seq = report->seq;
     peer->serves = report->serves;
-    peer->reads = report->reads;
-    peer->saw_away = report->store_was_away;
+    peer->reads_store = report->reads;
+    peer->saw_outage = report->store_was_away;
     peer->next_ms = report->next_ms;
-    peer->heard = true;
-    peer->heard_us = GwEdge_Now();
+    peer->has_reported = true;
+    peer->last_report_us = GwEdge_Now();
     peer->operator_version = report->operator_version;
     peer->server_version = report->server_version;
-    peer->news_bytes = report->news_bytes;
+    peer->missing_bytes = report->news_bytes;
     peer->ack = (GwSumAck){.epoch = report->sum_epoch,
                            .seq = report->sum_seq,
                            .cells = report->sum_cells};
@@ -162,33 +163,34 @@
     if (was_live && !report->is_new) {
         return false;
     }
-    return GwPeers_IsNear(peers, peer) || !peers->by_sums || peers->aggregates;
+    return GwPeers_IsInRegion(peers, peer) || !peers->uses_sums ||
+           peers->is_aggregator;
 }
 
 static void
-take(GwPeers *peers, const char *from, const Report *report)
+handle_report(GwPeers *peers, const char *from, const Report *report)
 {
     GwEdge *edge = peers->edge;
     GwPeerEntry *peer = GwPeers_Add(peers, from);
 
     if (peer == NULL || !is_newer(peer, report) ||
-        (peer->start != report->start && !has_identity(report))) {
+        (peer->process_id != report->start && !has_identity(report))) {
         return;
     }
     bool was_live = GwPeerEntry_IsLive(peer, GwEdge_Now());
     if (has_identity(report)) {
-        take_identity(peer, report);
+        apply_identity(peer, report);
     }
     if (!was_live) {
-        GwPeers_NoteUp(peers);
+        GwPeers_NoteLive(peers);
         GwLog_Event(GW_LOG_MEMBER_UP, "member=%s domain=%s", peer->name,
                     peer->domain);
     }
-    note(peer, report);
-    take_loads(peers, peer, report);
-    take_placements(peers, peer, report);
+    store_state(peer, report);
+    apply_loads(peers, peer, report);
+    apply_placements(peers, peer, report);
     GwPeers_TakeSuspects(peers, peer, report);
-    GwPeers_TakeLimits(peers, peer, report);
+    GwPeers_ApplyLimits(peers, peer, report);
     for (size_t i = 0; i < report->n_known; i++) {
         (void)GwPeers_Add(peers, report->known[i]);
     }
@@ -197,17 +199,17 @@
         GwPeers_MakeBacklog(peers, peer);
     }
     if (report->asks_known || answers_at_once(peers, peer, was_live, report)) {
-        GwPeers_Tell(
+        GwPeers_SendReport(
             peers, peer,
             report->asks_known &&
-                GwIntroduce_TellsAddresses(
+                GwBootstrap_SendsAddresses(
                     g_hash_table_size(peers->by_address), report->knows));
     }
-    if (peers->informed_us == 0 && report->server_version > 0 &&
+    if (peers->tables_seen_us == 0 && report->server_version > 0 &&
         report->operator_version > 0) {
-        peers->informed_us = GwEdge_Now();
+        peers->tables_seen_us = GwEdge_Now();
     }
-    GwPeers_AskForRows(peers, peer);
+    GwPeers_FetchRowsFrom(peers, peer);
 }
 
 static void
@@ -232,13 +234,13 @@
     if (len <= 0 || from == NULL || from->sa_family != AF_INET) {
         return;
     }
-    const struct sockaddr_in *in = (const struct sockaddr_in *)from;
-    (void)uv_ip4_name(in, ip, sizeof(ip));
-    g_snprintf(address, sizeof(address), "%s:%u", ip, ntohs(in->sin_port));
+    const struct sockaddr_in *sender = (const struct sockaddr_in *)from;
+    (void)uv_ip4_name(sender, ip, sizeof(ip));
+    g_snprintf(address, sizeof(address), "%s:%u", ip, ntohs(sender->sin_port));
     Report *report = gw__peer__report__unpack(NULL, (size_t)len,
                                               (const uint8_t *)buf->base);
     if (report != NULL) {
-        take(peers, address, report);
+        handle_report(peers, address, report);
         gw__peer__report__free_unpacked(report, NULL);
         GwEdge_Carry(peers->edge);
     }
--- a/lib/edge/rumor.h
+++ b/lib/edge/rumor.h
@@ -8,8 +8,8 @@
  * entries differ for long, one of them missed a change and is sent
  * everything, in pages. With no state to exchange, gossip adds no bytes to
  * reports. */
-#ifndef GW_EDGE_RUMOR_H
-#define GW_EDGE_RUMOR_H
+#ifndef GW_EDGE_GOSSIP_H
+#define GW_EDGE_GOSSIP_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -19,12 +19,12 @@
 
 /* State of the exchange with a peer. All zero: nothing was sent. */
 typedef struct {
-    uint64_t sum;     /* last checksum received from the peer */
-    int64_t told_us;  /* when changes were last sent to the peer; 0: never */
-    bool news;        /* the next report carries changes */
-    bool page;        /* the next report carries a page of everything */
-    int64_t page_us;  /* no page before this time */
-    uint32_t wait_ms; /* interval between pages */
+    uint64_t checksum; /* last checksum received from the peer */
+    int64_t sent_us;   /* when changes were last sent to the peer; 0: never */
+    bool news;         /* the next report carries changes */
+    bool sends_page;   /* the next report carries a page of everything */
+    int64_t next_page_us;  /* no page before this time */
+    uint32_t page_wait_ms; /* interval between pages */
 } GwRumorPeer;
 
 typedef enum {
@@ -36,10 +36,10 @@
 /* Decides what the next report to the peer carries, and marks that as sent. */
 GwRumorTells GwRumorPeer_Next(GwRumorPeer *peer, int64_t now_us,
                               int64_t *since_us);
-/* The peer's report carried the checksum `sum`; this entry's state has the
- * checksum `own_sum` and last changed at `changed_us`. Returns whether the
+/* The peer's report carried `checksum`; this entry's state has the
+ * checksum `own_checksum` and last changed at `changed_us`. Returns whether the
  * peer lacks state and needs a report at once. */
-bool GwRumorPeer_Heard(GwRumorPeer *peer, int64_t now_us, uint64_t sum,
-                       uint64_t own_sum, int64_t changed_us);
+bool GwRumorPeer_Heard(GwRumorPeer *peer, int64_t now_us, uint64_t checksum,
+                       uint64_t own_checksum, int64_t changed_us);
 
 #endif
--- a/lib/edge/spread.c
+++ b/lib/edge/spread.c
@@ -4,7 +4,7 @@
 /* Chooses live peers uniformly at random (reservoir sampling); the list
  * ends with NULL. */
 static void
-choose_some(GwPeers *peers, GwPeerEntry *chosen[GW_RUMOR_FAN + 1])
+choose_random(GwPeers *peers, GwPeerEntry *chosen[GW_RUMOR_FAN + 1])
 {
     GwPeerScan scan = GwPeers_Scan(peers, NULL, NULL);
     GwPeerEntry *peer;
@@ -23,18 +23,18 @@
 }
 
 void
-GwPeers_Spread(GwPeers *peers, GwRumorKind kind, int64_t now_us,
-               int64_t changed_us)
+GwPeers_GossipChanges(GwPeers *peers, GwGossipKind kind, int64_t now_us,
+                      int64_t changed_us)
 {
     GwPeerEntry *chosen[GW_RUMOR_FAN + 1];
 
-    if (changed_us <= peers->spread_us[kind]) {
+    if (changed_us <= peers->gossiped_us[kind]) {
         return;
     }
-    peers->spread_us[kind] = now_us;
-    choose_some(peers, chosen);
+    peers->gossiped_us[kind] = now_us;
+    choose_random(peers, chosen);
     for (int i = 0; chosen[i] != NULL; i++) {
-        chosen[i]->rumors[kind].news = true;
-        chosen[i]->hurry = true;
+        chosen[i]->gossip[kind].news = true;
+        chosen[i]->is_urgent = true;
     }
 }
--- a/lib/edge/sum_change.c
+++ b/lib/edge/sum_change.c
@@ -24,7 +24,7 @@
 
 /* Returns the index of a region in a list of names, appending it if absent. */
 static uint32_t
-place_of(GPtrArray *regions, const char *region)
+region_index(GPtrArray *regions, const char *region)
 {
     for (guint i = 0; i < regions->len; i++) {
         if (strcmp(regions->pdata[i], region) == 0) {
@@ -77,7 +77,7 @@
 }
 
 static void
-number_anew(GwSumSource *source)
+renumber(GwSumSource *source)
 {
     g_hash_table_remove_all(source->by_key);
     g_ptr_array_set_size(source->cells, 0);
@@ -86,13 +86,13 @@
 }
 
 static Cell *
-cell_of(GwSumSource *source, uint32_t region, uint32_t server)
+find_or_add_cell(GwSumSource *source, uint32_t region, uint32_t server)
 {
     uint64_t key = cell_key(region, server);
-    gpointer place;
+    gpointer number;
 
-    if (g_hash_table_lookup_extended(source->by_key, &key, NULL, &place)) {
-        return source->cells->pdata[GPOINTER_TO_UINT(place)];
+    if (g_hash_table_lookup_extended(source->by_key, &key, NULL, &number)) {
+        return source->cells->pdata[GPOINTER_TO_UINT(number)];
     }
     Cell *cell = g_new0(Cell, 1);
     cell->key = key;
@@ -115,18 +115,19 @@
 }
 
 static bool
-take_sum(GwSumSource *source, const GwLoadSum *sum, uint32_t seq)
+apply_sum(GwSumSource *source, const GwLoadSum *sum, uint32_t seq)
 {
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(GwPeerLoad));
     bool changed = false;
 
     for (uint32_t i = 0; i < GwLoadSum_RegionCount(sum); i++) {
-        uint32_t region = place_of(source->regions, GwLoadSum_Region(sum, i));
+        uint32_t region =
+            region_index(source->regions, GwLoadSum_Region(sum, i));
         g_array_set_size(loads, 0);
         GwLoadSum_Loads(sum, i, loads);
         for (guint k = 0; k < loads->len; k++) {
             const GwPeerLoad *load = &g_array_index(loads, GwPeerLoad, k);
-            Cell *cell = cell_of(source, region, load->server);
+            Cell *cell = find_or_add_cell(source, region, load->server);
             cell->updated = source->updates;
             changed |= set_count(cell, load->in_flight, seq);
         }
@@ -139,11 +140,11 @@
 GwSumSource_Update(GwSumSource *source, const GwLoadSum *sum)
 {
     if (source->cells->len > GW_SUM_CELLS_MAX) {
-        number_anew(source);
+        renumber(source);
     }
     uint32_t seq = source->seq + 1;
     source->updates++;
-    bool changed = take_sum(source, sum, seq);
+    bool changed = apply_sum(source, sum, seq);
     for (guint i = 0; i < source->cells->len; i++) {
         Cell *cell = source->cells->pdata[i];
         if (cell->updated != source->updates) {
@@ -201,7 +202,7 @@
 
 /* Points a field of the message at an array. */
 static void
-point(GArray *array, uint32_t **values, size_t *count)
+set_field(GArray *array, uint32_t **values, size_t *count)
 {
     *values = (uint32_t *)(void *)array->data;
     *count = array->len;
@@ -210,7 +211,7 @@
 /* Writes the names of cells that the receiver does not know, up to
  * GW_SUM_NAMED_MAX; returns how many cells it knows after that. */
 static uint32_t
-tell_names(const GwSumSource *source, uint32_t known, GwSumMessage *message)
+write_names(const GwSumSource *source, uint32_t known, GwSumMessage *message)
 {
     uint32_t end = MIN(source->cells->len, known + GW_SUM_NAMED_MAX);
 
@@ -227,8 +228,8 @@
 }
 
 static void
-tell_counts(const GwSumSource *source, uint32_t base, uint32_t known,
-            uint32_t end, GwSumMessage *message)
+write_counts(const GwSumSource *source, uint32_t base, uint32_t known,
+             uint32_t end, GwSumMessage *message)
 {
     uint32_t next = 0;
 
@@ -243,61 +244,62 @@
 }
 
 typedef struct {
-    uint32_t place;
+    uint32_t number;
     uint32_t count;
-} Own;
+} OwnCount;
 
 static gint
-compare_places(gconstpointer a, gconstpointer b)
+compare_numbers(gconstpointer a, gconstpointer b)
 {
-    uint32_t pa = ((const Own *)a)->place;
-    uint32_t pb = ((const Own *)b)->place;
+    uint32_t pa = ((const OwnCount *)a)->number;
+    uint32_t pb = ((const OwnCount *)b)->number;
 
     return (pa > pb) - (pa < pb);
 }
 
 static GArray *
-places_of(const GwSumSource *source, const char *region, const GArray *mine,
-          uint32_t end)
+find_own(const GwSumSource *source, const char *region, const GArray *mine,
+         uint32_t end)
 {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(Own));
-    uint32_t at = place_of(source->regions, region);
+    GArray *out = g_array_new(FALSE, FALSE, sizeof(OwnCount));
+    uint32_t at = region_index(source->regions, region);
 
     for (guint i = 0; i < mine->len; i++) {
         const GwPeerLoad *load = &g_array_index(mine, GwPeerLoad, i);
         uint64_t key = cell_key(at, load->server);
-        gpointer place;
-        if (g_hash_table_lookup_extended(source->by_key, &key, NULL, &place) &&
-            GPOINTER_TO_UINT(place) < end) {
-            Own own = {GPOINTER_TO_UINT(place), load->in_flight};
+        gpointer number;
+        if (g_hash_table_lookup_extended(source->by_key, &key, NULL,
+                                         &number) &&
+            GPOINTER_TO_UINT(number) < end) {
+            OwnCount own = {GPOINTER_TO_UINT(number), load->in_flight};
             g_array_append_val(out, own);
         }
     }
-    g_array_sort(out, compare_places);
+    g_array_sort(out, compare_numbers);
     return out;
 }
 
 static void
-tell_own(const GwSumSource *source, const char *region, const GArray *mine,
-         uint32_t end, GwSumMessage *message)
+write_own(const GwSumSource *source, const char *region, const GArray *mine,
+          uint32_t end, GwSumMessage *message)
 {
-    GArray *places = places_of(source, region, mine, end);
+    GArray *numbers = find_own(source, region, mine, end);
     uint32_t next = 0;
 
-    for (guint i = 0; i < places->len; i++) {
-        const Own *own = &g_array_index(places, Own, i);
-        if (own->place < next) {
+    for (guint i = 0; i < numbers->len; i++) {
+        const OwnCount *own = &g_array_index(numbers, OwnCount, i);
+        if (own->number < next) {
             continue; /* duplicate */
         }
-        append(message->own_gaps, own->place - next);
+        append(message->own_gaps, own->number - next);
         append(message->own_counts, own->count);
-        next = own->place + 1;
+        next = own->number + 1;
     }
-    g_array_free(places, TRUE);
+    g_array_free(numbers, TRUE);
 }
 
 static void
-clear(GwSumMessage *message)
+clear_message(GwSumMessage *message)
 {
     gw__peer__sum_change__init(&message->change);
     g_array_set_size(message->servers, 0);
@@ -309,8 +311,9 @@
 }
 
 Gw__Peer__SumChange *
-GwSumSource_Tell(const GwSumSource *source, const GwSumAck *ack,
-                 const char *region, const GArray *mine, GwSumMessage *message)
+GwSumSource_WriteChange(const GwSumSource *source, const GwSumAck *ack,
+                        const char *region, const GArray *mine,
+                        GwSumMessage *message)
 {
     Gw__Peer__SumChange *change = &message->change;
     bool known = ack->epoch == source->epoch && ack->seq <= source->seq &&
@@ -318,23 +321,23 @@
     uint32_t base = known ? ack->seq : 0;
     uint32_t cells = known ? ack->cells : 0;
 
-    clear(message);
+    clear_message(message);
     change->epoch = source->epoch;
     change->since = base;
     change->seq = source->seq;
     change->first_named = cells;
-    uint32_t end = tell_names(source, cells, message);
-    tell_counts(source, base, cells, end, message);
+    uint32_t end = write_names(source, cells, message);
+    write_counts(source, base, cells, end, message);
     if (mine != NULL) {
-        tell_own(source, region, mine, end, message);
-    }
-    point(message->servers, &change->servers, &change->n_servers);
-    point(message->server_regions, &change->server_regions,
-          &change->n_server_regions);
-    point(message->gaps, &change->gaps, &change->n_gaps);
-    point(message->counts, &change->counts, &change->n_counts);
-    point(message->own_gaps, &change->own_gaps, &change->n_own_gaps);
-    point(message->own_counts, &change->own_counts, &change->n_own_counts);
+        write_own(source, region, mine, end, message);
+    }
+    set_field(message->servers, &change->servers, &change->n_servers);
+    set_field(message->server_regions, &change->server_regions,
+              &change->n_server_regions);
+    set_field(message->gaps, &change->gaps, &change->n_gaps);
+    set_field(message->counts, &change->counts, &change->n_counts);
+    set_field(message->own_gaps, &change->own_gaps, &change->n_own_gaps);
+    set_field(message->own_counts, &change->own_counts, &change->n_own_counts);
     return change;
 }
 
@@ -346,24 +349,24 @@
     uint32_t total;
     uint32_t own; /* the receiver's own part of the total */
     uint32_t set; /* value last passed to the callback */
-} Copied;
+} CopyCell;
 
 struct GwSumCopy_s {
     GwSumAck ack;
     GPtrArray *regions; /* names */
     GArray *cells;      /* Copied */
     GArray *own;        /* numbers of cells whose `own` is not zero */
-    GwSumSet set;
+    GwSumCallback set;
     void *ctx;
 };
 
 GwSumCopy *
-GwSumCopy_Create(GwSumSet set, void *ctx)
+GwSumCopy_Create(GwSumCallback set, void *ctx)
 {
     GwSumCopy *copy = g_new0(GwSumCopy, 1);
 
     copy->regions = g_ptr_array_new_with_free_func(g_free);
-    copy->cells = g_array_new(FALSE, FALSE, sizeof(Copied));
+    copy->cells = g_array_new(FALSE, FALSE, sizeof(CopyCell));
     copy->own = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     copy->set = set;
     copy->ctx = ctx;
@@ -388,9 +391,9 @@
 }
 
 static void
-publish(GwSumCopy *copy, uint32_t place)
+publish(GwSumCopy *copy, uint32_t number)
 {
-    Copied *cell = &g_array_index(copy->cells, Copied, place);
+    CopyCell *cell = &g_array_index(copy->cells, CopyCell, number);
     uint32_t count = cell->total > cell->own ? cell->total - cell->own : 0;
 
     if (count != cell->set) {
@@ -401,10 +404,10 @@
 }
 
 static void
-forget_all(GwSumCopy *copy)
+reset_copy(GwSumCopy *copy)
 {
     for (uint32_t i = 0; i < copy->cells->len; i++) {
-        Copied *cell = &g_array_index(copy->cells, Copied, i);
+        CopyCell *cell = &g_array_index(copy->cells, CopyCell, i);
         cell->total = 0;
         publish(copy, i);
     }
@@ -415,7 +418,7 @@
 
 /* Whether the cell numbers encoded by `gaps` are all below `end`. */
 static bool
-are_below(const uint32_t *gaps, size_t count, uint32_t end)
+numbers_are_below(const uint32_t *gaps, size_t count, uint32_t end)
 {
     uint64_t next = 0;
 
@@ -451,7 +454,7 @@
 
 /* Whether the change is well-formed and builds on the current state. */
 static bool
-follows(const GwSumCopy *copy, const Gw__Peer__SumChange *change)
+can_apply(const GwSumCopy *copy, const Gw__Peer__SumChange *change)
 {
     bool same = change->epoch == copy->ack.epoch;
     uint64_t end = (uint64_t)change->first_named + change->n_servers;
@@ -471,60 +474,61 @@
         }
     }
     uint32_t cells = (uint32_t)MAX(end, same ? copy->cells->len : 0);
-    return are_below(change->gaps, change->n_gaps, cells) &&
-           are_below(change->own_gaps, change->n_own_gaps, cells);
+    return numbers_are_below(change->gaps, change->n_gaps, cells) &&
+           numbers_are_below(change->own_gaps, change->n_own_gaps, cells);
 }
 
 static void
-take_names(GwSumCopy *copy, const Gw__Peer__SumChange *change)
+apply_names(GwSumCopy *copy, const Gw__Peer__SumChange *change)
 {
     uint32_t known = copy->cells->len - change->first_named;
 
     for (size_t i = known; i < change->n_servers; i++) {
         const char *region = change->regions[change->server_regions[i]];
-        Copied cell = {.region = place_of(copy->regions, region),
-                       .server = change->servers[i]};
+        CopyCell cell = {.region = region_index(copy->regions, region),
+                         .server = change->servers[i]};
         g_array_append_val(copy->cells, cell);
     }
 }
 
 static void
-take_counts(GwSumCopy *copy, const Gw__Peer__SumChange *change)
+apply_counts(GwSumCopy *copy, const Gw__Peer__SumChange *change)
 {
     uint32_t next = 0;
 
     for (size_t i = 0; i < change->n_gaps; i++) {
-        uint32_t place = next + change->gaps[i];
-        g_array_index(copy->cells, Copied, place).total = change->counts[i];
-        next = place + 1;
+        uint32_t number = next + change->gaps[i];
+        g_array_index(copy->cells, CopyCell, number).total = change->counts[i];
+        next = number + 1;
     }
 }
 
 static void
-take_own(GwSumCopy *copy, const Gw__Peer__SumChange *change, GArray *before)
+apply_own(GwSumCopy *copy, const Gw__Peer__SumChange *change, GArray *previous)
 {
     uint32_t next = 0;
 
-    g_array_set_size(before, 0);
-    g_array_append_vals(before, copy->own->data, copy->own->len);
-    for (guint i = 0; i < before->len; i++) {
-        uint32_t place = g_array_index(before, uint32_t, i);
-        g_array_index(copy->cells, Copied, place).own = 0;
+    g_array_set_size(previous, 0);
+    g_array_append_vals(previous, copy->own->data, copy->own->len);
+    for (guint i = 0; i < previous->len; i++) {
+        uint32_t number = g_array_index(previous, uint32_t, i);
+        g_array_index(copy->cells, CopyCell, number).own = 0;
     }
     g_array_set_size(copy->own, 0);
     for (size_t i = 0; i < change->n_own_gaps; i++) {
-        uint32_t place = next + change->own_gaps[i];
-        g_array_index(copy->cells, Copied, place).own = change->own_counts[i];
-        g_array_append_val(copy->own, place);
-        next = place + 1;
+        uint32_t number = next + change->own_gaps[i];
+        g_array_index(copy->cells, CopyCell, number).own =
+            change->own_counts[i];
+        g_array_append_val(copy->own, number);
+        next = number + 1;
     }
 }
 
 static void
-publish_all(GwSumCopy *copy, const GArray *places)
+publish_all(GwSumCopy *copy, const GArray *numbers)
 {
-    for (guint i = 0; i < places->len; i++) {
-        publish(copy, g_array_index(places, uint32_t, i));
+    for (guint i = 0; i < numbers->len; i++) {
+        publish(copy, g_array_index(numbers, uint32_t, i));
     }
 }
 
@@ -534,29 +538,29 @@
     uint32_t next = 0;
 
     for (size_t i = 0; i < change->n_gaps; i++) {
-        uint32_t place = next + change->gaps[i];
-        publish(copy, place);
-        next = place + 1;
+        uint32_t number = next + change->gaps[i];
+        publish(copy, number);
+        next = number + 1;
     }
 }
 
 bool
 GwSumCopy_Apply(GwSumCopy *copy, const Gw__Peer__SumChange *change)
 {
-    if (!follows(copy, change)) {
+    if (!can_apply(copy, change)) {
         return false;
     }
     if (change->epoch != copy->ack.epoch) {
-        forget_all(copy);
+        reset_copy(copy);
     }
-    GArray *before = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    take_names(copy, change);
-    take_counts(copy, change);
-    take_own(copy, change, before);
+    GArray *previous = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    apply_names(copy, change);
+    apply_counts(copy, change);
+    apply_own(copy, change, previous);
     publish_changed(copy, change);
-    publish_all(copy, before);
+    publish_all(copy, previous);
     publish_all(copy, copy->own);
-    g_array_free(before, TRUE);
+    g_array_free(previous, TRUE);
     copy->ack = (GwSumAck){
         .epoch = change->epoch, .seq = change->seq, .cells = copy->cells->len};
     return true;
@@ -566,7 +570,7 @@
 GwSumCopy_Loads(const GwSumCopy *copy, GArray *out)
 {
     for (guint i = 0; i < copy->cells->len; i++) {
-        const Copied *cell = &g_array_index(copy->cells, Copied, i);
+        const CopyCell *cell = &g_array_index(copy->cells, CopyCell, i);
         if (cell->set > 0) {
             GwPeerLoad load = {cell->server, cell->set};
             g_array_append_val(out, load);
--- a/lib/edge/sum_change.h
+++ b/lib/edge/sum_change.h
@@ -46,10 +46,11 @@
 /* Returns the change that a receiver with the state `ack` lacks. `mine`, of
  * `region`: the loads that this receiver reported itself and subtracts from
  * the sum; NULL for none. Valid until the next call with `message`. */
-Gw__Peer__SumChange *GwSumSource_Tell(const GwSumSource *source,
-                                      const GwSumAck *ack, const char *region,
-                                      const GArray *mine,
-                                      GwSumMessage *message);
+Gw__Peer__SumChange *GwSumSource_WriteChange(const GwSumSource *source,
+                                             const GwSumAck *ack,
+                                             const char *region,
+                                             const GArray *mine,
+                                             GwSumMessage *message);
 
 /* ---- Receiver ------------------------------------------------------------ */
 
@@ -57,10 +58,10 @@
 
 /* Called with the new value of a count, without the receiver's own
  * requests. */
-typedef void (*GwSumSet)(void *ctx, const char *region, uint32_t server,
-                         uint32_t count);
+typedef void (*GwSumCallback)(void *ctx, const char *region, uint32_t server,
+                              uint32_t count);
 
-GwSumCopy *GwSumCopy_Create(GwSumSet set, void *ctx);
+GwSumCopy *GwSumCopy_Create(GwSumCallback set, void *ctx);
 /* Does not call `set`. */
 void GwSumCopy_Free(GwSumCopy *copy);
 /* Returns false, with no effect, for a change that does not build on the
--- a/lib/edge/suspects.c
+++ b/lib/edge/suspects.c
@@ -4,7 +4,7 @@
 #include "router/router_internal.h"
 
 static void
-write_suspect(const GwSuspect *s, Gw__Peer__Suspect *out)
+pack_suspect(const GwSuspect *s, Gw__Peer__Suspect *out)
 {
     gw__peer__suspect__init(out);
     out->fingerprint_hi = s->fingerprint.hi;
@@ -17,7 +17,7 @@
 }
 
 static bool
-read_suspect(const Gw__Peer__Suspect *from, GwSuspect *out)
+unpack_suspect(const Gw__Peer__Suspect *from, GwSuspect *out)
 {
     if (from->n_servers > GW_SUSPECT_SERVERS_MAX) {
         return false;
@@ -36,23 +36,23 @@
 }
 
 static uint32_t
-next_suspects(GwPeers *peers, GwPeerEntry *peer, GwSuspect *out)
+select_suspects(GwPeers *peers, GwPeerEntry *peer, GwSuspect *out)
 {
     GwQuarantine *q = GwRouter_Quarantine(peers->edge->router);
-    GwRumorPeer *rumors = &peer->rumors[GW_RUMORS_SUSPECTS];
+    GwRumorPeer *gossip = &peer->gossip[GW_GOSSIP_SUSPECTS];
     int64_t now_us = GwEdge_Now();
     int64_t since_us;
     uint32_t count = 0;
 
-    switch (GwRumorPeer_Next(rumors, now_us, &since_us)) {
+    switch (GwRumorPeer_Next(gossip, now_us, &since_us)) {
     case GW_RUMOR_NOTHING:
         break;
     case GW_RUMOR_NEWS:
         count = GwQuarantine_News(q, now_us, since_us, out, GW_SUSPECTS_MAX);
-        rumors->page = count == GW_SUSPECTS_MAX;
+        gossip->sends_page = count == GW_SUSPECTS_MAX;
         break;
     case GW_RUMOR_PAGE:
-        count = GwQuarantine_Page(q, now_us, &peers->suspects_from, out,
+        count = GwQuarantine_Page(q, now_us, &peers->suspects_cursor, out,
                                   GW_SUSPECTS_MAX);
         break;
     }
@@ -65,10 +65,10 @@
 {
     report->suspects_sum =
         GwQuarantine_Sum(GwRouter_Quarantine(peers->edge->router));
-    report->n_suspects = next_suspects(peers, peer, arrays->known);
+    report->n_suspects = select_suspects(peers, peer, arrays->known);
     for (size_t i = 0; i < report->n_suspects; i++) {
-        write_suspect(&arrays->known[i], &arrays->told[i]);
-        arrays->list[i] = &arrays->told[i];
+        pack_suspect(&arrays->known[i], &arrays->messages[i]);
+        arrays->list[i] = &arrays->messages[i];
     }
     report->suspects = arrays->list;
 }
@@ -82,26 +82,26 @@
 
     for (size_t i = 0; i < report->n_suspects; i++) {
         GwSuspect s;
-        if (read_suspect(report->suspects[i], &s)) {
+        if (unpack_suspect(report->suspects[i], &s)) {
             GwQuarantine_Merge(q, now_us, &s);
         }
     }
-    if (GwRumorPeer_Heard(&peer->rumors[GW_RUMORS_SUSPECTS], now_us,
+    if (GwRumorPeer_Heard(&peer->gossip[GW_GOSSIP_SUSPECTS], now_us,
                           report->suspects_sum, GwQuarantine_Sum(q),
                           GwQuarantine_ChangedUs(q))) {
-        peer->hurry = true;
+        peer->is_urgent = true;
     }
 }
 
 void
-GwPeers_SpreadSuspects(GwPeers *peers, int64_t now_us)
+GwPeers_GossipSuspects(GwPeers *peers, int64_t now_us)
 {
     GwQuarantine *q = GwRouter_Quarantine(peers->edge->router);
 
     if (!GwQuarantine_IsEmpty(q)) {
         GwQuarantine_Tick(q, now_us);
-        GwPeers_Spread(peers, GW_RUMORS_SUSPECTS, now_us,
-                       GwQuarantine_ChangedUs(q));
+        GwPeers_GossipChanges(peers, GW_GOSSIP_SUSPECTS, now_us,
+                              GwQuarantine_ChangedUs(q));
     }
 }
 
--- a/tests/property/sums.cpp
+++ b/tests/property/sums.cpp
@@ -104,7 +104,7 @@
     GwSumMessage *message = GwSumMessage_Create();
     GArray *mine = arrayOf(own, "r1");
     Gw__Peer__SumChange *change =
-        GwSumSource_Tell(teller.source, &ack, "r1", mine, message);
+        GwSumSource_WriteChange(teller.source, &ack, "r1", mine, message);
     Sent sent;
 
     sent.bytes.resize(gw__peer__sum_change__get_packed_size(change));
--- a/tests/unit/test_aggregate.c
+++ b/tests/unit/test_aggregate.c
@@ -76,8 +76,8 @@
         .link_kbps = link_of(i),
         .cpu_milli = 100,
         .serves = true,
-        .heard = true,
-        .heard_us = GwEdge_Now(),
+        .has_reported = true,
+        .last_report_us = GwEdge_Now(),
         .next_ms = 60000, /* however slow the machine of this test is */
     };
     g_hash_table_insert(view->peers.by_address, peer->peer_address, peer);
@@ -102,7 +102,7 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_peer);
     view->peers.loads = g_array_new(FALSE, FALSE, sizeof(GwPeerLoad));
     GwPeers_CreateSums(&view->peers, own + 1);
-    view->peers.stretch = 3;
+    view->peers.period_scale = 3;
     for (uint32_t i = 0; i < ENTRIES; i++) {
         if (i != own) {
             (void)add_peer(view, i);
@@ -122,7 +122,7 @@
 
 /* To how many peers it tells which loads. */
 static uint32_t
-count_told(View *view, GwLoadsTold told)
+count_told(View *view, GwLoadScope told)
 {
     GHashTableIter iter;
     gpointer value;
@@ -130,7 +130,7 @@
 
     g_hash_table_iter_init(&iter, view->peers.by_address);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += GwPeers_LoadsFor(&view->peers, value) == told;
+        count += GwPeers_LoadScopeFor(&view->peers, value) == told;
     }
     return count;
 }
@@ -145,14 +145,14 @@
     for (uint32_t i = 0; i < ENTRIES; i++) {
         views[i] = create_view(i);
         GwPeers_ChooseAggregators(&views[i]->peers, GwEdge_Now());
-        if (views[i]->peers.aggregates) {
+        if (views[i]->peers.is_aggregator) {
             by_domain[i % DOMAINS]++;
             cr_expect_eq(link_of(i), 200000, "entry %u", i);
         }
     }
     for (uint32_t i = 0; i < ENTRIES; i++) {
         View *view = views[i];
-        if (view->peers.aggregates) {
+        if (view->peers.is_aggregator) {
             cr_expect_eq(count_told(view, GW_LOADS_DOMAIN), DOMAINS - 1);
             cr_expect_eq(count_told(view, GW_LOADS_OWN), 0);
             continue;
@@ -161,9 +161,9 @@
         cr_expect_eq(count_told(view, GW_LOADS_NONE), ENTRIES - 2);
         for (uint32_t k = 0; k < ENTRIES; k++) {
             if (k != i &&
-                GwPeers_LoadsFor(&view->peers, peer_named(view, k)) ==
+                GwPeers_LoadScopeFor(&view->peers, peer_named(view, k)) ==
                     GW_LOADS_OWN) {
-                cr_expect(views[k]->peers.aggregates, "%u tells %u", i, k);
+                cr_expect(views[k]->peers.is_aggregator, "%u tells %u", i, k);
             }
         }
     }
@@ -185,15 +185,15 @@
     GwPeers_ChooseAggregators(&view->peers, GwEdge_Now());
     for (uint32_t i = 1; i < ENTRIES; i++) {
         GwPeerEntry *peer = peer_named(view, i);
-        if (GwPeers_LoadsFor(&view->peers, peer) == GW_LOADS_OWN) {
+        if (GwPeers_LoadScopeFor(&view->peers, peer) == GW_LOADS_OWN) {
             first = peer;
         }
     }
     cr_assert_not_null(first);
     first->next_ms = GW_SUM_PERIOD_MIN_MS;
-    first->heard_us -= 700000;
+    first->last_report_us -= 700000;
     GwPeers_ChooseAggregators(&view->peers, GwEdge_Now());
-    cr_expect_eq(GwPeers_LoadsFor(&view->peers, first), GW_LOADS_NONE);
+    cr_expect_eq(GwPeers_LoadScopeFor(&view->peers, first), GW_LOADS_NONE);
     cr_expect_eq(count_told(view, GW_LOADS_OWN), 1, "another one");
     cr_expect(GwPeerEntry_IsLive(first, GwEdge_Now()),
               "it counts as live yet");
@@ -222,9 +222,9 @@
     GwSumCopy *copy = GwSumCopy_Create(note_count, &got);
     GwSumAck none = {0};
 
-    cr_expect(GwSumCopy_Apply(copy, GwSumSource_Tell(source, &none,
-                                                     peer->region, peer->loads,
-                                                     view->peers.message)));
+    cr_expect(GwSumCopy_Apply(
+        copy, GwSumSource_WriteChange(source, &none, peer->region, peer->loads,
+                                      view->peers.message)));
     GwSumCopy_Free(copy);
     return got;
 }
@@ -237,7 +237,7 @@
     View *view = create_view(0);
 
     while (GwPeers_ChooseAggregators(&view->peers, GwEdge_Now()),
-           !view->peers.aggregates || domain_of(self)[1] != '0') {
+           !view->peers.is_aggregator || domain_of(self)[1] != '0') {
         free_view(view);
         view = create_view(++self);
     }
@@ -251,12 +251,12 @@
     GwPeers_NoteLoads(&view->peers, other, &load, 1);
     GwPeers_NoteLoads(&view->peers, far, &load, 1);
     GwPeers_NoteLoads(&view->peers, old, &load, 1);
-    near->loads_us += 60000000;
-    other->loads_us += 60000000;
-    far->loads_us += 60000000;
-    old->loads_us -= 3000000;
-    cr_expect_eq(GwPeers_LoadsFor(&view->peers, near), GW_LOADS_ALL);
-    cr_expect_eq(GwPeers_LoadsFor(&view->peers, old), GW_LOADS_NONE);
+    near->loads_received_us += 60000000;
+    other->loads_received_us += 60000000;
+    far->loads_received_us += 60000000;
+    old->loads_received_us -= 3000000;
+    cr_expect_eq(GwPeers_LoadScopeFor(&view->peers, near), GW_LOADS_ALL);
+    cr_expect_eq(GwPeers_LoadScopeFor(&view->peers, old), GW_LOADS_NONE);
     Got got = told_to(view, near, GwPeers_AllSource(&view->peers));
     cr_expect_eq(got.r0, 1, "the other's, without its own");
     cr_expect_eq(got.r1, 1, "of the far one");
@@ -279,7 +279,7 @@
 
     GwPeers_ChooseAggregators(&view->peers, GwEdge_Now());
     for (uint32_t i = DOMAINS; i < ENTRIES; i += DOMAINS) {
-        if (GwPeers_LoadsFor(&view->peers, peer_named(view, i)) ==
+        if (GwPeers_LoadScopeFor(&view->peers, peer_named(view, i)) ==
             GW_LOADS_OWN) {
             teller = peer_named(view, i);
             first = create_view(i);
@@ -289,19 +289,19 @@
     GwPeers_ChooseAggregators(&first->peers, GwEdge_Now());
     GwPeers_NoteLoads(&first->peers, peer_named(first, 2 * DOMAINS), &load, 1);
     Gw__Peer__SumChange *change =
-        GwSumSource_Tell(GwPeers_AllSource(&first->peers), &teller->ack, "r0",
-                         NULL, first->peers.message);
+        GwSumSource_WriteChange(GwPeers_AllSource(&first->peers), &teller->ack,
+                                "r0", NULL, first->peers.message);
     if (another == teller) {
         another = peer_named(view, 2 * DOMAINS);
     }
-    GwPeers_TakeAllSum(&view->peers, another, change);
+    GwPeers_ApplyAllSum(&view->peers, another, change);
     cr_expect_null(another->copy);
-    GwPeers_TakeAllSum(&view->peers, teller, change);
+    GwPeers_ApplyAllSum(&view->peers, teller, change);
     cr_assert_not_null(teller->copy);
     cr_expect_eq(GwSumCopy_Ack(teller->copy).cells, 1);
-    teller->is_first = false;
-    another->is_first = true;
-    GwPeers_TakeAllSum(&view->peers, another, change);
+    teller->is_aggregator = false;
+    another->is_aggregator = true;
+    GwPeers_ApplyAllSum(&view->peers, another, change);
     cr_expect_null(teller->copy, "what it told is forgotten");
     cr_assert_not_null(another->copy);
     free_view(first);
@@ -314,9 +314,9 @@
     View *view = create_view(0);
     uint32_t ups = 0;
 
-    view->peers.stretch = 1;
-    while (view->peers.stretch < 2 && ups < ENTRIES) {
-        GwPeers_NoteUp(&view->peers);
+    view->peers.period_scale = 1;
+    while (view->peers.period_scale < 2 && ups < ENTRIES) {
+        GwPeers_NoteLive(&view->peers);
         ups++;
     }
     cr_expect_leq(ups, 8);
--- a/tests/unit/test_introduce.c
+++ b/tests/unit/test_introduce.c
@@ -22,7 +22,7 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         cr_expect_eq(
-            GwIntroduce_TellsAddresses(cases[i].own, cases[i].newcomers),
+            GwBootstrap_SendsAddresses(cases[i].own, cases[i].newcomers),
             cases[i].told, "case %zu", i);
     }
 }
@@ -41,11 +41,11 @@
         }
         for (uint32_t k = 0; k < sizes[i]; k++) {
             char *own = g_ptr_array_steal_index(names, k);
-            tellers += GwIntroduce_TellsPlaces(own, "newcomer", names);
+            tellers += GwBootstrap_SendsPlacements(own, "newcomer", names);
             g_ptr_array_insert(names, (gint)k, own);
         }
-        cr_expect_eq(tellers, MIN(sizes[i], GW_INTRODUCERS), "%u entries",
-                     sizes[i]);
+        cr_expect_eq(tellers, MIN(sizes[i], GW_BOOTSTRAP_SENDERS),
+                     "%u entries", sizes[i]);
         g_ptr_array_free(names, TRUE);
     }
 }
@@ -86,7 +86,7 @@
         GArray *rows = make_rows(cases[i].entries, cases[i].domains);
         bool *greeted = g_new(bool, rows->len);
         uint32_t far = 0;
-        GwIntroduce_ChooseGreeted("r0", rows, greeted);
+        GwBootstrap_ChooseNotified("r0", rows, greeted);
         for (guint k = 0; k < rows->len; k++) {
             const GwEntryRow *row = &g_array_index(rows, GwEntryRow, k);
             bool near = strcmp(row->region, "r0") == 0;
--- a/tests/unit/test_news.c
+++ b/tests/unit/test_news.c
@@ -11,37 +11,43 @@
 Test(news, who_asks_whom)
 {
     static const struct {
-        GwNewsSight sight;
+        GwFetchView view;
         bool asks;
         const char *what;
     } cases[] = {
-        {{.domain_size = 12, .own = 0, .teller = GW_NEWS_OUTSIDE},
+        {{.domain_size = 12, .own_rank = 0, .provider_rank = GW_FETCH_OUTSIDE},
          true,
          "the first asks anybody"},
-        {{.domain_size = 12, .own = 3, .teller = GW_NEWS_OUTSIDE},
+        {{.domain_size = 12, .own_rank = 3, .provider_rank = GW_FETCH_OUTSIDE},
          false,
          "the others wait"},
-        {{.domain_size = 12, .own = 3, .teller = 0}, true, "the one above"},
-        {{.domain_size = 12, .own = 7, .teller = 1}, true, "the same, below"},
-        {{.domain_size = 12, .own = 7, .teller = 0},
+        {{.domain_size = 12, .own_rank = 3, .provider_rank = 0},
+         true,
+         "the one above"},
+        {{.domain_size = 12, .own_rank = 7, .provider_rank = 1},
+         true,
+         "the same, below"},
+        {{.domain_size = 12, .own_rank = 7, .provider_rank = 0},
          false,
          "not the one above that: it would serve all"},
-        {{.domain_size = 12, .own = 7, .teller = 9}, false, "one beside"},
+        {{.domain_size = 12, .own_rank = 7, .provider_rank = 9},
+         false,
+         "one beside"},
         {{.domain_size = 12,
-          .own = 7,
-          .teller = GW_NEWS_OUTSIDE,
-          .waited_us = GW_NEWS_WAIT_US},
+          .own_rank = 7,
+          .provider_rank = GW_FETCH_OUTSIDE,
+          .waited_us = GW_FETCH_WAIT_US},
          true,
          "the one above did not come"},
-        {{.domain_size = GW_NEWS_DOMAIN_MIN - 1,
-          .own = 2,
-          .teller = GW_NEWS_OUTSIDE},
+        {{.domain_size = GW_FETCH_TREE_MIN - 1,
+          .own_rank = 2,
+          .provider_rank = GW_FETCH_OUTSIDE},
          true,
          "a small domain"},
     };
 
     for (size_t i = 0; i < CASES(cases); i++) {
-        cr_expect_eq(GwNews_AsksNow(&cases[i].sight), cases[i].asks, "%s",
+        cr_expect_eq(GwFetchView_MayFetch(&cases[i].view), cases[i].asks, "%s",
                      cases[i].what);
     }
 }
@@ -72,9 +78,10 @@
             }
             for (uint32_t k = 1; k < size; k++) {
                 for (uint32_t t = 0; t < size && !has[k]; t++) {
-                    GwNewsSight sight = {
-                        .domain_size = size, .own = k, .teller = t};
-                    has[k] = had[t] && GwNews_AsksNow(&sight);
+                    GwFetchView view = {.domain_size = size,
+                                        .own_rank = k,
+                                        .provider_rank = t};
+                    has[k] = had[t] && GwFetchView_MayFetch(&view);
                     answers[t] += has[k];
                     left -= has[k];
                 }
@@ -83,7 +90,7 @@
         cr_expect_eq(left, 0, "%u entries", size);
         cr_expect_leq(steps, cases[i].steps, "%u entries: %u", size, steps);
         for (uint32_t k = 0; k < size; k++) {
-            cr_expect_leq(answers[k], GW_NEWS_FAN, "%u of %u", k, size);
+            cr_expect_leq(answers[k], GW_FETCH_FANOUT, "%u of %u", k, size);
         }
     }
 }
@@ -92,8 +99,8 @@
 Test(news, large_instances_go_first)
 {
     static const struct {
-        GwNewsEntry a;
-        GwNewsEntry b;
+        GwEntryRank a;
+        GwEntryRank b;
         bool before;
         const char *what;
     } cases[] = {
@@ -104,15 +111,15 @@
     };
 
     for (size_t i = 0; i < CASES(cases); i++) {
-        cr_expect_eq(GwNews_IsBefore(&cases[i].a, &cases[i].b),
+        cr_expect_eq(GwEntryRank_IsBefore(&cases[i].a, &cases[i].b),
                      cases[i].before, "%s", cases[i].what);
-        cr_expect_eq(GwNews_IsBefore(&cases[i].b, &cases[i].a),
+        cr_expect_eq(GwEntryRank_IsBefore(&cases[i].b, &cases[i].a),
                      !cases[i].before, "%s, seen from b", cases[i].what);
     }
-    GwNewsEntry a = {"a", 10000, 100};
-    GwNewsEntry b = {"b", 10000, 100};
-    cr_expect_neq(GwNews_IsBefore(&a, &b), GwNews_IsBefore(&b, &a));
-    cr_expect_not(GwNews_IsBefore(&a, &a));
+    GwEntryRank a = {"a", 10000, 100};
+    GwEntryRank b = {"b", 10000, 100};
+    cr_expect_neq(GwEntryRank_IsBefore(&a, &b), GwEntryRank_IsBefore(&b, &a));
+    cr_expect_not(GwEntryRank_IsBefore(&a, &a));
 }
 
 /* Entries of one failure domain, large ones first as in the tree. */
@@ -143,16 +150,16 @@
     uint64_t last_ms = 0;
 
     for (uint32_t k = 1; k < f->entries; k++) {
-        uint32_t from = (k - 1) / GW_NEWS_FAN;
-        GwNewsSize size = {.bytes = bytes,
-                           .link_kbps = MIN(link_of(f, k), link_of(f, from))};
+        uint32_t from = (k - 1) / GW_FETCH_FANOUT;
+        GwFetchCopy size = {.bytes = bytes,
+                            .link_kbps = MIN(link_of(f, k), link_of(f, from))};
         uint64_t own_ms = bytes * 8 / link_of(f, k);
-        if (GwNews_IsLarge(&size)) {
+        if (GwFetchCopy_IsLarge(&size)) {
             uint64_t shared_ms = bytes * 8 * f->all / STORE_KBPS;
             at_ms[k] = at_ms[from] + HEAR_MS + MAX(own_ms, shared_ms);
         }
         else {
-            uint64_t sent_ms = bytes * 8 * GW_NEWS_FAN / link_of(f, from);
+            uint64_t sent_ms = bytes * 8 * GW_FETCH_FANOUT / link_of(f, from);
             at_ms[k] = at_ms[from] + HEAR_MS + MAX(own_ms, sent_ms);
         }
         last_ms = MAX(last_ms, at_ms[k]);
--- a/tests/unit/test_sum_change.c
+++ b/tests/unit/test_sum_change.c
@@ -35,7 +35,7 @@
     for (int part = 0; part < PARTS_MAX; part++) {
         GwSumAck ack = GwSumCopy_Ack(copy);
         Gw__Peer__SumChange *change =
-            GwSumSource_Tell(source, &ack, "r1", NULL, message);
+            GwSumSource_WriteChange(source, &ack, "r1", NULL, message);
         cr_expect_leq(gw__peer__sum_change__get_packed_size(change),
                       FITS_BYTES, "part %d", part);
         cr_expect(GwSumCopy_Apply(copy, change), "part %d", part);
