--- a/lib/edge/introduce.c
+++ b/lib/edge/bootstrap.c
@@ -1,6 +1,6 @@
-#include "edge/introduce.h"
+#include "edge/bootstrap.h"
 
-#include "edge/news.h"
+#include "edge/fetch_tree.h"
 #include "router/router_internal.h"
 
 #include <stdio.h>
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -1,4 +1,4 @@
-#include "edge/held_rows.h"
+#include "edge/quarantine_rows.h"
 
 #include <signal.h>
 #include <string.h>
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -189,7 +189,7 @@
 GByteArray *GwFeed_Answer(const GwFeed *feed, const GwRowsAsk *ask,
                           uint16_t *status);
 
-/* beliefs.c */
+/* router_rows.c */
 void GwBeliefs_OnOperatorRow(void *ctx, const GwStoreRow *row);
 void GwBeliefs_OnServerRow(void *ctx, const GwStoreRow *row);
 /* GwRowIsNews of servers' rows. */
--- a/lib/edge/news.c
+++ b/lib/edge/fetch_tree.c
@@ -1,4 +1,4 @@
-#include "edge/news.h"
+#include "edge/fetch_tree.h"
 
 #include "router/router_internal.h"
 
--- a/lib/edge/rumor.c
+++ b/lib/edge/gossip.c
@@ -1,4 +1,4 @@
-#include "edge/rumor.h"
+#include "edge/gossip.h"
 
 #include <glib.h>
 
--- a/lib/edge/join.c
+++ b/lib/edge/join.c
@@ -1,7 +1,7 @@
 /* Discovers the other entries: writes this entry's row into the store and
  * reads the rows of all entries. Seeds replace the rows during a store
  * outage. */
-#include "edge/introduce.h"
+#include "edge/bootstrap.h"
 #include "edge/peers_internal.h"
 
 #include <string.h>
--- a/lib/edge/peers_internal.h
+++ b/lib/edge/peers_internal.h
@@ -5,8 +5,8 @@
 
 #include "edge/edge_internal.h"
 #include "edge/load_sum.h"
-#include "edge/news.h"
-#include "edge/rumor.h"
+#include "edge/fetch_tree.h"
+#include "edge/gossip.h"
 #include "edge/sum_change.h"
 
 /* Maximum addresses in a directory answer, and in the bootstrap state sent
@@ -176,7 +176,7 @@
 void GwPeers_NoteLoads(GwPeers *peers, GwPeerEntry *peer,
                        const GwPeerLoad *loads, uint32_t count);
 
-/* places.c */
+/* placements.c */
 bool GwPeers_IsInRegion(const GwPeers *peers, const GwPeerEntry *peer);
 GwWay GwPeerEntry_Way(const GwPeers *peers, const GwPeerEntry *peer);
 /* Replaces `out` with the GwPlacement of the next report to the peer.
@@ -191,7 +191,7 @@
  * process. */
 void GwPeers_MakeBacklog(GwPeers *peers, GwPeerEntry *peer);
 
-/* spread.c */
+/* gossip_peers.c */
 /* Sends what changed since the last call to a few random peers at the next
  * tick. */
 void GwPeers_GossipChanges(GwPeers *peers, GwGossipKind kind, int64_t now_us,
--- a/lib/edge/places.c
+++ b/lib/edge/placements.c
@@ -1,7 +1,7 @@
 /* Chooses the placements sent to a peer: own ones, those that an aggregator
  * relays for its failure domain or region, and the bootstrap state of a new
  * entry. */
-#include "edge/introduce.h"
+#include "edge/bootstrap.h"
 #include "edge/peers_internal.h"
 
 #include <string.h>
--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -1,6 +1,6 @@
 /* Receives reports of other entries: applies the sender's state, loads and
  * placements, and answers new entries. */
-#include "edge/introduce.h"
+#include "edge/bootstrap.h"
 #include "edge/peers_internal.h"
 
 #include "wire/peer.pb-c.h"
--- a/tests/fakes/outages_internal.h
+++ b/tests/fakes/outages_internal.h
@@ -6,7 +6,7 @@
 
 #include "common/heap.h"
 #include "common/rng.h"
-#include "edge/rumor.h"
+#include "edge/gossip.h"
 #include "router/router_internal.h"
 
 #include <string.h>
--- a/tests/unit/test_introduce.c
+++ b/tests/unit/test_bootstrap.c
@@ -1,12 +1,12 @@
 /* Bootstrap state sent to new entries, and the rows of entries in the store. */
-#include "edge/introduce.h"
+#include "edge/bootstrap.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
 /* An entry that starts during a store outage knows only its seeds and must
  * be sent the other addresses; when all start together no entry needs them. */
-Test(introduce, addresses_are_sent_to_entries_that_lack_them)
+Test(bootstrap, addresses_are_sent_to_entries_that_lack_them)
 {
     static const struct {
         uint32_t own;
@@ -30,7 +30,7 @@
 
 /* Of any number of entries exactly two send warm placements to a new entry,
  * without messages to agree on it; of fewer than two, all do. */
-Test(introduce, two_entries_of_a_region_send_placements)
+Test(bootstrap, two_entries_of_a_region_send_placements)
 {
     static const uint32_t sizes[] = {1, 2, 3, 24, 200};
 
@@ -71,7 +71,7 @@
 /* Guards against 300 entries that start together each notifying and
  * answering each: that took more bytes between regions than all callers'
  * requests. */
-Test(introduce, few_entries_of_other_regions_are_notified)
+Test(bootstrap, few_entries_of_other_regions_are_notified)
 {
     static const struct {
         uint32_t entries;
@@ -104,7 +104,7 @@
 }
 
 /* Rows written by the previous version hold the address only. */
-Test(introduce, entry_rows_are_parsed)
+Test(bootstrap, entry_rows_are_parsed)
 {
     static const struct {
         const char *value;
--- a/tests/unit/test_news.c
+++ b/tests/unit/test_fetch_tree.c
@@ -1,5 +1,5 @@
 /* The tree along which the entries of a failure domain fetch rows. */
-#include "edge/news.h"
+#include "edge/fetch_tree.h"
 
 #include <criterion/criterion.h>
 #include <glib.h>
@@ -9,7 +9,7 @@
 /* After a change, the root of each failure domain fetches at once and the
  * others from their parent; an unreachable parent is not waited for beyond
  * the limit, and small failure domains do not wait at all. */
-Test(news, each_entry_fetches_from_its_parent)
+Test(fetch_tree, each_entry_fetches_from_its_parent)
 {
     static const struct {
         GwFetchView view;
@@ -55,7 +55,7 @@
 
 /* For any size of the failure domain, all entries get the rows in few
  * steps, and no entry answers more requests than the fanout. */
-Test(news, rows_reach_all_with_bounded_answers)
+Test(fetch_tree, rows_reach_all_with_bounded_answers)
 {
     static const struct {
         uint32_t size;
@@ -98,7 +98,7 @@
 
 /* The larger instance ranks first; among equals, all entries agree on one
  * order. */
-Test(news, large_instances_rank_first)
+Test(fetch_tree, large_instances_rank_first)
 {
     static const struct {
         GwEntryRank a;
@@ -180,7 +180,7 @@
  * those that operators state: 2.5 s at 12 entries, 3 and 4 s at 70 and 200,
  * 14 s at 650; half of each is left for the report of the root, processing,
  * and callers on the same link. */
-Test(news, large_rows_reach_small_instances_in_time)
+Test(fetch_tree, large_rows_reach_small_instances_in_time)
 {
     static const struct {
         Fleet fleet;
--- a/tests/unit/test_held_rows.c
+++ b/tests/unit/test_quarantine_rows.c
@@ -1,12 +1,12 @@
 /* Format of the store's rows of quarantined requests. */
-#include "edge/held_rows.h"
+#include "edge/quarantine_rows.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
 #define KEY "0000000000000001000000000000000f"
 
-Test(held_rows, written_row_reads_back_the_same)
+Test(quarantine_rows, written_row_reads_back_the_same)
 {
     GwSuspect suspect = {.fingerprint = {1, 15},
                          .generation = 3,
@@ -30,7 +30,7 @@
 
 /* Guards against a damaged row, or a clock that was set back, that
  * quarantines a wrong request or for too long. */
-Test(held_rows, damaged_rows_are_rejected_and_clocks_clamped)
+Test(quarantine_rows, damaged_rows_are_rejected_and_clocks_clamped)
 {
     static const struct {
         const char *key;
