--- a/lib/edge/quarantine_rows.c
+++ b/lib/edge/quarantine_rows.c
@@ -191,7 +191,7 @@
     retry(rows);
 }
 
-static const GwConnOps held_ops = {
+static const GwConnOps row_ops = {
     .connected = on_connected,
     .message = on_message,
     .ended = on_ended,
@@ -202,7 +202,7 @@
 {
     GwConnParams params = {
         .loop = &rows->edge->loop,
-        .ops = &held_ops,
+        .ops = &row_ops,
         .owner = rows,
         .head_max = 64 << 10,
         .body_max = ROWS_BODY_MAX,
