--- a/lib/edge/aggregate.c
+++ b/lib/edge/aggregate.c
@@ -7,10 +7,10 @@
  *     aggregator -> entries that report to it: the sum over all others, by
  *                   region
  *
- * Each entry chooses for itself: the first live entry of the failure domain
- * in the order of GwEntryRank_IsBefore. Two aggregators may be active for a
- * short time, with half of the loads each; no guarantee depends on there
- * being only one. */
+ * Each entry chooses for itself: the first reachable entry of the failure
+ * domain in the order of GwEntryRank_IsBefore. Two aggregators may be active
+ * for a short time, with half of the loads each; no guarantee depends on
+ * there being only one. */
 #include "edge/peers_internal.h"
 
 #include <string.h>
@@ -51,7 +51,7 @@
     return strcmp(peer->domain, peers->edge->settings->router.domain) == 0;
 }
 
-/* Maps each failure domain to its first live entry. */
+/* Maps each failure domain to its first reachable entry. */
 static GHashTable *
 find_aggregators(GwPeers *peers, int64_t now_us)
 {
--- a/lib/edge/control_cost.c
+++ b/lib/edge/control_cost.c
@@ -15,7 +15,7 @@
 }
 
 const char *
-GwWay_Name(GwWay way)
+GwWay_Name(GwWay distance)
 {
     static const char *const names[GW_WAY_COUNT] = {
         [GW_WAY_DOMAIN] = "domain",
@@ -23,7 +23,7 @@
         [GW_WAY_FAR] = "far",
     };
 
-    return names[way];
+    return names[distance];
 }
 
 uint64_t
@@ -32,8 +32,8 @@
     uint64_t total = 0;
 
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
-        for (int way = 0; way < GW_WAY_COUNT; way++) {
-            total += cost->bytes[kind][way];
+        for (int distance = 0; distance < GW_WAY_COUNT; distance++) {
+            total += cost->bytes[kind][distance];
         }
     }
     return total;
@@ -44,12 +44,12 @@
 {
     g_string_append(out, "# TYPE gw_control_bytes_total counter\n");
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
-        for (int way = 0; way < GW_WAY_COUNT; way++) {
+        for (int distance = 0; distance < GW_WAY_COUNT; distance++) {
             g_string_append_printf(
                 out,
                 "gw_control_bytes_total{kind=\"%s\",way=\"%s\"} %" PRIu64 "\n",
                 GwControlKind_Name((GwControlKind)kind),
-                GwWay_Name((GwWay)way), cost->bytes[kind][way]);
+                GwWay_Name((GwWay)distance), cost->bytes[kind][distance]);
         }
     }
 }
@@ -61,10 +61,10 @@
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
         g_string_append_printf(
             out, " %s=", GwControlKind_Name((GwControlKind)kind));
-        for (int way = 0; way < GW_WAY_COUNT; way++) {
-            g_string_append_printf(out, "%s%" PRIu64, way > 0 ? "/" : "",
-                                   cost->bytes[kind][way] -
-                                       before->bytes[kind][way]);
+        for (int distance = 0; distance < GW_WAY_COUNT; distance++) {
+            g_string_append_printf(out, "%s%" PRIu64, distance > 0 ? "/" : "",
+                                   cost->bytes[kind][distance] -
+                                       before->bytes[kind][distance]);
         }
     }
 }
--- a/lib/edge/control_cost.h
+++ b/lib/edge/control_cost.h
@@ -28,7 +28,7 @@
 } GwControlCost;
 
 const char *GwControlKind_Name(GwControlKind kind);
-const char *GwWay_Name(GwWay way);
+const char *GwWay_Name(GwWay distance);
 uint64_t GwControlCost_Total(const GwControlCost *cost);
 /* Appends counters in the Prometheus text exposition format. */
 void GwControlCost_Write(const GwControlCost *cost, GString *out);
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -118,8 +118,8 @@
         return;
     }
     if (!feed->peer_is_store) {
-        GwWay way = GwPeers_WayTo(feed->edge->peers, feed->peer_address);
-        feed->edge->cost.bytes[GW_CONTROL_ROWS][way] += msg->body->len;
+        GwWay distance = GwPeers_WayTo(feed->edge->peers, feed->peer_address);
+        feed->edge->cost.bytes[GW_CONTROL_ROWS][distance] += msg->body->len;
     }
     if (msg->status == 200) {
         set = feed->peer_is_store
--- a/lib/edge/load_sum.h
+++ b/lib/edge/load_sum.h
@@ -33,8 +33,9 @@
 /* Minimum period of reports with loads. */
 #define GW_SUM_PERIOD_MIN_MS 50
 
-/* Period of load reports of `bytes` bytes to one entry, in ms: they take at
- * most 3 % of its link, which leaves the rest to callers. */
+/* Period of load reports of `bytes` bytes to one entry, in ms: they take
+ * 3 % of its link, which leaves the rest to callers, unless that needs a
+ * period below GW_SUM_PERIOD_MIN_MS or above 1 s. */
 uint32_t GwLoadSum_PeriodMs(uint32_t bytes, uint32_t link_kbps);
 
 #endif
--- a/lib/edge/reports.c
+++ b/lib/edge/reports.c
@@ -265,7 +265,7 @@
            size_t len)
 {
     GwControlCost *cost = &peers->edge->cost;
-    GwWay way = GwPeerEntry_Way(peers, peer);
+    GwWay distance = GwPeerEntry_Way(peers, peer);
     size_t loads = loads_size(report);
     size_t placements =
         report->n_placed_objects * (sizeof(uint64_t) + sizeof(uint32_t));
@@ -277,10 +277,11 @@
     }
     GwControlKind kind =
         report->loads_of == GW_LOADS_ALL ? GW_CONTROL_SUMS : GW_CONTROL_LOADS;
-    cost->bytes[kind][way] += loads;
-    cost->bytes[GW_CONTROL_PLACES][way] += placements;
-    cost->bytes[GW_CONTROL_SUSPECTS][way] += suspects;
-    cost->bytes[GW_CONTROL_SIGNS][way] += len - loads - placements - suspects;
+    cost->bytes[kind][distance] += loads;
+    cost->bytes[GW_CONTROL_PLACES][distance] += placements;
+    cost->bytes[GW_CONTROL_SUSPECTS][distance] += suspects;
+    cost->bytes[GW_CONTROL_SIGNS][distance] +=
+        len - loads - placements - suspects;
 }
 
 /* Whether to request addresses. Few peers are asked at a time, as each
