--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -1,28 +1,30 @@
-/* Rows of the store that come from a peer, or go to one: what entries that do
- * not read the store themselves live on. */
+/* Fetches rows from a peer, and serves rows to peers: the source of all
+ * tables for entries that do not read the store. */
 #include "edge/feed_internal.h"
 
 #include <string.h>
 
-/* A copy that was fed by nobody for so long is read anew as a whole: marks of
- * dropped rows may be missing by now. */
+/* A copy that was not refreshed for this long is read again in full:
+ * tombstones of removed rows may have expired. */
 #define STALE_US 60000000
-/* A peer answers at once, so that a lost one must not keep the entry from
- * asking the next: two regions' round trip and its processor's turn. Time
- * without a byte counts: on a link of 10 Mbit/s a row of 300 KB that four read
- * at once takes a second. */
+/* Maximum time without a byte from a peer before another one is tried: a
+ * round trip between two regions and the peer's processing. Time since the
+ * last byte counts, not the whole transfer: on a link of 10 Mbit/s a row of
+ * 300 KB that four peers read at once takes a second. */
 #define PEER_ANSWER_MS 600
-/* In all, so that one who dribbles doesn't keep the entry either. */
-#define PEER_WHOLE_MS 4000
-/* After a call for rows that the store did not answer, peers are asked. */
+/* Maximum time of the whole transfer, which bounds the delay by a peer that
+ * sends very slowly. */
+#define PEER_TRANSFER_MS 4000
+/* After a failed call to the store, rows are fetched from peers for this
+ * long. */
 #define STORE_FAILED_US 2000000
 
 static const GwConnOps peer_ops;
 
-/* The store keeps no history from the beginning, so the whole table is another
- * call there. */
+/* The store's change history does not reach back to the beginning, so the
+ * full table needs another call. */
 static void
-ask_store_once(GwFeed *feed)
+request_from_store(GwFeed *feed)
 {
     const GwAdapter *a = feed->edge->adapter;
     char *target = feed->peer_full
@@ -35,12 +37,12 @@
 }
 
 static void
-ask_peer(GwFeed *feed)
+request_rows(GwFeed *feed)
 {
     GwRowsAsk ask = {.after = feed->peer_full ? 0 : GwFeed_Version(feed)};
 
     if (feed->peer_is_store) {
-        ask_store_once(feed);
+        request_from_store(feed);
         return;
     }
     if (ask.after > 0) {
@@ -66,12 +68,12 @@
     GwFeed *feed = owner;
 
     feed->peer_full = GwEdge_Now() - feed->fresh_us > STALE_US;
-    ask_peer(feed);
+    request_rows(feed);
 }
 
-/* How an entry that does not read the store came to know what is in force. */
+/* Logs where an entry that does not read the store got new operator rows. */
 static void
-log_taken(const GwFeed *feed, const GwRowSet *set)
+log_rows(const GwFeed *feed, const GwRowSet *set)
 {
     const GwEdge *edge = feed->edge;
 
@@ -86,11 +88,11 @@
 }
 
 static void
-take_from_peer(GwFeed *feed, const GwRowSet *set)
+apply_rows(GwFeed *feed, const GwRowSet *set)
 {
     int64_t now_us = GwEdge_Now();
 
-    log_taken(feed, set);
+    log_rows(feed, set);
 
     if (feed->peer_full || !feed->known) {
         GwRowCache_ApplyFull(feed->cache, now_us, set);
@@ -109,15 +111,15 @@
     GwRowSet *set = NULL;
 
     if (msg->status == 410 && !feed->peer_full) {
-        /* It does not know of all that was removed since. */
+        /* The peer no longer has all removals since that version. */
         GwHttpMessage_Free(msg);
         feed->peer_full = true;
-        ask_peer(feed);
+        request_rows(feed);
         return;
     }
     if (!feed->peer_is_store) {
-        GwWay way = GwPeers_WayTo(feed->edge->peers, feed->peer_address);
-        feed->edge->cost.bytes[GW_CONTROL_ROWS][way] += msg->body->len;
+        GwWay distance = GwPeers_WayTo(feed->edge->peers, feed->peer_address);
+        feed->edge->cost.bytes[GW_CONTROL_ROWS][distance] += msg->body->len;
     }
     if (msg->status == 200) {
         set = feed->peer_is_store
@@ -128,12 +130,12 @@
     GwHttpMessage_Free(msg);
     GwConn_CloseAt(&feed->peer);
     if (set == NULL || set->more) {
-        note_store_failed(feed); /* a part of a table is not told as such */
+        note_store_failed(feed); /* a partial table can't be applied */
         GwRowSet_Free(set);
         set = NULL;
     }
     if (set != NULL) {
-        take_from_peer(feed, set);
+        apply_rows(feed, set);
         GwRowSet_Free(set);
         GwPeers_HurryDomain(feed->edge->peers);
         GwEdge_Carry(feed->edge);
@@ -159,7 +161,7 @@
 };
 
 static void
-read_once(GwFeed *feed, const char *address, bool is_store)
+fetch_once(GwFeed *feed, const char *address, bool is_store)
 {
     GwConnParams params = {
         .loop = &feed->edge->loop,
@@ -178,7 +180,7 @@
 GwFeed_AskPeer(GwFeed *feed, const char *address, uint64_t version)
 {
     if (feed->peer == NULL && version > GwFeed_Version(feed)) {
-        read_once(feed, address, false);
+        fetch_once(feed, address, false);
     }
 }
 
@@ -186,7 +188,7 @@
 GwFeed_AskStore(GwFeed *feed, uint64_t version)
 {
     if (feed->peer == NULL && version > GwFeed_Version(feed)) {
-        read_once(feed, feed->edge->settings->store_address, true);
+        fetch_once(feed, feed->edge->settings->store_address, true);
     }
 }
 
@@ -204,10 +206,11 @@
     return GwRowCache_BytesAfter(feed->cache, version);
 }
 
-/* Whether the asker has all that is here, though it knows of an older version
- * only: tables are read at many versions when many entries start at once. */
+/* Whether the requester's rows are equal to this copy although its version
+ * is older: when many entries start together, tables are read at many
+ * versions. */
 static bool
-has_the_same(const GwFeed *feed, const GwRowsAsk *ask)
+has_same_rows(const GwFeed *feed, const GwRowsAsk *ask)
 {
     return ask->digest != 0 && ask->digest == GwRowCache_Digest(feed->cache);
 }
@@ -222,7 +225,7 @@
         return NULL;
     }
     if (after != 0 && !GwRowCache_KnowsAllAfter(feed->cache, after)) {
-        if (!has_the_same(feed, ask)) {
+        if (!has_same_rows(feed, ask)) {
             *status = 410;
             return NULL;
         }
@@ -236,18 +239,19 @@
 }
 
 static bool
-is_silent(const GwFeed *feed, int64_t now_us)
+is_timed_out(const GwFeed *feed, int64_t now_us)
 {
-    int64_t heard_us = MAX(feed->peer_asked_us, GwConn_LastHeard(feed->peer));
+    int64_t received_us =
+        MAX(feed->peer_asked_us, GwConn_LastHeard(feed->peer));
 
-    return now_us - heard_us > PEER_ANSWER_MS * 1000 ||
-           now_us - feed->peer_asked_us > PEER_WHOLE_MS * 1000;
+    return now_us - received_us > PEER_ANSWER_MS * 1000 ||
+           now_us - feed->peer_asked_us > PEER_TRANSFER_MS * 1000;
 }
 
 void
 GwFeed_SweepPeer(GwFeed *feed, int64_t now_us)
 {
-    if (feed->peer != NULL && is_silent(feed, now_us)) {
+    if (feed->peer != NULL && is_timed_out(feed, now_us)) {
         GwConn_CloseAt(&feed->peer);
         note_store_failed(feed);
     }
--- /dev/null
+++ b/lib/edge/gossip.h
@@ -0,0 +1,45 @@
+/* Gossip of state that few entries observe and all entries need: suspects
+ * (requests that crash servers) and rate limits that servers set.
+ *
+ * Changes are sent at once to GW_GOSSIP_FANOUT random peers, which pass
+ * them on: they reach hundreds of entries in a few steps, although each
+ * pair of entries exchanges reports only every few seconds. Each report
+ * carries a checksum of all that its sender knows (anti-entropy): if two
+ * entries differ for long, one of them missed a change and is sent
+ * everything, in pages. With no state to exchange, gossip adds no bytes to
+ * reports. */
+#ifndef GW_EDGE_GOSSIP_H
+#define GW_EDGE_GOSSIP_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+/* Peers to which a change is sent at once. */
+#define GW_RUMOR_FAN 4
+
+/* State of the exchange with a peer. All zero: nothing was sent. */
+typedef struct {
+    uint64_t checksum; /* last checksum received from the peer */
+    int64_t sent_us;   /* when changes were last sent to the peer; 0: never */
+    bool news;         /* the next report carries changes */
+    bool sends_page;   /* the next report carries a page of everything */
+    int64_t next_page_us;  /* no page before this time */
+    uint32_t page_wait_ms; /* interval between pages */
+} GwRumorPeer;
+
+typedef enum {
+    GW_RUMOR_NOTHING = 0,
+    GW_RUMOR_NEWS, /* what changed since `since_us` */
+    GW_RUMOR_PAGE  /* a page of everything */
+} GwRumorTells;
+
+/* Decides what the next report to the peer carries, and marks that as sent. */
+GwRumorTells GwRumorPeer_Next(GwRumorPeer *peer, int64_t now_us,
+                              int64_t *since_us);
+/* The peer's report carried `checksum`; this entry's state has the
+ * checksum `own_checksum` and last changed at `changed_us`. Returns whether the
+ * peer lacks state and needs a report at once. */
+bool GwRumorPeer_Heard(GwRumorPeer *peer, int64_t now_us, uint64_t checksum,
+                       uint64_t own_checksum, int64_t changed_us);
+
+#endif
--- a/lib/edge/held_rows.c
+++ b/lib/edge/quarantine_rows.c
@@ -1,23 +1,24 @@
-#include "edge/held_rows.h"
+#include "edge/quarantine_rows.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define HELD_TABLE "held"
-/* To the store, and before the next try. */
+/* Time limit of a call to the store, and delay before a retry. */
 #define CALL_TIMEOUT_US 1500000
 #define RETRY_US        700000
 #define ROWS_BODY_MAX   (8u << 20)
-/* Rows that wait to be written. */
+/* Maximum rows waiting to be written. */
 #define WAITING_MAX 256
 
 struct GwHeldRows_s {
     GwEdge *edge;
     GwConn *conn;
     bool has_read;
-    char *after;    /* the last row read; NULL: none yet */
-    GQueue waiting; /* GwSuspect, to be written */
-    int64_t at_us;  /* of the next try, or the end of this one */
+    char *after;    /* key of the last row read; NULL: none yet */
+    GQueue waiting; /* GwSuspect waiting to be written */
+    int64_t
+        at_us; /* time of the next attempt, or time limit of the current one */
 };
 
 /* ---- Values -------------------------------------------------------------- */
@@ -60,17 +61,17 @@
     int64_t age_s = 0;
 
     *out = (GwSuspect){.generation = 0};
-    bool good = GwFingerprint_Read(key, &out->fingerprint) &&
-                g_strv_length(words) >= 3 &&
-                sscanf(value, "%u %" SCNd64 " %u", &out->generation, &at_s,
-                       &out->span_ms) == 3 &&
-                read_servers(words + 3, out);
-    if (good) {
+    bool ok = GwFingerprint_Read(key, &out->fingerprint) &&
+              g_strv_length(words) >= 3 &&
+              sscanf(value, "%u %" SCNd64 " %u", &out->generation, &at_s,
+                     &out->span_ms) == 3 &&
+              read_servers(words + 3, out);
+    if (ok) {
         age_s = CLAMP(now_s - at_s, 0, UINT32_MAX / 1000);
         out->age_ms = (uint32_t)age_s * 1000;
     }
     g_strfreev(words);
-    return good;
+    return ok;
 }
 
 static int64_t
@@ -103,9 +104,9 @@
     g_free(value);
 }
 
-/* The next call, or the end of the connection. */
+/* Starts the next call, or closes the connection when none is left. */
 static void
-go_on(GwHeldRows *rows)
+start_call(GwHeldRows *rows)
 {
     const GwEdge *edge = rows->edge;
     const GwSuspect *next = g_queue_peek_head(&rows->waiting);
@@ -126,7 +127,7 @@
 }
 
 static bool
-take_rows(GwHeldRows *rows, const GwHttpMessage *msg)
+apply_rows(GwHeldRows *rows, const GwHttpMessage *msg)
 {
     GwRowSet *set =
         rows->edge->adapter->read_rows(msg->body->str, msg->body->len, NULL);
@@ -156,17 +157,17 @@
 on_message(void *owner, GwHttpMessage *msg)
 {
     GwHeldRows *rows = owner;
-    bool good = msg->status == 200;
+    bool ok = msg->status == 200;
 
-    if (good && rows->has_read) {
+    if (ok && rows->has_read) {
         g_free(g_queue_pop_head(&rows->waiting));
     }
-    else if (good) {
-        good = take_rows(rows, msg);
+    else if (ok) {
+        ok = apply_rows(rows, msg);
     }
     GwHttpMessage_Free(msg);
-    if (good) {
-        go_on(rows);
+    if (ok) {
+        start_call(rows);
     }
     else {
         retry(rows);
@@ -176,7 +177,7 @@
 static void
 on_connected(void *owner)
 {
-    go_on(owner);
+    start_call(owner);
 }
 
 static void
@@ -190,7 +191,7 @@
     retry(rows);
 }
 
-static const GwConnOps held_ops = {
+static const GwConnOps row_ops = {
     .connected = on_connected,
     .message = on_message,
     .ended = on_ended,
@@ -201,7 +202,7 @@
 {
     GwConnParams params = {
         .loop = &rows->edge->loop,
-        .ops = &held_ops,
+        .ops = &row_ops,
         .owner = rows,
         .head_max = 64 << 10,
         .body_max = ROWS_BODY_MAX,
@@ -228,7 +229,7 @@
     }
 }
 
-/* A system that starts for the first time has held nothing yet. */
+/* At the first start of the whole system, there are no rows to read. */
 GwHeldRows *
 GwHeldRows_Create(GwEdge *edge)
 {
--- a/lib/edge/beliefs.c
+++ b/lib/edge/router_rows.c
@@ -1,15 +1,15 @@
-/* Rows of the store, as what the router believes. */
+/* Applies rows of the store to the router's state. */
 #include "edge/edge_internal.h"
 
 #include <string.h>
 
 static void
-take_config(GwEdge *edge, const GwStoreRow *row)
+apply_config(GwEdge *edge, const GwStoreRow *row)
 {
     GError *error = NULL;
 
     if (row->removed) {
-        return; /* what was in force stays */
+        return; /* the previous configuration stays in force */
     }
     GwRouting *routing = edge->adapter->read_config(row->value, &error);
     if (routing == NULL) {
@@ -35,7 +35,7 @@
 
     switch (edge->adapter->operator_row(row->key, &name)) {
     case GW_ROW_CONFIG:
-        take_config(edge, row);
+        apply_config(edge, row);
         break;
     case GW_ROW_EVACUATION:
         GwRouter_SetEvacuated(edge->router, GwEdge_Now(), name, !row->removed);
@@ -47,9 +47,10 @@
     }
 }
 
-/* A server's own count of how long it stays cold may be off by this before
- * entries are told: it is cold for longer, or warm sooner, than they believe.
- * Sent work too early it falls over; too late costs a little room. */
+/* Tolerance for the remaining warm-up time that a server reports: within
+ * it, entries are not updated. Work sent to a cold server too early
+ * overloads it, so the tolerance for a longer warm-up is tight; work sent
+ * too late costs little capacity. */
 #define COLD_LONGER_MS 300
 #define WARM_SOONER_MS 2000
 
@@ -67,16 +68,16 @@
                  const char *value)
 {
     const GwAdapter *adapter = ((GwEdge *)ctx)->adapter;
-    GwRegistered was;
-    GwRegistered is;
+    GwRegistered old_server;
+    GwRegistered new_server;
 
-    if (!adapter->read_server(key, old, &was, NULL) ||
-        !adapter->read_server(key, value, &is, NULL) ||
-        !is_same_server(&was, &is)) {
+    if (!adapter->read_server(key, old, &old_server, NULL) ||
+        !adapter->read_server(key, value, &new_server, NULL) ||
+        !is_same_server(&old_server, &new_server)) {
         return true;
     }
-    int64_t expected_ms = MAX(was.warmup_left_ms - age_us / 1000, 0);
-    int64_t longer_ms = is.warmup_left_ms - expected_ms;
+    int64_t expected_ms = MAX(old_server.warmup_left_ms - age_us / 1000, 0);
+    int64_t longer_ms = new_server.warmup_left_ms - expected_ms;
     return longer_ms > COLD_LONGER_MS || longer_ms < -WARM_SOONER_MS;
 }
 
@@ -93,7 +94,7 @@
         region = GwEdge_RegionOf(edge, server.domain);
     }
     if (region == NULL) {
-        /* Gone, or an entry that names no server to use. */
+        /* Removed, or a row that describes no usable server. */
         GwRouter_DropServer(edge->router, now_us, row->key, edge->actions);
         GwLog_Event(GW_LOG_BACKEND_GONE, "server=%s removed=%d", row->key,
                     row->removed);
