--- a/lib/edge/adapter.h
+++ b/lib/edge/adapter.h
@@ -1,13 +1,13 @@
-/* What an entry has to know of the world that it serves in: names on the
- * wire and formats of bodies. One adapter is linked into a program; the rest
- * of the code uses these typed values only. */
+/* The environment of an entry: names on the wire and formats of bodies. Each
+ * program links one adapter; the rest of the code uses these typed values
+ * only. */
 #ifndef GW_EDGE_ADAPTER_H
 #define GW_EDGE_ADAPTER_H
 
 #include "router/router.h"
 #include "store/rows.h"
 
-/* A backend server's own entry in the registry. */
+/* A backend server's row in the registry. */
 typedef struct {
     char id[128];
     uint64_t born_ms;
@@ -27,22 +27,23 @@
 
 typedef struct {
     /* Header names. */
-    const char *request_id;    /* names one attempt of a caller */
-    const char *time_left;     /* ms that the caller will still wait */
-    const char *object_key;    /* requests about one object carry the same */
-    const char *seal;          /* a server's mark that the answer is its own */
-    const char *expect_server; /* only the server of this id may run it */
-    const char *load;          /* running,waiting,slots at the server */
-    const char *not_run;       /* the server says that it did not run it */
+    const char *request_id; /* identifies one attempt of a caller */
+    const char *time_left;  /* time in ms that the caller still waits */
+    const char *object_key; /* equal for requests about the same object */
+    const char *seal;       /* marks an answer as made by the server itself */
+    const char
+        *expect_server;  /* id of the only server that may run the request */
+    const char *load;    /* "running,waiting,slots" of the server */
+    const char *not_run; /* set when the server did not run the request */
     const char *cold_ms;
-    const char *limit; /* requests a second that the server takes at most */
-    /* Paths that entries answer. */
+    const char *limit; /* maximum requests/s of the server */
+    /* Paths served by entries. */
     const char *ready_path;
     const char *directory_path;
     /* Tables of the store. */
     const char *operator_table;
     const char *server_table;
-    /* Paths and bodies of the store's calls; results are freed by g_free. */
+    /* Paths and bodies of calls to the store; free results with g_free. */
     char *(*feed_target)(const char *table, uint64_t after, uint32_t wait_ms);
     char *(*read_target)(const char *table, const char *from_key);
     char *(*write_body)(const char *table, const char *key, const char *value);
@@ -54,9 +55,9 @@
     GwRouting *(*read_config)(const char *text, GError **error);
     bool (*read_server)(const char *key, const char *text, GwRegistered *out,
                         GError **error);
-    /* The body of a directory's answer. */
+    /* Body of a directory answer. */
     char *(*write_directory)(const GPtrArray *addresses, uint32_t ttl_ms);
-    const char *directory_region; /* parameters of its query */
+    const char *directory_region; /* query parameters of the directory */
     const char *directory_domain;
 } GwAdapter;
 
--- a/lib/edge/callers.c
+++ b/lib/edge/callers.c
@@ -1,13 +1,15 @@
-/* Callers' connections: requests in, answers out in the same order. */
+/* Connections from callers: parses requests and sends the answers in the order
+ * of the requests. */
 #include "edge/callers_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Requests of one connection that are under way at once; what comes behind
- * them stays unread, so a caller that never reads holds no more than this. */
+/* Maximum number of requests in progress on one connection. Further requests
+ * stay unread in the socket, which bounds the memory of a caller that never
+ * reads its answers. */
 #define PIPELINE_MAX 32
-/* When a caller whose body found no room may come back. */
+/* Retry-After of a 503 sent because the budget for bodies is used up. */
 #define NO_ROOM_RETRY_MS 1000
 static void
 free_exchange(GwExchange *x)
@@ -20,10 +22,10 @@
     g_free(x);
 }
 
-/* Requests without an answer yet: those that wait behind others have no line
- * otherwise. */
+/* Logs the end of a request that has no answer yet. A request queued behind
+ * others on its connection would otherwise leave no log line. */
 static void
-note_open(const GwExchange *x, GwRequestEnd end)
+log_open_exchange(const GwExchange *x, GwRequestEnd end)
 {
     int64_t now_us = GwEdge_Now();
     GwRequestStory story = {.took_ms =
@@ -35,11 +37,11 @@
     if (x->request != NULL) {
         story = GwRequest_Story(x->request, now_us);
     }
-    GwEdge_NoteEnd(x, end, 0, GW_WHY_NONE, &story);
+    GwEdge_LogRequestEnd(x, end, 0, GW_WHY_NONE, &story);
 }
 
-/* The connection is gone or about to be: what is under way is abandoned, and
- * ends in that way. */
+/* Removes a connection that is closed or about to be closed. Its requests in
+ * progress are cancelled and logged with `open_end`. */
 void
 GwCaller_Free(GwCaller *caller, GwRequestEnd open_end)
 {
@@ -47,14 +49,14 @@
     GwExchange *x;
 
     g_queue_unlink(&edge->callers, &caller->link);
-    if (caller->dirty) {
-        g_queue_remove(&edge->dirty, caller);
+    if (caller->is_flush_pending) {
+        g_queue_remove(&edge->flush_queue, caller);
     }
-    if (caller->gone) {
-        g_queue_remove(&edge->gone, caller);
+    if (caller->is_disconnected) {
+        g_queue_remove(&edge->disconnected, caller);
     }
     while ((x = g_queue_pop_head(&caller->exchanges)) != NULL) {
-        note_open(x, open_end);
+        log_open_exchange(x, open_end);
         if (x->request != NULL) {
             GwServerLink_Cancel(x);
             GwRouter_Gone(edge->router, GwEdge_Now(), x->request,
@@ -67,43 +69,45 @@
     GwCallers_Resume(edge);
 }
 
-/* Its answers are sent once all that the router said is carried out. */
+/* Schedules the connection's answers to be sent after all pending router
+ * actions have run. */
 void
-GwCaller_Mark(GwCaller *caller)
+GwCaller_ScheduleFlush(GwCaller *caller)
 {
-    if (!caller->dirty) {
-        caller->dirty = true;
-        g_queue_push_tail(&caller->edge->dirty, caller);
+    if (!caller->is_flush_pending) {
+        caller->is_flush_pending = true;
+        g_queue_push_tail(&caller->edge->flush_queue, caller);
     }
 }
 
 bool
-GwExchange_HasCaller(GwExchange *x)
+GwExchange_IsCallerConnected(GwExchange *x)
 {
     GwCaller *caller = x->caller;
 
-    if (!caller->gone && GwConn_HasEnded(caller->conn)) {
-        caller->gone = true;
-        g_queue_push_tail(&caller->edge->gone, caller);
+    if (!caller->is_disconnected && GwConn_HasEnded(caller->conn)) {
+        caller->is_disconnected = true;
+        g_queue_push_tail(&caller->edge->disconnected, caller);
     }
-    return !caller->gone;
+    return !caller->is_disconnected;
 }
 
-/* One at a time: the room that it leaves may have been given to a request of
- * the next one, which an action names then. */
+/* Frees a single connection per call: the slot that this releases may be
+ * assigned to a request of the next disconnected caller, and an action in the
+ * queue then refers to that request. */
 void
-GwCallers_DropOneGone(GwEdge *edge)
+GwCallers_FreeOneDisconnected(GwEdge *edge)
 {
-    GwCaller *caller = g_queue_peek_head(&edge->gone);
+    GwCaller *caller = g_queue_peek_head(&edge->disconnected);
 
     if (caller != NULL) {
         GwConn_Close(caller->conn);
-        GwCaller_Free(caller, GW_END_LEFT);
+        GwCaller_Free(caller, GW_END_DISCONNECTED);
     }
 }
 
 static bool
-is_tail(GwCaller *caller, const GwExchange *x)
+is_last_exchange(GwCaller *caller, const GwExchange *x)
 {
     return g_queue_peek_tail(&caller->exchanges) == x;
 }
@@ -132,7 +136,7 @@
 }
 
 static void
-write_own(GString *out, uint16_t status, uint32_t retry_after_ms, bool close)
+write_reply(GString *out, uint16_t status, uint32_t retry_after_ms, bool close)
 {
     g_string_append_printf(out, "HTTP/1.1 %u %s\r\nContent-Length: 0\r\n",
                            status, status_text(status));
@@ -144,7 +148,7 @@
 }
 
 static int64_t
-read_left_us(const GwExchange *x)
+read_time_left_us(const GwExchange *x)
 {
     const char *text = GwHttpMessage_Get(x->msg, x->edge->adapter->time_left);
     char *rest;
@@ -157,23 +161,23 @@
 }
 
 static const char *
-field_of(const GwHttpMessage *msg, const char *name)
+header_or_empty(const GwHttpMessage *msg, const char *name)
 {
     const char *value = GwHttpMessage_Get(msg, name);
 
     return value != NULL ? value : "";
 }
 
-/* A caller has many addresses, and shares some: what names it is what it says
- * of itself. */
+/* Identifies the caller by its credentials: a caller can use many addresses
+ * and can share an address with others. */
 const GwFingerprint *
 GwExchange_Fingerprint(GwExchange *x)
 {
     GwFingerprintParts parts = {
         .method = x->msg->method,
-        .host = field_of(x->msg, "host"),
+        .host = header_or_empty(x->msg, "host"),
         .target = x->msg->target->str,
-        .caller = field_of(x->msg, "authorization"),
+        .caller = header_or_empty(x->msg, "authorization"),
         .body = x->msg->body->str,
         .body_len = x->msg->body->len,
     };
@@ -186,7 +190,7 @@
 }
 
 static void
-start(GwExchange *x)
+start_exchange(GwExchange *x)
 {
     GwEdge *edge = x->edge;
     const char *host = GwHttpMessage_Get(x->msg, "host");
@@ -195,7 +199,7 @@
         .host = host != NULL ? host : "",
         .path = x->msg->target->str,
         .key = GwHttpMessage_Get(x->msg, edge->adapter->object_key),
-        .left_us = read_left_us(x),
+        .left_us = read_time_left_us(x),
     };
 
     if (GwRouter_WantsFingerprints(edge->router)) {
@@ -204,16 +208,18 @@
 
     x->started = true;
     edge->counts.arrived++;
-    GwEdge_NoticeStop(edge);
+    GwEdge_CheckStopSignal(edge);
     GwRouter_Arrive(edge->router, GwEdge_Now(), &arrival, edge->actions);
 }
 
-/* Starts what may run now. A request that may run once only waits until all
- * before it on its connection are answered: if one of those closed the
- * connection, the caller would send it again. In a stop all wait: the one
- * before may outlast the entry, and an answer behind it would go with it. */
+/* Starts the requests that may run now. A non-idempotent request waits until
+ * all requests before it on the connection are answered: if one of those
+ * answers closed the connection, the caller would send the request again.
+ * During a graceful stop every request waits for its predecessors: a
+ * predecessor may still run when the process exits, and the answers queued
+ * behind it would be lost. */
 static void
-start_next(GwCaller *caller)
+start_ready(GwCaller *caller)
 {
     GwEdge *edge = caller->edge;
 
@@ -224,7 +230,7 @@
             return;
         }
         if (!x->started) {
-            start(x);
+            start_exchange(x);
         }
         if (!x->idempotent) {
             return;
@@ -232,9 +238,9 @@
     }
 }
 
-/* Sends the answers that are ready and next in order. An answer that ends the
- * connection must be the last of what was read, for what was passed on behind
- * it would be sent again by the caller. */
+/* Sends the answers that are ready, in request order. An answer that closes
+ * the connection must be the last for the data read so far: the caller would
+ * resend any request already forwarded behind it. */
 void
 GwCaller_Flush(GwCaller *caller)
 {
@@ -242,13 +248,14 @@
     GwExchange *x = g_queue_peek_head(&caller->exchanges);
     bool close = false;
 
-    caller->dirty = false;
+    caller->is_flush_pending = false;
     while (!close && x != NULL && x->out != NULL) {
-        bool last = is_tail(caller, x) && !GwConn_IsInside(caller->conn);
-        close = last && caller->bad_status == 0 &&
+        bool last =
+            is_last_exchange(caller, x) && !GwConn_IsInside(caller->conn);
+        close = last && caller->error_status == 0 &&
                 (edge->leaving || !x->msg->keep_alive);
         if (close) {
-            /* Goes in behind the start line. */
+            /* Inserted after the start line. */
             const char *eol = strstr(x->out->str, "\r\n");
             g_string_insert(x->out, eol - x->out->str + 2,
                             "Connection: close\r\n");
@@ -259,24 +266,24 @@
         x = g_queue_peek_head(&caller->exchanges);
     }
     GwCaller_BeginIdle(caller);
-    caller->arriving = true;
-    if (x == NULL && caller->bad_status != 0) {
+    caller->has_unacked_answer = true;
+    if (x == NULL && caller->error_status != 0) {
         GString *out = g_string_new(NULL);
-        write_own(out, caller->bad_status,
-                  caller->bad_status == 503 ? NO_ROOM_RETRY_MS : 0, true);
+        write_reply(out, caller->error_status,
+                    caller->error_status == 503 ? NO_ROOM_RETRY_MS : 0, true);
         GwConn_Write(caller->conn, out);
         g_string_free(out, TRUE);
         close = true;
     }
     if (close) {
         GwConn_FinishAndClose(caller->conn);
-        GwCaller_Free(caller, GW_END_CUT);
+        GwCaller_Free(caller, GW_END_INTERRUPTED);
         return;
     }
     GwConn_Pause(caller->conn,
-                 caller->bad_status != 0 ||
+                 caller->error_status != 0 ||
                      g_queue_get_length(&caller->exchanges) >= PIPELINE_MAX);
-    start_next(caller);
+    start_ready(caller);
 }
 
 static bool
@@ -286,7 +293,7 @@
     const char *host = GwHttpMessage_Get(msg, "host");
 
     if (routing == NULL || host == NULL) {
-        return true; /* it won't run at all */
+        return true; /* the request is answered without being run */
     }
     const GwRoute *route = GwRouting_Match(routing, host, msg->target->str);
     return route == NULL || route->idempotent;
@@ -303,17 +310,17 @@
     x->msg = msg;
     x->idempotent = is_idempotent(caller->edge, msg);
     x->arrived_us = GwEdge_Now();
-    caller->inside_since_us = 0;
+    caller->partial_since_us = 0;
     g_queue_push_tail(&caller->exchanges, x);
     if (g_queue_get_length(&caller->exchanges) >= PIPELINE_MAX) {
         GwConn_Pause(caller->conn, true);
     }
-    start_next(caller);
+    start_ready(caller);
 }
 
-/* Answers go out only now: the first of several requests that came together may
- * be refused at once, and an answer that closes the connection has to be the
- * last of them. */
+/* Sends answers only after the whole read is parsed: the first of several
+ * pipelined requests may be refused at once, and only the last answer may
+ * close the connection. */
 static void
 on_read(void *owner)
 {
@@ -323,39 +330,39 @@
 }
 
 static void
-on_ended(void *owner, GwConnEnd end)
+on_connection_end(void *owner, GwConnEnd end)
 {
     GwCaller *caller = owner;
     GwEdge *edge = caller->edge;
 
     if (end != GW_CONN_BAD) {
-        GwEdge_NoticeStop(edge);
-        GwCaller_Free(caller, GW_END_LEFT);
+        GwEdge_CheckStopSignal(edge);
+        GwCaller_Free(caller, GW_END_DISCONNECTED);
         GwEdge_Carry(edge);
         return;
     }
     switch (GwConn_Error(caller->conn)) {
     case GW_HTTP_LONG_HEAD:
-        caller->bad_status = 431;
+        caller->error_status = 431;
         break;
     case GW_HTTP_LONG_BODY:
-        caller->bad_status = 413;
+        caller->error_status = 413;
         break;
     case GW_HTTP_NO_ROOM:
-        caller->bad_status = 503; /* not whole, so it did not run */
+        caller->error_status = 503; /* incomplete, so never run */
         break;
     default:
-        caller->bad_status = 400;
+        caller->error_status = 400;
         break;
     }
-    GwCaller_Mark(caller);
+    GwCaller_ScheduleFlush(caller);
     GwEdge_Carry(edge);
 }
 
-/* Right only behind an answer that said that it closes the connection: the
- * caller knows then that nothing behind it was run, and sends it again. With
- * an idle_ms above some milliseconds there was no such answer, and the caller
- * can't know. */
+/* Dropping a request is correct only after an answer with "Connection: close":
+ * the caller then knows that no later request was run, and resends it. An
+ * idle_ms above a few milliseconds means that no such answer preceded the
+ * request, so the caller can't tell whether it ran. */
 static void
 on_dropped(void *host, const GwConnDropped *dropped)
 {
@@ -373,22 +380,23 @@
 static const GwConnOps caller_ops = {
     .message = on_message,
     .read = on_read,
-    .ended = on_ended,
+    .ended = on_connection_end,
     .dropped = on_dropped,
 };
 
 void
 GwCallers_Resume(GwEdge *edge)
 {
-    if (edge->callers_wait && edge->call_listener != NULL &&
-        GwCallers_HaveRoom(edge)) {
-        edge->callers_wait = false;
+    if (edge->is_accept_paused && edge->call_listener != NULL &&
+        GwCallers_HasFreeSlot(edge)) {
+        edge->is_accept_paused = false;
         GwCallers_OnConnection((uv_stream_t *)edge->call_listener, 0);
     }
 }
 
-/* libuv listens no further until a connection that it reported is accepted, so
- * the next ones wait in the kernel while there are many. */
+/* libuv stops accepting until the connection that it reported has been
+ * accepted, so while the limit is reached further connections wait in the
+ * kernel's backlog. */
 void
 GwCallers_OnConnection(uv_stream_t *listener, int status)
 {
@@ -398,8 +406,8 @@
     if (status != 0) {
         return;
     }
-    edge->callers_wait = !GwCallers_MakeRoom(edge);
-    if (edge->callers_wait) {
+    edge->is_accept_paused = !GwCallers_FreeSlot(edge);
+    if (edge->is_accept_paused) {
         return;
     }
     GwCaller *caller = g_new0(GwCaller, 1);
@@ -424,19 +432,19 @@
     GwCaller_BeginIdle(caller);
 }
 
-/* ---- Ends of requests ---------------------------------------------------- */
+/* ---- Completed requests -------------------------------------------------- */
 
 void
 GwExchange_Reply(GwExchange *x, uint16_t status, uint32_t retry_after_ms)
 {
     x->request = NULL;
     x->out = g_string_new(NULL);
-    write_own(x->out, status, retry_after_ms, false);
-    GwCaller_Mark(x->caller);
+    write_reply(x->out, status, retry_after_ms, false);
+    GwCaller_ScheduleFlush(x->caller);
 }
 
 void
-GwExchange_PassOn(GwExchange *x)
+GwExchange_ForwardAnswer(GwExchange *x)
 {
     GwHttpWrite how = {
         .to_head = strcmp(x->msg->method, "HEAD") == 0,
@@ -445,5 +453,5 @@
     x->request = NULL;
     x->out = g_string_sized_new(x->answer->body->len + 512);
     GwHttpMessage_WriteAnswer(x->answer, &how, x->out);
-    GwCaller_Mark(x->caller);
+    GwCaller_ScheduleFlush(x->caller);
 }
--- a/lib/edge/callers_idle.c
+++ b/lib/edge/callers_idle.c
@@ -1,16 +1,17 @@
-/* How long callers' connections last, and how many there are. */
+/* Limits on the lifetime and number of connections from callers. */
 #include "edge/callers_internal.h"
 
-/* Of the descriptors, what callers' connections may take: each request under
- * way needs one more, to its server, and kept ones stay open beside them. With
- * none left no server can be reached, and the loop accepts without end. */
-#define CALLERS_SHARE 3
-/* How many of those that were idle longest are looked at to make room for one. */
-#define IDLEST_LOOKS 8
-/* For the last answers to arrive on a connection that is closed: one that has
- * been idle, and at the end of the process, which is killed soon after. */
-#define IDLE_WAIT_MS 10000
-#define END_WAIT_MS  500
+/* Callers may use one of FD_PARTS parts of the file descriptors: each
+ * request in progress needs another one for its server, and idle server
+ * connections stay open as well. With no descriptor left, no server can be
+ * reached and accept() fails in a busy loop. */
+#define FD_PARTS 3
+/* Number of longest-idle connections checked when a slot is needed. */
+#define IDLEST_CHECKED 8
+/* Linger times that let the last answers arrive: of a connection closed for
+ * being idle, and at process exit, where the process is killed soon after. */
+#define IDLE_LINGER_MS 10000
+#define EXIT_LINGER_MS 500
 
 GwCallerLimits
 GwCallers_Limits(const GwEdge *edge)
@@ -28,8 +29,8 @@
     };
 }
 
-/* From here on the connection is idle, unless something is under way. The one
- * that was idle longest is the first of all. */
+/* Starts the connection's idle time, unless a request is in progress. Keeps
+ * the list of callers ordered by idle time, longest first. */
 void
 GwCaller_BeginIdle(GwCaller *caller)
 {
@@ -41,8 +42,9 @@
     caller->idle_limit_ms = GwCallers_Limits(caller->edge).idle_timeout_ms;
 }
 
-/* Nothing is under way, nor has a request begun to come: one that came while
- * the process stood still waits unread when the limits are looked at. */
+/* Whether no request is in progress, partly received or unread in the socket.
+ * While the process was stalled, a request may have arrived that the loop has
+ * not read when the limits are checked. */
 static bool
 is_idle(const GwCaller *caller)
 {
@@ -50,93 +52,97 @@
            !GwConn_HasUnread(caller->conn);
 }
 
-/* ---- Room ---------------------------------------------------------------- */
+/* ---- Connection slots ---------------------------------------------------- */
 
 bool
-GwCallers_HaveRoom(const GwEdge *edge)
+GwCallers_HasFreeSlot(const GwEdge *edge)
 {
     return edge->leaving || g_queue_get_length((GQueue *)&edge->callers) <
-                                edge->settings->fd_limit / CALLERS_SHARE;
+                                edge->settings->fd_limit / FD_PARTS;
 }
 
-/* Closes the connection that was idle longest: callers keep theirs for long, and
- * those who come next would wait for that. */
+/* Closes the longest-idle connection to free a slot: callers keep connections
+ * open for long, and new callers would have to wait for them. */
 bool
-GwCallers_MakeRoom(GwEdge *edge)
+GwCallers_FreeSlot(GwEdge *edge)
 {
     GList *at = edge->callers.head;
 
-    for (int i = 0; i < IDLEST_LOOKS && at != NULL; i++, at = at->next) {
+    for (int i = 0; i < IDLEST_CHECKED && at != NULL; i++, at = at->next) {
         GwCaller *caller = at->data;
-        if (GwCallers_HaveRoom(edge)) {
+        if (GwCallers_HasFreeSlot(edge)) {
             break;
         }
         if (is_idle(caller)) {
-            GwConn_CloseUnread(caller->conn, IDLE_WAIT_MS);
-            GwCaller_Free(caller, GW_END_CUT);
+            GwConn_CloseUnread(caller->conn, IDLE_LINGER_MS);
+            GwCaller_Free(caller, GW_END_INTERRUPTED);
             break;
         }
     }
-    return GwCallers_HaveRoom(edge);
+    return GwCallers_HasFreeSlot(edge);
 }
 
 /* ---- Time ---------------------------------------------------------------- */
 
 static bool
-is_late(int64_t since_us, uint32_t limit_ms, int64_t now_us)
+is_overdue(int64_t since_us, uint32_t limit_ms, int64_t now_us)
 {
     return now_us - since_us > (int64_t)limit_ms * 1000;
 }
 
-/* Half a request has come. */
+/* Checks a connection on which a request is partly received. */
 static void
-sweep_inside(GwCaller *caller, const GwCallerLimits *limits, int64_t now_us)
+check_partial_request(GwCaller *caller, const GwCallerLimits *limits,
+                      int64_t now_us)
 {
     bool in_head = GwConn_IsInHead(caller->conn);
 
-    if (caller->inside_since_us == 0) {
-        caller->inside_since_us = now_us;
+    if (caller->partial_since_us == 0) {
+        caller->partial_since_us = now_us;
     }
     uint32_t limit_ms =
         in_head ? limits->head_timeout_ms : limits->idle_timeout_ms;
     int64_t since =
-        in_head ? caller->inside_since_us : GwConn_LastHeard(caller->conn);
-    /* What waits unread was sent in time: the process stood still. */
-    if (caller->bad_status == 0 && is_late(since, limit_ms, now_us) &&
+        in_head ? caller->partial_since_us : GwConn_LastHeard(caller->conn);
+    /* Unread data was sent in time; the process was stalled. */
+    if (caller->error_status == 0 && is_overdue(since, limit_ms, now_us) &&
         !GwConn_HasUnread(caller->conn)) {
-        caller->bad_status = 408; /* it was not whole, so it did not run */
-        GwCaller_Mark(caller);
+        caller->error_status = 408; /* incomplete, so never run */
+        GwCaller_ScheduleFlush(caller);
     }
 }
 
 static void
-sweep_one(GwCaller *caller, const GwCallerLimits *limits, int64_t now_us)
+sweep_caller(GwCaller *caller, const GwCallerLimits *limits, int64_t now_us)
 {
-    /* The loop tells an end only where it reads; the requests would go on at
-     * servers, for nobody. */
+    /* libuv reports the end of a stream only while reading. On a paused
+     * connection the requests would go on running at servers although the
+     * caller has disconnected. */
     if (GwConn_IsPaused(caller->conn) && GwConn_HasEnded(caller->conn)) {
         GwConn_Close(caller->conn);
-        GwCaller_Free(caller, GW_END_LEFT);
+        GwCaller_Free(caller, GW_END_DISCONNECTED);
         return;
     }
     GwConn_SetLimits(caller->conn, limits->head_bytes, limits->body_bytes);
     if (GwConn_IsInside(caller->conn)) {
-        sweep_inside(caller, limits, now_us);
+        check_partial_request(caller, limits, now_us);
         return;
     }
-    /* Its caller counts from the arrival of the answer, which takes its time on
-     * a narrow link. */
-    if (caller->arriving && GwConn_HasArrived(caller->conn)) {
-        caller->arriving = false;
+    /* The caller measures idle time from the arrival of the answer, which can
+     * be long after the write on a slow link. */
+    if (caller->has_unacked_answer && GwConn_HasArrived(caller->conn)) {
+        caller->has_unacked_answer = false;
         caller->idle_since_us = now_us;
     }
-    /* A lowered limit holds from the next time that it becomes idle: its caller
-     * counts on the one that was in force, and a request would cross the
-     * close. Callers may know a raised one already. */
+    /* A lowered limit applies from the next time that the connection becomes
+     * idle: the caller relies on the limit in force before, and its request
+     * could cross the close. A raised limit applies at once, because callers
+     * may know it already. */
     uint32_t idle_ms = MAX(caller->idle_limit_ms, limits->idle_timeout_ms);
-    if (is_late(caller->idle_since_us, idle_ms, now_us) && is_idle(caller)) {
-        GwConn_CloseUnread(caller->conn, IDLE_WAIT_MS);
-        GwCaller_Free(caller, GW_END_CUT);
+    if (is_overdue(caller->idle_since_us, idle_ms, now_us) &&
+        is_idle(caller)) {
+        GwConn_CloseUnread(caller->conn, IDLE_LINGER_MS);
+        GwCaller_Free(caller, GW_END_INTERRUPTED);
     }
 }
 
@@ -147,21 +153,21 @@
 
     for (GList *at = edge->callers.head, *next; at != NULL; at = next) {
         next = at->next;
-        sweep_one(at->data, &limits, now_us);
+        sweep_caller(at->data, &limits, now_us);
     }
 }
 
-/* The lines of what is cut go out first: the process may be killed while the
- * last answers are on their way. */
+/* Flushes the log lines of the interrupted requests here: the process may be
+ * killed while the last answers are being delivered. */
 void
 GwCallers_CloseAll(GwEdge *edge)
 {
     GwCaller *caller;
 
-    edge->callers_wait = false; /* nobody is accepted any more */
+    edge->is_accept_paused = false; /* stop accepting */
     while ((caller = g_queue_peek_head(&edge->callers)) != NULL) {
-        GwConn_CloseUnread(caller->conn, END_WAIT_MS);
-        GwCaller_Free(caller, GW_END_CUT);
+        GwConn_CloseUnread(caller->conn, EXIT_LINGER_MS);
+        GwCaller_Free(caller, GW_END_INTERRUPTED);
     }
     GwLog_Flush();
 }
@@ -173,8 +179,8 @@
         GwCaller *caller = at->data;
         next = at->next;
         if (is_idle(caller)) {
-            GwConn_CloseUnread(caller->conn, IDLE_WAIT_MS);
-            GwCaller_Free(caller, GW_END_CUT);
+            GwConn_CloseUnread(caller->conn, IDLE_LINGER_MS);
+            GwCaller_Free(caller, GW_END_INTERRUPTED);
         }
     }
 }
--- a/lib/edge/callers_internal.h
+++ b/lib/edge/callers_internal.h
@@ -1,5 +1,5 @@
-/* A caller's connection, to those who serve it (callers.c) and those who bound
- * its life (callers_idle.c). */
+/* State of a connection from a caller, shared by callers.c (requests and
+ * answers) and callers_idle.c (limits). */
 #ifndef GW_EDGE_CALLERS_INTERNAL_H
 #define GW_EDGE_CALLERS_INTERNAL_H
 
@@ -11,26 +11,28 @@
     GList link;       /* in edge->callers */
     GQueue exchanges; /* GwExchange, oldest first */
     int64_t idle_since_us;
-    uint32_t idle_limit_ms;  /* in force when it became idle */
-    bool arriving;           /* its last answer may not have arrived */
-    int64_t inside_since_us; /* a message has begun to come; 0: none */
-    bool dirty;              /* in edge->dirty: answers wait to be sent */
-    bool gone;               /* in edge->gone: it has left */
-    uint16_t bad_status; /* to be said when the rest is answered; 0: none */
+    uint32_t idle_limit_ms;   /* limit when it became idle */
+    bool has_unacked_answer;  /* last answer may be unacknowledged */
+    int64_t partial_since_us; /* start of a partly received message; 0: none */
+    bool is_flush_pending;    /* in edge->flush_queue: has answers to send */
+    bool is_disconnected;     /* in edge->disconnected: disconnected */
+    uint16_t error_status; /* error to send after the other answers; 0: none */
 };
 
-/* The connection is gone or about to be: what is under way is abandoned, and
- * ends in that way. */
+/* Removes a connection that is closed or about to be closed. Its requests in
+ * progress are cancelled and logged with `open_end`. */
 void GwCaller_Free(GwCaller *caller, GwRequestEnd open_end);
-/* Its answers are sent once all that the router said is carried out. */
-void GwCaller_Mark(GwCaller *caller);
-/* Those in force. */
+/* Schedules the connection's answers to be sent after all pending router
+ * actions have run. */
+void GwCaller_ScheduleFlush(GwCaller *caller);
+/* The limits in force; defaults until a configuration is known. */
 GwCallerLimits GwCallers_Limits(const GwEdge *edge);
-/* From here on the connection is idle, unless something is under way. */
+/* Starts the connection's idle time, unless a request is in progress. */
 void GwCaller_BeginIdle(GwCaller *caller);
-/* One more may be connected, if need be in place of one that is idle. */
-bool GwCallers_MakeRoom(GwEdge *edge);
-/* The same, and none is idle. */
-bool GwCallers_HaveRoom(const GwEdge *edge);
+/* Whether another caller may connect; closes an idle connection if that is
+ * needed to free a slot. */
+bool GwCallers_FreeSlot(GwEdge *edge);
+/* Whether another caller may connect without closing a connection. */
+bool GwCallers_HasFreeSlot(const GwEdge *edge);
 
 #endif
--- a/lib/edge/control.c
+++ b/lib/edge/control.c
@@ -1,5 +1,5 @@
-/* What is asked of the entry itself: readiness, the directory, its state, and
- * rows for peers. Small answers, each made at once. */
+/* Requests to the entry itself: readiness, the directory, its state, and rows
+ * for peers. Each answer is small and sent at once. */
 #include "edge/edge_internal.h"
 
 #include <string.h>
@@ -13,9 +13,10 @@
     GwClient_Answer(client, &answer);
 }
 
-/* The value of a parameter of a query, decoded; NULL when absent. */
+/* Returns the decoded value of a query parameter, NULL when absent; the
+ * calling function frees it. */
 static char *
-parameter(const char *target, const char *name)
+query_parameter(const char *target, const char *name)
 {
     const char *query = strchr(target, '?');
     char **items = g_strsplit(query != NULL ? query + 1 : "", "&", -1);
@@ -35,8 +36,8 @@
 answer_directory(GwEdge *edge, GwClient *client, const char *target)
 {
     const GwAdapter *a = edge->adapter;
-    char *region = parameter(target, a->directory_region);
-    char *domain = parameter(target, a->directory_domain);
+    char *region = query_parameter(target, a->directory_region);
+    char *domain = query_parameter(target, a->directory_domain);
     GPtrArray *addresses = GwPeers_Directory(edge->peers, region, domain);
 
     if (addresses->len > 0) {
@@ -95,17 +96,17 @@
 static void
 release_suspect(GwEdge *edge, GwClient *client, const char *target)
 {
-    char *text = parameter(target, "fingerprint");
+    char *text = query_parameter(target, "fingerprint");
     GwFingerprint f;
 
     if (text == NULL || !GwFingerprint_Read(text, &f)) {
         send_answer(client, 400, "text/plain",
-                    "fingerprint: 32 hexadecimal digits are needed\n");
+                    "fingerprint must be 32 hexadecimal digits\n");
     }
     else if (!GwQuarantine_Release(GwRouter_Quarantine(edge->router),
                                    GwEdge_Now(), &f)) {
         send_answer(client, 404, "text/plain",
-                    "no request of this fingerprint is under suspicion\n");
+                    "no suspected request has this fingerprint\n");
     }
     else {
         send_answer(client, 200, "text/plain", "released\n");
@@ -122,7 +123,7 @@
 }
 
 static void
-on_asked(void *owner, GwClient *client, GwHttpMessage *msg)
+on_request(void *owner, GwClient *client, GwHttpMessage *msg)
 {
     GwEdge *edge = owner;
     const char *target = msg->target->str;
@@ -161,7 +162,7 @@
     GwHttpMessage_Free(msg);
 }
 
-static const GwServeOps control_ops = {.asked = on_asked};
+static const GwServeOps control_ops = {.asked = on_request};
 
 void
 GwControl_CloseAll(GwEdge *edge)
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -3,15 +3,15 @@
 #include <signal.h>
 #include <string.h>
 
-/* Bodies may take a third of the memory: buffers are up to twice as large as
- * what they hold. */
+/* Share of the memory for bodies, in bytes per MiB: a third, because buffers
+ * are up to twice as large as their contents. */
 #define BODIES_SHARE ((1 << 20) / 3)
-/* Lines are written out every half second: each write is paid for, and a
- * killed process loses what it has not written. */
+/* The log is flushed every half second: each write costs processor time, and a
+ * killed process loses its unwritten lines. */
 #define LOG_FLUSH_SWEEPS 2
-/* Between two lines of what is spent on other entries. */
+/* Interval between CONTROL_COST log lines. */
 #define COST_PERIOD_US 10000000
-/* A timer may fire before its time by what its clock is too coarse for. */
+/* A timer may fire early by up to the resolution of its clock. */
 #define TIMER_EARLY_US 2000
 
 int64_t
@@ -35,7 +35,7 @@
 
 /* ---- Actions ------------------------------------------------------------- */
 
-/* What an answer of our own was decided by. */
+/* Logs the reason for an answer made by the entry itself. */
 static void
 log_reply(const GwExchange *x, const char *id, uint16_t status, GwWhy why,
           const GwRequestStory *story)
@@ -61,12 +61,12 @@
                 GwFeed_AgeMs(x->edge->server_feed, GwEdge_Now()), more);
 }
 
-/* One line for each request: its id, what decided about it with its version
- * or age, and its end. That of an answer is short: nothing went wrong, and its
- * bytes are most of what the log costs (docs/MEASURES.md). */
+/* Logs one line per request: its id, the versions and ages of the data that
+ * decided about it, and the outcome. The line of an answered request is short,
+ * because these lines are most of the log's volume. */
 void
-GwEdge_NoteEnd(const GwExchange *x, GwRequestEnd end, uint16_t status,
-               GwWhy why, const GwRequestStory *story)
+GwEdge_LogRequestEnd(const GwExchange *x, GwRequestEnd end, uint16_t status,
+                     GwWhy why, const GwRequestStory *story)
 {
     const char *id = GwHttpMessage_Get(x->msg, x->edge->adapter->request_id);
     const char *route = story->route[0] != '\0' ? story->route : "(none)";
@@ -83,10 +83,10 @@
                     story->waited_ms, story->took_ms, story->warm, story->far,
                     story->version);
         break;
-    case GW_END_LEFT:
-    case GW_END_CUT:
-        GwLog_Event(end == GW_END_LEFT ? GW_LOG_REQUEST_LEFT
-                                       : GW_LOG_REQUEST_CUT,
+    case GW_END_DISCONNECTED:
+    case GW_END_INTERRUPTED:
+        GwLog_Event(end == GW_END_DISCONNECTED ? GW_LOG_REQUEST_LEFT
+                                               : GW_LOG_REQUEST_CUT,
                     "request=%.40s route=%s server=%s attempts=%u "
                     "waited_ms=%u took_ms=%u config=%" PRIu64,
                     id, story->route, story->server, story->attempts,
@@ -135,7 +135,7 @@
 }
 
 static void
-carry_one(GwEdge *edge, const GwDo *act)
+run_action(GwEdge *edge, const GwDo *act)
 {
     GwExchange *x = act->user;
 
@@ -144,7 +144,8 @@
         x->request = act->request;
         break;
     case GW_DO_SEND:
-        /* By the version that admitted it, not by the one it arrived under. */
+        /* From the configuration that admitted the request, which may be newer
+         * than the one at its arrival. */
         x->idempotent = act->idempotent;
         GwServerLink_Send(x, act->server, act->left_ms);
         break;
@@ -152,13 +153,14 @@
         GwServerLink_Cancel(x);
         break;
     case GW_DO_ANSWER:
-        GwEdge_NoteEnd(x, act->status < 500 ? GW_END_ANSWERED : GW_END_FAILED,
-                       act->status, GW_WHY_NONE, &act->story);
-        GwExchange_PassOn(x);
+        GwEdge_LogRequestEnd(
+            x, act->status < 500 ? GW_END_ANSWERED : GW_END_FAILED,
+            act->status, GW_WHY_NONE, &act->story);
+        GwExchange_ForwardAnswer(x);
         break;
     case GW_DO_REPLY:
-        GwEdge_NoteEnd(x, GwRequestEnd_OfReply(act->status), act->status,
-                       act->why, &act->story);
+        GwEdge_LogRequestEnd(x, GwRequestEnd_OfReply(act->status), act->status,
+                             act->why, &act->story);
         GwExchange_Reply(x, act->status, act->retry_after_ms);
         break;
     case GW_DO_PROBE:
@@ -178,32 +180,32 @@
     }
 }
 
-/* Timers come before the sockets in each turn. After a long turn an answer, or
- * the end of a connection, may lie unread that came before the deadline: time
- * is over only once the loop has looked. That also keeps it reading where the
- * next deadline has passed whenever one has been dealt with. */
+/* libuv runs timers before it polls sockets. After a long turn an answer or
+ * the end of a connection that arrived before the deadline may still be
+ * unread, so deadlines are evaluated only after a poll. This also guarantees
+ * that sockets are read when handling one deadline takes until the next. */
 static void
 on_deadline(uv_timer_t *timer)
 {
     GwEdge *edge = timer->data;
 
-    if (GwTurns_SeenUntil(edge->turns) + TIMER_EARLY_US < edge->armed_us) {
-        (void)uv_timer_start(timer, on_deadline, GW_LOOK_FIRST_MS, 0);
+    if (GwTurns_PolledUntil(edge->turns) + TIMER_EARLY_US < edge->armed_us) {
+        (void)uv_timer_start(timer, on_deadline, GW_AFTER_POLL_MS, 0);
         return;
     }
     edge->armed_us = INT64_MAX;
-    GwEdge_NoticeStop(edge);
+    GwEdge_CheckStopSignal(edge);
     GwRouter_Tick(edge->router, GwEdge_Now(), edge->actions);
     GwEdge_Carry(edge);
 }
 
 static void
-arm(GwEdge *edge)
+arm_deadline(GwEdge *edge)
 {
     int64_t at_us = GwRouter_NextDeadline(edge->router);
 
-    /* An early wake-up does no harm, so a timer that fires before the new
-     * deadline is left as it is. */
+    /* Waking up early is harmless, so a timer that fires before the new
+     * deadline is kept. */
     if (at_us >= edge->armed_us) {
         return;
     }
@@ -217,29 +219,29 @@
 void
 GwEdge_Carry(GwEdge *edge)
 {
-    if (edge->carrying) {
+    if (edge->is_running_actions) {
         return;
     }
-    edge->carrying = true;
-    while (edge->actions->len > 0 || !g_queue_is_empty(&edge->gone) ||
-           !g_queue_is_empty(&edge->dirty)) {
+    edge->is_running_actions = true;
+    while (edge->actions->len > 0 || !g_queue_is_empty(&edge->disconnected) ||
+           !g_queue_is_empty(&edge->flush_queue)) {
         for (guint i = 0; i < edge->actions->len; i++) {
-            /* Carrying out may append, which may move the array. */
+            /* Copied: running the action may append and so move the array. */
             GwDo act = g_array_index(edge->actions, GwDo, i);
-            carry_one(edge, &act);
+            run_action(edge, &act);
         }
         g_array_set_size(edge->actions, 0);
-        GwCallers_DropOneGone(edge);
-        GwCaller *caller = g_queue_pop_head(&edge->dirty);
+        GwCallers_FreeOneDisconnected(edge);
+        GwCaller *caller = g_queue_pop_head(&edge->flush_queue);
         if (caller != NULL) {
             GwCaller_Flush(caller);
         }
     }
-    edge->carrying = false;
-    arm(edge);
+    edge->is_running_actions = false;
+    arm_deadline(edge);
 }
 
-/* ---- Signals and sweeps ----------------------------------------------------- */
+/* ---- Signals and periodic work ------------------------------------------- */
 
 static void
 on_hangup(uv_signal_t *handle, int signum)
@@ -249,7 +251,7 @@
 }
 
 static void
-log_cost(GwEdge *edge, int64_t now_us)
+log_control_cost(GwEdge *edge, int64_t now_us)
 {
     GString *line = g_string_new(NULL);
 
@@ -270,7 +272,7 @@
     GwEdge *edge = timer->data;
     int64_t now_us = GwEdge_Now();
 
-    GwEdge_NoticeStop(edge);
+    GwEdge_CheckStopSignal(edge);
     GwCallers_Sweep(edge, now_us);
     GwServerLink_Sweep(edge, now_us);
     GwFeed_Sweep(edge->operator_feed, now_us);
@@ -279,20 +281,21 @@
     GwHeldRows_Sweep(edge->held_rows, now_us);
     GwEdge_Reload(edge, false);
     if (edge->leaving) {
-        GwEdge_GoOnLeaving(edge, now_us);
+        GwEdge_ContinueStop(edge, now_us);
     }
     GwEdge_Carry(edge);
     if (now_us - edge->cost_logged_us >= COST_PERIOD_US) {
-        log_cost(edge, now_us);
+        log_control_cost(edge, now_us);
     }
     if (++edge->sweeps % LOG_FLUSH_SWEEPS == 0) {
         GwLog_Flush();
     }
 }
 
-/* ---- Start and end ------------------------------------------------------- */
+/* ---- Start and shutdown -------------------------------------------------- */
 
-/* Each line stands for more than GW_TURN_LONG_US, so they can't be many. */
+/* Each line stands for more than GW_TURN_LONG_US of work, which bounds their
+ * rate. */
 static void
 on_long_turn(void *ctx, int64_t turn_us)
 {
@@ -311,14 +314,14 @@
     (void)uv_timer_init(&edge->loop, &edge->sweep);
     edge->sweep.data = edge;
     (void)uv_timer_start(&edge->sweep, on_sweep, 0, GW_SWEEP_MS);
-    GwEdge_AwaitStop(edge);
+    GwEdge_InitStop(edge);
     (void)uv_signal_init(&edge->loop, &edge->hangup);
     edge->hangup.data = edge;
     (void)uv_signal_start(&edge->hangup, on_hangup, SIGHUP);
 }
 
 static bool
-listen_all(GwEdge *edge, GError **error)
+open_listeners(GwEdge *edge, GError **error)
 {
     const char *address = edge->settings->call_address;
 
@@ -341,7 +344,7 @@
 
     edge->settings = settings;
     edge->settings_path = g_strdup(path);
-    GwEdge_NoteSettings(edge);
+    GwEdge_RecordSettingsTime(edge);
     edge->adapter = adapter;
     (void)uv_loop_init(&edge->loop);
     edge->turns = GwTurns_Create(&edge->loop, on_long_turn, edge);
@@ -363,7 +366,7 @@
                                       GwBeliefs_OnServerRow, GwBeliefs_IsNews);
     edge->peers = GwPeers_Create(edge, &why);
     start_timers(edge);
-    if (why != NULL || !listen_all(edge, &why)) {
+    if (why != NULL || !open_listeners(edge, &why)) {
         g_propagate_error(error, why);
         GwEdge_Free(edge);
         return NULL;
@@ -384,12 +387,12 @@
 close_all(GwEdge *edge)
 {
     uv_handle_t *const own[] = {
-        (uv_handle_t *)&edge->deadline,  (uv_handle_t *)&edge->sweep,
-        (uv_handle_t *)&edge->hangup,    (uv_handle_t *)&edge->listened,
-        (uv_handle_t *)&edge->leave_end,
+        (uv_handle_t *)&edge->deadline,   (uv_handle_t *)&edge->sweep,
+        (uv_handle_t *)&edge->hangup,     (uv_handle_t *)&edge->after_accept,
+        (uv_handle_t *)&edge->stop_timer,
     };
 
-    edge->carrying = true; /* nothing is begun any more */
+    edge->is_running_actions = true; /* prevents further actions */
     GwCallers_CloseAll(edge);
     GwControl_CloseAll(edge);
     GwServerLink_CloseAll(edge);
--- a/lib/edge/edge.h
+++ b/lib/edge/edge.h
@@ -1,6 +1,6 @@
-/* One entry on an event loop: callers, backend servers, the store, peers and
- * the directory, all on one thread. It decides nothing about where work goes;
- * that is lib/router. */
+/* An entry on an event loop: callers, backend servers, the store, peers and
+ * the directory, all on one thread. Load balancing decisions are made in
+ * lib/router. */
 #ifndef GW_EDGE_EDGE_H
 #define GW_EDGE_EDGE_H
 
@@ -9,11 +9,11 @@
 
 typedef struct GwEdge_s GwEdge;
 
-/* Takes over the settings, which were read from `path`, and opens the
- * listeners. NULL with `error` when an address is taken. */
+/* Takes ownership of the settings, read from `path`, and opens the listeners.
+ * Returns NULL and sets `error` when an address can't be bound. */
 GwEdge *GwEdge_Create(GwEdgeSettings *settings, const char *path,
                       const GwAdapter *adapter, GError **error);
-/* Serves until a graceful stop is over (SIGTERM, SIGINT). */
+/* Runs until a graceful stop (SIGTERM, SIGINT) is complete. */
 void GwEdge_Run(GwEdge *edge);
 void GwEdge_Free(GwEdge *edge);
 
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -1,4 +1,5 @@
-/* What the parts of the entry's host share. All on the loop's thread. */
+/* State and functions shared by the files of lib/edge. Everything runs on the
+ * loop's thread. */
 #ifndef GW_EDGE_INTERNAL_H
 #define GW_EDGE_INTERNAL_H
 
@@ -16,11 +17,12 @@
 
 #include <inttypes.h>
 
-/* Housekeeping: idle connections, time-outs of seconds, peers gone silent. */
+/* Period of the checks of idle connections, of time-outs of seconds and of
+ * silent peers. */
 #define GW_SWEEP_MS 250
-/* Of a timer that waits for a look at the sockets. One of no time at all would
- * come before it. */
-#define GW_LOOK_FIRST_MS 1
+/* Delay of a timer that must fire after the next poll of the sockets. With a
+ * delay of 0 it would fire before the poll. */
+#define GW_AFTER_POLL_MS 1
 
 typedef struct GwCaller_s GwCaller;
 typedef struct GwServerLink_s GwServerLink;
@@ -28,16 +30,16 @@
 typedef struct GwPeers_s GwPeers;
 typedef struct GwHeldRows_s GwHeldRows;
 
-/* One request of a caller, from its arrival to its answer. */
+/* A caller's request, from its arrival to its answer. */
 typedef struct {
     GwEdge *edge;
     GwCaller *caller;
-    GwHttpMessage *msg;    /* the request */
-    GwRequest *request;    /* the router's, while it is open */
-    GwServerLink *link;    /* of the attempt under way */
-    GwHttpMessage *answer; /* the last attempt's, whole */
-    GString *out;          /* what goes to the caller; NULL until it is over */
-    bool started;          /* given to the router */
+    GwHttpMessage *msg;    /* the request as received */
+    GwRequest *request;    /* router's state, while the request is open */
+    GwServerLink *link;    /* connection of the current attempt */
+    GwHttpMessage *answer; /* complete answer of the last attempt */
+    GString *out;          /* encoded answer; NULL until the request is done */
+    bool started;          /* passed to the router */
     bool idempotent;
     bool has_fingerprint;
     GwFingerprint fingerprint;
@@ -51,25 +53,25 @@
     int64_t settings_checked_us;
     const GwAdapter *adapter;
     uv_loop_t loop;
-    uv_timer_t deadline; /* of the router */
+    uv_timer_t deadline; /* next deadline of the router */
     uv_timer_t sweep;
-    uv_timer_t leave_end; /* of a stop */
-    uint32_t end_looks;   /* at the sockets, since that time */
-    uv_check_t listened;  /* runs when all that has come was accepted */
+    uv_timer_t stop_timer;   /* end of a graceful stop */
+    uint32_t end_polls;      /* polls since stop_timer first fired */
+    uv_check_t after_accept; /* runs after pending accepts */
     GwStopSignal stop_signal;
     uv_signal_t hangup;
     GPtrArray *controls; /* GwServe */
     uv_tcp_t *call_listener;
-    GwHttpBudget bodies; /* of callers and of servers */
+    GwHttpBudget bodies; /* shared by callers and servers */
     GwRouter *router;
-    GArray *actions;   /* GwDo; reused */
-    bool carrying;     /* actions are being carried out */
-    GQueue callers;    /* GwCaller, all that are open */
-    bool callers_wait; /* one is there to be accepted, but there are many */
-    GQueue dirty;      /* GwCaller with answers to send */
-    GQueue gone;       /* GwCaller found to have left, to be dropped */
-    GQueue pools;      /* GwPool, one for each server */
-    GQueue connecting; /* GwServerLink */
+    GArray *actions;         /* GwDo; pending actions of the router */
+    bool is_running_actions; /* GwEdge_Carry is running */
+    GQueue callers;          /* GwCaller, longest idle first */
+    bool is_accept_paused;   /* accepting is paused at the connection limit */
+    GQueue flush_queue;      /* GwCaller with answers to send */
+    GQueue disconnected;     /* GwCaller, disconnected, to be freed */
+    GQueue pools;            /* GwPool, one per server */
+    GQueue connecting;       /* GwServerLink */
     GwMeters *meters;
     GwTurns *turns;
     GwFeed *operator_feed;
@@ -80,17 +82,17 @@
     bool servers_known; /* the registry has been read once */
     int64_t started_us;
     bool leaving;
-    int64_t leaving_us;
-    int64_t listen_until_us;
-    int64_t armed_us; /* when the deadline timer fires */
+    int64_t stop_signal_us;
+    int64_t accept_until_us;
+    int64_t armed_us; /* time at which the deadline timer fires */
     struct {
         uint64_t arrived;
-        uint64_t dropped; /* requests behind a close */
+        uint64_t dropped; /* requests received after a close */
         uint64_t connects;
         uint64_t reuses;
         uint64_t store_calls;
         uint64_t reports;
-        uint64_t row_bytes_out; /* rows told to peers */
+        uint64_t row_bytes_out; /* rows sent to peers */
     } counts;
     GwControlCost cost;        /* datagrams sent, rows received */
     GwControlCost cost_logged; /* as of the last CONTROL_COST */
@@ -98,101 +100,112 @@
     int64_t cost_logged_us;
 };
 
-int64_t GwEdge_Now(void); /* us, a clock that only rises */
-/* Carries out what the router has appended, then sends the answers that this
- * made ready, until nothing is left; arms the router's timer. To be called
- * last in each callback of the loop. */
+int64_t GwEdge_Now(void); /* us, monotonic */
+/* Runs the actions appended by the router and sends the answers that become
+ * ready, until none are left; then arms the router's timer. Must be the last
+ * call of each callback of the loop. */
 void GwEdge_Carry(GwEdge *edge);
 /* leave.c */
-/* From now on the entry stops at a signal. */
-void GwEdge_AwaitStop(GwEdge *edge);
-void GwEdge_GoOnLeaving(GwEdge *edge, int64_t now_us); /* at each sweep */
-/* Begins the stop if its signal has come. Called before each step that may begin
- * a request too: the signal may lie seconds back when the loop hears of it.
- * Appends actions, to be carried out by the caller. */
-void GwEdge_NoticeStop(GwEdge *edge);
-/* A request is over, or its caller left: counts it and writes its line. */
-void GwEdge_NoteEnd(const GwExchange *x, GwRequestEnd end, uint16_t status,
-                    GwWhy why, const GwRequestStory *story);
-/* Whether it knows a configuration and servers, and is not leaving. */
+/* Sets up the handling of the stop signals. */
+void GwEdge_InitStop(GwEdge *edge);
+/* Called at each sweep during a graceful stop. */
+void GwEdge_ContinueStop(GwEdge *edge, int64_t now_us);
+/* Begins the graceful stop if a stop signal was received. Called also before
+ * each step that may start a request, because the loop may get to the signal
+ * seconds after its arrival. Appends actions that the calling function must
+ * run. */
+void GwEdge_CheckStopSignal(GwEdge *edge);
+/* Counts and logs a request that has ended or whose caller has
+ * disconnected. */
+void GwEdge_LogRequestEnd(const GwExchange *x, GwRequestEnd end,
+                          uint16_t status, GwWhy why,
+                          const GwRequestStory *story);
+/* Whether the entry has a configuration and the registry, and is not
+ * stopping. */
 bool GwEdge_IsReady(const GwEdge *edge);
 const char *GwEdge_RegionOf(const GwEdge *edge, const char *domain);
 
 /* callers.c */
 void GwCallers_OnConnection(uv_stream_t *listener, int status);
-/* Takes on those that wait to be accepted, if some do. */
+/* Accepts waiting connections if accepting was paused and slots are free. */
 void GwCallers_Resume(GwEdge *edge);
 void GwCallers_Sweep(GwEdge *edge, int64_t now_us);
 void GwCallers_CloseIdle(GwEdge *edge);
 void GwCallers_CloseAll(GwEdge *edge);
-void GwCaller_Flush(GwCaller *caller); /* sends what is ready, in order */
-/* Asks the socket whether the caller is still there. One that has left is
- * dropped once the actions are carried out that may name its requests. */
-bool GwExchange_HasCaller(GwExchange *x);
-void GwCallers_DropOneGone(GwEdge *edge);
+void GwCaller_Flush(GwCaller *caller); /* sends the ready answers in order */
+/* Checks the socket for a disconnect. A disconnected caller is freed later,
+ * once the actions that may refer to its requests have run. */
+bool GwExchange_IsCallerConnected(GwExchange *x);
+void GwCallers_FreeOneDisconnected(GwEdge *edge);
 void GwExchange_Reply(GwExchange *x, uint16_t status, uint32_t retry_after_ms);
-void GwExchange_PassOn(GwExchange *x);
-/* Worked out on first use. */
+void GwExchange_ForwardAnswer(GwExchange *x);
+/* Computed on first use. */
 const GwFingerprint *GwExchange_Fingerprint(GwExchange *x);
 
 /* answers.c */
-/* How the attempt ended that got this answer. */
+/* Outcome of the attempt that received the answer. */
 GwAttemptEnd GwAnswer_End(const GwAdapter *names, const GwHttpMessage *msg,
                           int64_t connect_us);
-/* Whether it belongs to the request. A second answer to an earlier request can
- * stand where this one's is expected. */
+/* Whether the answer belongs to the request. A duplicate answer to an earlier
+ * request can arrive in place of the expected one. */
 bool GwAnswer_IsTo(const GwAdapter *names, const GwHttpMessage *msg,
                    const GwHttpMessage *request);
 
 /* server_links.c */
-void GwServerLink_Send(GwExchange *x, GwServer *s, uint32_t left_ms);
+void GwServerLink_Send(GwExchange *x, GwServer *s, uint32_t time_left_ms);
 void GwServerLink_Cancel(GwExchange *x);
-/* Connects to see whether the server is alive, and tells the router. */
+/* Connects to check that the server is alive, and reports the result to the
+ * router. */
 void GwServerLink_Probe(GwEdge *edge, GwServer *s);
 void GwServerLink_Forget(GwEdge *edge, GwServer *s);
-/* Ends the attempts whose connections are not made yet. */
-void GwServerLink_GiveUpConnecting(GwEdge *edge);
+/* Ends the attempts whose connections are not established yet. */
+void GwServerLink_AbortConnecting(GwEdge *edge);
 void GwServerLink_CloseAll(GwEdge *edge);
 void GwServerLink_Sweep(GwEdge *edge, int64_t now_us);
 
 /* feed.c */
 void GwFeed_Close(GwFeed *feed);
-/* `is_news`: NULL where every change is. */
+/* `is_news` filters the changes that count as updates; NULL: all of them. */
 GwFeed *GwFeed_Create(GwEdge *edge, const char *table, GwRowChanged changed,
                       GwRowIsNews is_news);
 void GwFeed_Free(GwFeed *feed);
 void GwFeed_Sweep(GwFeed *feed, int64_t now_us);
-/* Whether this entry reads the table from the store, or leaves that to peers. */
+/* Selects whether this entry reads the table from the store or relies on
+ * peers. */
 void GwFeed_SetReads(GwFeed *feed, bool reads);
-/* Reads, and the store answers. */
+/* Whether this entry reads the table and the store answers. */
 bool GwFeed_IsHealthy(const GwFeed *feed);
-/* The store was away until lately, as this entry saw itself, or by a peer. */
+/* Whether this entry recently saw an outage of the store during which no peer
+ * could read it either. */
 bool GwFeed_WasAway(const GwFeed *feed, int64_t now_us);
-/* A peer's report came; `saw_away`: the store was away, it says. */
+/* Handles a peer's report; `saw_away`: the peer observed an outage of the
+ * store. */
 void GwFeed_NotePeer(GwFeed *feed, int64_t now_us, bool saw_away);
 uint64_t GwFeed_Version(const GwFeed *feed);
-/* Since the last news of the table, from the store or a peer. */
+/* Time since the last answer about the table, from the store or a peer. */
 int64_t GwFeed_AgeMs(const GwFeed *feed, int64_t now_us);
 bool GwFeed_IsKnown(const GwFeed *feed);
-/* A peer knows more: reads from it what is missing. */
+/* Reads the missing rows from a peer that has a newer version. */
 void GwFeed_AskPeer(GwFeed *feed, const char *address, uint64_t version);
-/* The same from the store itself, once: for rows that are too large to go from
- * peer to peer. */
+/* Reads the missing rows from the store, once: for rows too large to be
+ * exchanged between peers. */
 void GwFeed_AskStore(GwFeed *feed, uint64_t version);
-/* The store has not failed such a call lately, nor does this entry read it
- * anyway. */
+/* Whether such a read may be tried: the store has not failed one recently, and
+ * this entry does not read the table from the store anyway. */
 bool GwFeed_MayAskStore(const GwFeed *feed);
-/* About how many bytes a peer would be told that knows that version. */
+/* Approximate size of the rows, in bytes, that a peer with that version
+ * lacks. */
 uint64_t GwFeed_BytesAfter(const GwFeed *feed, uint64_t version);
-/* Answers a peer's read of this copy: 200 with packed rows; 404 for another
- * table or an unknown one; 410 when the peer has to read all. */
+/* Answers a peer's read of this entry's copy: 200 with packed rows; 404 for
+ * another table or one not read yet; 410 when the peer has to read the whole
+ * table. */
 GByteArray *GwFeed_Answer(const GwFeed *feed, const GwRowsAsk *ask,
                           uint16_t *status);
 
 /* beliefs.c */
 void GwBeliefs_OnOperatorRow(void *ctx, const GwStoreRow *row);
 void GwBeliefs_OnServerRow(void *ctx, const GwStoreRow *row);
-/* GwRowIsNews of servers' rows. */
+/* GwRowIsNews for rows of servers. */
 bool GwBeliefs_IsNews(void *ctx, const char *key, const char *old,
                       int64_t age_us, const char *value);
 
@@ -200,45 +213,48 @@
 void GwStatus_WriteMetrics(GwEdge *edge, GString *out);
 void GwStatus_WriteDump(GwEdge *edge, GString *out);
 void GwStatus_Write(GwEdge *edge, GString *out);
-/* Requests that servers crashed under, as JSON. */
+/* Requests that are suspected of crashing servers, as JSON. */
 void GwStatus_WriteSuspects(GwEdge *edge, GString *out);
 
 /* peers.c */
 typedef struct {
     uint32_t live;
-    int64_t loads_age_ms; /* the oldest among the peers that share servers */
+    int64_t loads_age_ms; /* oldest load report of peers sharing servers */
 } GwPeersView;
 
 GwPeersView GwPeers_View(const GwPeers *peers);
-/* A JSON array with one object a peer; the caller owns it. */
+/* A JSON array with one object per peer; owned by the calling function. */
 struct json_object *GwPeers_Members(const GwPeers *peers);
 GwPeers *GwPeers_Create(GwEdge *edge, GError **error);
-/* Closes its sockets; they are gone when the loop has run once more. */
+/* Closes the sockets; the handles are released once the loop has run again. */
 void GwPeers_Close(GwPeers *peers);
 void GwPeers_Free(GwPeers *peers);
 void GwPeers_Sweep(GwPeers *peers, int64_t now_us);
-/* Tells every peer at once, for what can't wait for the next report. */
+/* Sends a report to every peer at once, for state that can't wait for the next
+ * regular report. */
 void GwPeers_Announce(GwPeers *peers);
-/* Peers that read the store and saw no outage. */
+/* Number of peers that read the store and saw no outage. */
 uint32_t GwPeers_CountReadingWell(const GwPeers *peers);
-/* There is news from the store: the next reports to the region go soon. */
+/* Makes the next reports to the region go out soon, after updates from the
+ * store. */
 void GwPeers_Hurry(GwPeers *peers);
-/* The same, to those of the failure domain. */
+/* The same for peers in this failure domain. */
 void GwPeers_HurryDomain(GwPeers *peers);
-/* Whether this entry is one of the few that write the row of that name, as all
- * decide alike by a hash. */
+/* Whether this entry is one of the few that write the row of that name. All
+ * entries agree on them by a hash of the name. */
 bool GwPeers_IsWriterOf(const GwPeers *peers, uint64_t name);
-/* How far bytes go to and from the peer of that address. */
+/* Distance class of the traffic with the peer at that address. */
 GwWay GwPeers_WayTo(const GwPeers *peers, const char *address);
-/* Addresses for callers of that place, best first. */
+/* Entry addresses for callers in the region and failure domain, best first. */
 GPtrArray *GwPeers_Directory(const GwPeers *peers, const char *region,
                              const char *domain);
 
 /* reload.c */
-/* Reads the settings again if the file has changed (or `always`), and takes
- * over what can change while it runs. */
+/* Reloads the settings if the file has changed (or `always`), and applies
+ * those that can change at run time. */
 void GwEdge_Reload(GwEdge *edge, bool always);
-void GwEdge_NoteSettings(GwEdge *edge); /* as read now */
+/* Records the file's modification time as read. */
+void GwEdge_RecordSettingsTime(GwEdge *edge);
 
 /* control.c */
 bool GwControl_Listen(GwEdge *edge, GError **error);
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -1,16 +1,17 @@
-/* The store's rows: one long poll for each table, and a full reading where the
- * history is gone. */
+/* Rows of the store: a long poll for each table, and a read of the whole table
+ * where the store no longer has the history. */
 #include "edge/feed_internal.h"
 #include "store/away.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Between an answer and the next poll: changes come in bursts, and one poll
- * brings them all. */
-#define PAUSE_US 300000
-/* The store did not answer for so long: rows may have lapsed meanwhile. */
-#define AWAY_US 1000000
+/* Pause between an answer and the next poll: changes come in bursts, and one
+ * poll then returns them all. */
+#define POLL_PAUSE_US 300000
+/* The store counts as unavailable after this time without an answer: rows may
+ * have expired meanwhile. */
+#define OUTAGE_MIN_US 1000000
 
 static const GwConnOps store_ops;
 
@@ -35,7 +36,7 @@
 close_store(GwFeed *feed)
 {
     GwConn_CloseAt(&feed->conn);
-    feed->ask_at_us = 0;
+    feed->next_poll_us = 0;
     GwRowSet_Free(feed->pages);
     feed->pages = NULL;
 }
@@ -76,7 +77,7 @@
     return feed->known;
 }
 
-/* Waits a growing while before the store is asked again. */
+/* Closes the connection and schedules a retry with exponential backoff. */
 static void
 back_off(GwFeed *feed)
 {
@@ -86,7 +87,7 @@
 }
 
 static void
-ask(GwFeed *feed)
+send_poll(GwFeed *feed)
 {
     GwEdge *edge = feed->edge;
     const GwAdapter *a = edge->adapter;
@@ -104,7 +105,7 @@
     GwConn_WriteGet(feed->conn, target, edge->settings->store_address);
     g_free(target);
     edge->counts.store_calls++;
-    feed->asked_us = GwEdge_Now();
+    feed->polled_us = GwEdge_Now();
 }
 
 static int64_t
@@ -116,14 +117,16 @@
 bool
 GwFeed_WasAway(const GwFeed *feed, int64_t now_us)
 {
-    return now_us < feed->away_until_us;
+    return now_us < feed->outage_grace_until_us;
 }
 
-/* A row that lapsed while the store was away is written again by its owner
- * within two seconds of its return, if that one lives: what is dropped now may
- * come back. Not if somebody read the store all the while. */
+/* A row that expired while the store was unavailable is written again by its
+ * owner, if that is alive, within two seconds of the store's return, so
+ * deleted rows may come back. Sets a grace period for them, unless some entry
+ * could read the store all the time. */
 static bool
-set_grace_if_away(GwFeed *feed, int64_t now_us, bool failed, bool reads_well)
+set_grace_after_outage(GwFeed *feed, int64_t now_us, bool failed,
+                       bool reads_well)
 {
     GwStoreSight sight = {
         .failed = failed,
@@ -143,19 +146,20 @@
 {
     bool reads_well = GwFeed_IsHealthy(feed) && !GwFeed_WasAway(feed, now_us);
 
-    (void)set_grace_if_away(feed, now_us, saw_away, reads_well);
+    (void)set_grace_after_outage(feed, now_us, saw_away, reads_well);
 }
 
 static void
-note_answer(GwFeed *feed)
+note_store_answer(GwFeed *feed)
 {
     int64_t now_us = GwEdge_Now();
-    bool failed = now_us - feed->answered_us >
-                      AWAY_US + (int64_t)GwStorePoll_WaitMs(false) * 1000 ||
-                  feed->retry_ms > GW_POLL_RETRY_MIN_MS;
+    bool failed =
+        now_us - feed->answered_us >
+            OUTAGE_MIN_US + (int64_t)GwStorePoll_WaitMs(false) * 1000 ||
+        feed->retry_ms > GW_POLL_RETRY_MIN_MS;
 
-    if (set_grace_if_away(feed, now_us, failed, false)) {
-        feed->away_until_us = now_us + grace_us(feed);
+    if (set_grace_after_outage(feed, now_us, failed, false)) {
+        feed->outage_grace_until_us = now_us + grace_us(feed);
         GwLog_Event(GW_LOG_STORE_BACK, "table=%s away_ms=%" G_GINT64_FORMAT,
                     feed->table, (now_us - feed->answered_us) / 1000);
     }
@@ -163,10 +167,11 @@
     feed->retry_ms = GW_POLL_RETRY_MIN_MS;
 }
 
-/* Joins a page to those before it. The newest version is that of the first
- * page: what changed since is told by the feed. */
+/* Appends a page to the read in progress; returns whether more pages follow.
+ * The version of the result is that of the first page: the feed sends all
+ * later changes. */
 static bool
-add_page(GwFeed *feed, GwRowSet *set)
+append_page(GwFeed *feed, GwRowSet *set)
 {
     bool more = set->more && set->rows->len > 0;
 
@@ -183,11 +188,11 @@
 }
 
 static void
-take_rows(GwFeed *feed, GwRowSet *set)
+apply_rows(GwFeed *feed, GwRowSet *set)
 {
     int64_t now_us = GwEdge_Now();
 
-    note_answer(feed);
+    note_store_answer(feed);
     feed->fresh_us = now_us;
     bool news = set->rows->len > 0;
     if (feed->phase == PHASE_FEED) {
@@ -195,7 +200,7 @@
         feed->version = MAX(feed->version, set->version);
         GwRowSet_Free(set);
     }
-    else if (!add_page(feed, set)) {
+    else if (!append_page(feed, set)) {
         GwRowCache_ApplyFull(feed->cache, now_us, feed->pages);
         feed->version = feed->pages->version;
         feed->phase = PHASE_FEED;
@@ -204,10 +209,10 @@
         feed->pages = NULL;
     }
     if (feed->pages != NULL) {
-        ask(feed); /* the next page */
+        send_poll(feed);
     }
     else {
-        feed->ask_at_us = now_us + PAUSE_US;
+        feed->next_poll_us = now_us + POLL_PAUSE_US;
     }
     if (news) {
         GwPeers_Hurry(feed->edge->peers);
@@ -225,7 +230,7 @@
     if (msg->status == 410) {
         feed->phase = PHASE_READ;
         GwHttpMessage_Free(msg);
-        ask(feed);
+        send_poll(feed);
         return;
     }
     if (msg->status == 200) {
@@ -242,13 +247,13 @@
         back_off(feed);
         return;
     }
-    take_rows(feed, set);
+    apply_rows(feed, set);
 }
 
 static void
 on_store_connected(void *owner)
 {
-    ask(owner);
+    send_poll(owner);
 }
 
 static void
@@ -268,7 +273,7 @@
     .ended = on_store_ended,
 };
 
-/* ---- Time ---------------------------------------------------------------- */
+/* ---- Connection and time-outs -------------------------------------------- */
 
 static void
 connect_store(GwFeed *feed)
@@ -283,7 +288,7 @@
         .keepalive = true,
     };
 
-    feed->asked_us = GwEdge_Now();
+    feed->polled_us = GwEdge_Now();
     feed->wait_ms = 0;
     feed->conn = GwConn_Connect(&params, feed->edge->settings->store_address);
     if (feed->conn == NULL) {
@@ -291,7 +296,8 @@
     }
 }
 
-/* An entry that begins to read goes on from what it knows by others. */
+/* An entry that starts to read the store continues from the version that it
+ * has received from peers. */
 void
 GwFeed_SetReads(GwFeed *feed, bool reads)
 {
@@ -299,7 +305,8 @@
         return;
     }
     feed->reads = reads;
-    feed->answered_us = GwEdge_Now(); /* nobody asked: it was not away */
+    feed->answered_us =
+        GwEdge_Now(); /* no poll was sent, so this was no outage */
     if (!reads) {
         close_store(feed);
         return;
@@ -324,15 +331,15 @@
     int64_t limit_us = ((int64_t)feed->wait_ms + GW_POLL_ANSWER_MS) * 1000;
 
     GwRowCache_Tick(feed->cache, now_us);
-    if (feed->ask_at_us != 0 && now_us >= feed->ask_at_us) {
-        feed->ask_at_us = 0;
-        ask(feed);
+    if (feed->next_poll_us != 0 && now_us >= feed->next_poll_us) {
+        feed->next_poll_us = 0;
+        send_poll(feed);
     }
     if (feed->conn == NULL && feed->reads && now_us >= feed->retry_at_us) {
         connect_store(feed);
     }
-    else if (feed->conn != NULL && feed->ask_at_us == 0 &&
-             now_us - feed->asked_us > limit_us) {
+    else if (feed->conn != NULL && feed->next_poll_us == 0 &&
+             now_us - feed->polled_us > limit_us) {
         GwLog_Event(GW_LOG_STORE_AWAY, "table=%s why=silent", feed->table);
         back_off(feed);
     }
--- a/lib/edge/feed_internal.h
+++ b/lib/edge/feed_internal.h
@@ -1,12 +1,12 @@
-/* What the two ways by which rows come share: the store, and peers. */
+/* State shared by the two sources of rows: the store and peers. */
 #ifndef GW_EDGE_FEED_INTERNAL_H
 #define GW_EDGE_FEED_INTERNAL_H
 
 #include "edge/edge_internal.h"
 
 typedef enum {
-    PHASE_READ = 1, /* a full reading, page by page */
-    PHASE_FEED = 2  /* changes after `version` */
+    PHASE_READ = 1, /* reads the whole table, page by page */
+    PHASE_FEED = 2  /* reads the changes after `version` */
 } Phase;
 
 struct GwFeed_s {
@@ -14,30 +14,31 @@
     char *table;
     GwRowCache *cache;
     GwConn *conn;
-    GwRowSet *pages;   /* of the full reading under way */
-    uint64_t version;  /* the feed goes on from here */
-    int64_t ask_at_us; /* the next poll; 0: none is due */
-    int64_t fresh_us;  /* last news, from the store or a peer */
-    int64_t asked_us;
+    GwRowSet *pages;      /* rows of the full read in progress */
+    uint64_t version;     /* version after which the next poll reads */
+    int64_t next_poll_us; /* time of the next poll; 0: none is due */
+    int64_t fresh_us;     /* last answer, from the store or a peer */
+    int64_t polled_us;
     int64_t retry_at_us;
-    int64_t answered_us;   /* last good answer */
-    int64_t away_until_us; /* the store was away; lapsed rows may come back */
+    int64_t answered_us;           /* last valid answer of the store */
+    int64_t outage_grace_until_us; /* grace period after an outage */
     uint32_t wait_ms;
     uint32_t retry_ms;
     Phase phase;
-    bool reads; /* this entry is one of those that read the store */
-    bool known; /* the table has been read, here or by a peer */
-    /* One read at a time from a peer, or once from the store. */
-    bool peer_full;     /* it is of the whole table */
-    bool peer_is_store; /* and it is the store that is asked */
+    bool reads; /* this entry reads the table from the store */
+    bool known; /* the table was read once, from the store or a peer */
+    /* At most one read at a time, from a peer or a single one from the
+     * store. */
+    bool peer_full;     /* reads the whole table */
+    bool peer_is_store; /* reads from the store */
     GwConn *peer;
     int64_t peer_asked_us;
-    int64_t store_failed_us; /* it did not answer such a read; 0: never */
+    int64_t store_failed_us; /* last time such a read failed; 0: never */
     char peer_address[64];
 };
 
 /* feed_peers.c */
-/* Gives a read from a peer up that takes too long. */
+/* Aborts a read from a peer that takes too long. */
 void GwFeed_SweepPeer(GwFeed *feed, int64_t now_us);
 
 #endif
--- a/lib/edge/leave.c
+++ b/lib/edge/leave.c
@@ -1,35 +1,35 @@
-/* A stop of the entry, from its signal to the end of its loop. What may still
- * be sent to servers meanwhile is lib/router/stop.c's to say. */
+/* Graceful stop of the entry, from the signal to the end of the loop.
+ * lib/router/stop.c decides which requests may still be sent to servers. */
 #include "edge/edge_internal.h"
 
-/* New connections are taken for this part of the grace: callers use the entry
- * until their directory's answer is too old. */
-#define LISTEN_SHARE 0.5
-/* It ends after this part of its grace at the latest. The rest is for a busy
- * processor, and for answers on their way out. */
-#define END_SHARE 0.9
-/* Before it ends the loop looks so often at its sockets: once to accept, and
- * once to read what has been accepted. A process that stood still until then
- * has refused nothing yet. */
-#define END_LOOKS 2
+/* Part of the grace period in which new connections are accepted: callers use
+ * the entry until the answer that they have from the directory expires. */
+#define LISTEN_PART 0.5
+/* The loop ends after this part of the grace period at the latest. The rest is
+ * a reserve for a busy processor and for the delivery of the last answers. */
+#define END_PART 0.9
+/* Number of polls before the loop ends: one to accept connections and one to
+ * read their requests. If the process was stalled until then, these requests
+ * still have to be refused. */
+#define END_POLLS 2
 
-/* The last lines go out now: closing takes its time, and the process may be
- * killed meanwhile. */
+/* Flushes the log here: closing takes time, and the process may be killed
+ * meanwhile. */
 static void
-end_run(GwEdge *edge)
+end_loop(GwEdge *edge)
 {
     GwLog_Event(GW_LOG_STOP_DONE, "open=%u after_ms=%" PRId64,
                 GwRouter_OpenCount(edge->router),
-                (GwEdge_Now() - edge->leaving_us) / 1000);
+                (GwEdge_Now() - edge->stop_signal_us) / 1000);
     GwLog_Flush();
     uv_stop(&edge->loop);
 }
 
-/* A connection that waits to be accepted is reset with its listener, and its
- * caller has already sent a request: the listener is closed only right after
- * the loop has accepted all that had come. */
+/* Closes the listener right after the loop has accepted all pending
+ * connections: closing it resets those still pending, whose callers may
+ * already have sent a request. */
 static void
-on_listened(uv_check_t *check)
+on_accepted_pending(uv_check_t *check)
 {
     GwEdge *edge = check->data;
 
@@ -42,54 +42,55 @@
 stop_listening(GwEdge *edge, int64_t now_us)
 {
     if (edge->call_listener == NULL ||
-        uv_is_active((const uv_handle_t *)&edge->listened)) {
+        uv_is_active((const uv_handle_t *)&edge->after_accept)) {
         return;
     }
     GwLog_Event(GW_LOG_STOP_LISTENING, "open=%u after_ms=%" PRId64,
                 GwRouter_OpenCount(edge->router),
-                (now_us - edge->leaving_us) / 1000);
-    (void)uv_check_start(&edge->listened, on_listened);
+                (now_us - edge->stop_signal_us) / 1000);
+    (void)uv_check_start(&edge->after_accept, on_accepted_pending);
 }
 
-/* What waits for a slot or for a connection to its server has not left, so its
- * caller can still be told that it did not run. */
+/* Refuses the requests that wait for a slot or for a connection to their
+ * server: nothing of them was sent, so callers can be assured that they did
+ * not run. */
 static void
-on_leave_end(uv_timer_t *timer)
+on_grace_end(uv_timer_t *timer)
 {
     GwEdge *edge = timer->data;
     int64_t now_us = GwEdge_Now();
 
     stop_listening(edge, now_us);
-    GwServerLink_GiveUpConnecting(edge);
+    GwServerLink_AbortConnecting(edge);
     GwRouter_Stop(edge->router, now_us, now_us, edge->actions);
     GwEdge_Carry(edge);
-    if (edge->end_looks < END_LOOKS) {
-        edge->end_looks++;
-        (void)uv_timer_start(timer, on_leave_end, GW_LOOK_FIRST_MS, 0);
+    if (edge->end_polls < END_POLLS) {
+        edge->end_polls++;
+        (void)uv_timer_start(timer, on_grace_end, GW_AFTER_POLL_MS, 0);
         return;
     }
-    end_run(edge);
+    end_loop(edge);
 }
 
 void
-GwEdge_NoticeStop(GwEdge *edge)
+GwEdge_CheckStopSignal(GwEdge *edge)
 {
-    int64_t told_us = GwStopSignal_At();
+    int64_t signalled_us = GwStopSignal_At();
 
-    if (edge->leaving || told_us == 0) {
+    if (edge->leaving || signalled_us == 0) {
         return;
     }
     int64_t now_us = GwEdge_Now();
     double grace_us = edge->settings->grace_ms * 1000.0;
-    int64_t end_us = told_us + (int64_t)(grace_us * END_SHARE);
-    edge->listen_until_us = told_us + (int64_t)(grace_us * LISTEN_SHARE);
+    int64_t end_us = signalled_us + (int64_t)(grace_us * END_PART);
+    edge->accept_until_us = signalled_us + (int64_t)(grace_us * LISTEN_PART);
     edge->leaving = true;
-    edge->leaving_us = told_us;
+    edge->stop_signal_us = signalled_us;
     GwLog_Event(GW_LOG_STOP_BEGIN, "open=%u noticed_ms=%" PRId64,
                 GwRouter_OpenCount(edge->router),
-                (now_us - edge->leaving_us) / 1000);
+                (now_us - edge->stop_signal_us) / 1000);
     uv_update_time(&edge->loop);
-    (void)uv_timer_start(&edge->leave_end, on_leave_end,
+    (void)uv_timer_start(&edge->stop_timer, on_grace_end,
                          (uint64_t)MAX(end_us - now_us, 0) / 1000, 0);
     GwRouter_Stop(edge->router, now_us, end_us, edge->actions);
     GwCallers_Resume(edge);
@@ -97,20 +98,21 @@
 }
 
 static void
-on_told_to_stop(void *owner)
+on_stop_signal(void *owner)
 {
     GwEdge *edge = owner;
 
-    GwEdge_NoticeStop(edge);
+    GwEdge_CheckStopSignal(edge);
     GwEdge_Carry(edge);
 }
 
-/* Ends early where nobody is connected. Not in the sweep that stops listening:
- * those who wait at the listener have yet to be accepted and heard. */
+/* Advances the stop, and ends the loop early once no caller is connected.
+ * Never ends in the sweep that stops listening: pending connections have to be
+ * accepted and read first. */
 void
-GwEdge_GoOnLeaving(GwEdge *edge, int64_t now_us)
+GwEdge_ContinueStop(GwEdge *edge, int64_t now_us)
 {
-    if (now_us < edge->listen_until_us) {
+    if (now_us < edge->accept_until_us) {
         return;
     }
     if (edge->call_listener != NULL) {
@@ -119,16 +121,16 @@
     }
     GwCallers_CloseIdle(edge);
     if (g_queue_is_empty(&edge->callers)) {
-        end_run(edge);
+        end_loop(edge);
     }
 }
 
 void
-GwEdge_AwaitStop(GwEdge *edge)
+GwEdge_InitStop(GwEdge *edge)
 {
-    (void)uv_timer_init(&edge->loop, &edge->leave_end);
-    edge->leave_end.data = edge;
-    (void)uv_check_init(&edge->loop, &edge->listened);
-    edge->listened.data = edge;
-    GwStopSignal_Start(&edge->stop_signal, &edge->loop, on_told_to_stop, edge);
+    (void)uv_timer_init(&edge->loop, &edge->stop_timer);
+    edge->stop_timer.data = edge;
+    (void)uv_check_init(&edge->loop, &edge->after_accept);
+    edge->after_accept.data = edge;
+    GwStopSignal_Start(&edge->stop_signal, &edge->loop, on_stop_signal, edge);
 }
--- a/lib/edge/meters.c
+++ b/lib/edge/meters.c
@@ -2,26 +2,29 @@
 
 #include <inttypes.h>
 
-/* Upper bounds of the buckets, ms. They lie close where objectives do (200 to
- * 500 ms at both users), so that the share in time can be read off. */
+/* Upper bounds of the buckets, in ms. They are dense where latency objectives
+ * lie (200 to 500 ms), so that the share of requests within the objective can
+ * be read off. */
 static const uint32_t bounds_ms[] = {5,    10,   20,   50,   100,  150,
                                      200,  250,  300,  400,  500,  750,
                                      1000, 1500, 2000, 3000, 5000, 10000};
-#define BOUNDS G_N_ELEMENTS(bounds_ms)
-/* Routes that are told apart; those beyond are counted together. A route costs
- * about half a kilobyte an end that it has met, and operators add many. */
-#define ROUTES_MAX 256
-#define OTHERS     "(other)"
+#define BOUND_COUNT G_N_ELEMENTS(bounds_ms)
+/* Maximum number of routes with histograms of their own; further routes share
+ * one. A route takes about half a kilobyte for each kind of end that has
+ * occurred, and operators add many routes. */
+#define ROUTES_MAX   256
+#define OTHER_ROUTES "(other)"
 
 typedef struct {
-    uint32_t counts[BOUNDS + 1]; /* not cumulative; the last is above all */
+    uint32_t counts[BOUND_COUNT +
+                    1]; /* not cumulative; the last one has no upper bound */
     uint64_t sum_ms;
     uint64_t count;
 } Histogram;
 
 typedef struct {
     char *name;
-    Histogram *ends[GW_END_COUNT]; /* NULL until one is met */
+    Histogram *ends[GW_END_COUNT]; /* NULL until the first such end */
 } RouteMeter;
 
 struct GwMeters_s {
@@ -35,8 +38,8 @@
     static const char *const names[GW_END_COUNT] = {
         [GW_END_ANSWERED] = "answered", [GW_END_FAILED] = "failed",
         [GW_END_NOT_RUN] = "not-run",   [GW_END_UNKNOWN] = "unknown",
-        [GW_END_NO_ROUTE] = "no-route", [GW_END_LEFT] = "left",
-        [GW_END_CUT] = "cut",
+        [GW_END_NO_ROUTE] = "no-route", [GW_END_DISCONNECTED] = "left",
+        [GW_END_INTERRUPTED] = "cut",
     };
 
     return names[end];
@@ -88,7 +91,7 @@
 }
 
 static RouteMeter *
-route_named(GwMeters *meters, const char *name)
+find_or_add_route(GwMeters *meters, const char *name)
 {
     RouteMeter *route = g_hash_table_lookup(meters->routes, name);
 
@@ -96,8 +99,8 @@
         return route;
     }
     if (g_hash_table_size(meters->routes) >= ROUTES_MAX &&
-        !g_str_equal(name, OTHERS)) {
-        return route_named(meters, OTHERS);
+        !g_str_equal(name, OTHER_ROUTES)) {
+        return find_or_add_route(meters, OTHER_ROUTES);
     }
     route = g_new0(RouteMeter, 1);
     route->name = g_strdup(name);
@@ -109,13 +112,13 @@
 GwMeters_Add(GwMeters *meters, const char *route, GwRequestEnd end, GwWhy why,
              uint32_t took_ms)
 {
-    Histogram **at = &route_named(meters, route)->ends[end];
+    Histogram **at = &find_or_add_route(meters, route)->ends[end];
     size_t bucket = 0;
 
     if (*at == NULL) {
         *at = g_new0(Histogram, 1);
     }
-    while (bucket < BOUNDS && took_ms > bounds_ms[bucket]) {
+    while (bucket < BOUND_COUNT && took_ms > bounds_ms[bucket]) {
         bucket++;
     }
     (*at)->counts[bucket]++;
@@ -124,9 +127,9 @@
     meters->whys[why]++;
 }
 
-/* Label values may hold any text of the operator. */
+/* Escapes a label value, which may be any text of the operator. */
 static char *
-label(const char *text)
+escape_label(const char *text)
 {
     return g_strescape(text, NULL);
 }
@@ -139,7 +142,7 @@
                                    GwRequestEnd_Name(end));
     uint64_t below = 0;
 
-    for (size_t i = 0; i < BOUNDS; i++) {
+    for (size_t i = 0; i < BOUND_COUNT; i++) {
         below += h->counts[i];
         g_string_append_printf(
             out, "gw_request_ms_bucket{%s,le=\"%u\"} %" PRIu64 "\n", labels,
@@ -160,12 +163,13 @@
     GHashTableIter iter;
     gpointer value;
 
-    g_string_append(out, "# HELP gw_request_ms Time of a request here, by "
-                         "route and end.\n# TYPE gw_request_ms histogram\n");
+    g_string_append(
+        out, "# HELP gw_request_ms Duration of requests in this entry, by "
+             "route and end.\n# TYPE gw_request_ms histogram\n");
     g_hash_table_iter_init(&iter, meters->routes);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const RouteMeter *route = value;
-        char *name = label(route->name);
+        char *name = escape_label(route->name);
         for (int i = 0; i < GW_END_COUNT; i++) {
             if (route->ends[i] != NULL) {
                 write_histogram(name, (GwRequestEnd)i, route->ends[i], out);
@@ -173,8 +177,9 @@
         }
         g_free(name);
     }
-    g_string_append(out, "# HELP gw_replies_total Answers of our own, by "
-                         "reason.\n# TYPE gw_replies_total counter\n");
+    g_string_append(
+        out, "# HELP gw_replies_total Answers made by the entry itself, by "
+             "reason.\n# TYPE gw_replies_total counter\n");
     for (int i = GW_WHY_NONE + 1; i < GW_WHY_COUNT; i++) {
         g_string_append_printf(out,
                                "gw_replies_total{why=\"%s\"} %" PRIu64 "\n",
--- a/lib/edge/reload.c
+++ b/lib/edge/reload.c
@@ -1,12 +1,12 @@
-/* Settings that change while the entry runs: by a signal, or in the file
- * alone. */
+/* Reloads settings at run time, on a signal or when the file changes. */
 #include "edge/edge_internal.h"
 
 #include <string.h>
 #include <sys/stat.h>
 
-/* How often the file is looked at; one system call each time. */
-#define LOOK_US 2000000
+/* Interval between checks of the file's modification time; each is one system
+ * call. */
+#define CHECK_PERIOD_US 2000000
 
 static int64_t
 mtime_ns(const char *path)
@@ -20,15 +20,16 @@
 }
 
 void
-GwEdge_NoteSettings(GwEdge *edge)
+GwEdge_RecordSettingsTime(GwEdge *edge)
 {
     edge->settings_mtime_ns = mtime_ns(edge->settings_path);
     edge->settings_checked_us = GwEdge_Now();
 }
 
-/* What stands for the life of the process: who it is and where it listens. */
+/* Compares the settings that can't change at run time: identity and
+ * addresses. */
 static bool
-is_same_entry(const GwEdgeSettings *a, const GwEdgeSettings *b)
+has_same_identity(const GwEdgeSettings *a, const GwEdgeSettings *b)
 {
     return strcmp(a->router.name, b->router.name) == 0 &&
            strcmp(a->router.region, b->router.region) == 0 &&
@@ -48,25 +49,25 @@
     int64_t now_us = GwEdge_Now();
     GError *error = NULL;
 
-    if (!always && now_us - edge->settings_checked_us < LOOK_US) {
+    if (!always && now_us - edge->settings_checked_us < CHECK_PERIOD_US) {
         return;
     }
     int64_t before_ns = edge->settings_mtime_ns;
-    GwEdge_NoteSettings(edge);
+    GwEdge_RecordSettingsTime(edge);
     if (!always && edge->settings_mtime_ns == before_ns) {
         return;
     }
     GwEdgeSettings *s = GwEdgeSettings_Load(edge->settings_path, &error);
     if (s == NULL) {
-        /* Half written, or wrong: those in force stay. */
+        /* Incomplete or invalid: the current settings stay. */
         GwLog_Event(GW_LOG_SETTINGS_BAD, "why=\"%s\" effect=none",
                     error->message);
         g_error_free(error);
         return;
     }
-    if (!is_same_entry(edge->settings, s)) {
-        GwLog_Event(GW_LOG_SETTINGS_BAD,
-                    "why=\"name or address changed\" effect=none");
+    if (!has_same_identity(edge->settings, s)) {
+        GwLog_Event(GW_LOG_SETTINGS_BAD, "why=\"identity and addresses can't "
+                                         "change at run time\" effect=none");
         GwEdgeSettings_Free(s);
         return;
     }
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -1,33 +1,35 @@
-/* Connections to backend servers: one request at a time on each, kept open
- * for the next one. */
+/* Connections to backend servers: each carries one request at a time and is
+ * kept open for the next request. */
 #include "edge/edge_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Without a word of the server, an idle connection is used for so long. */
+/* Maximum idle time of a connection whose server sent no keep-alive
+ * timeout. */
 #define IDLE_DEFAULT_MS 4000
-/* Before the time that the server named, so that no request crosses its
- * close. */
+/* Subtracted from the server's keep-alive timeout, so that no request crosses
+ * the server's close. */
 #define IDLE_MARGIN_MS 700
-/* A request that may run once goes only on a connection that was heard from
- * this lately: something between the ends may have lost track of it, and then
- * nobody could tell whether the request ran. A new one costs about 1 ms. */
-#define ONCE_IDLE_MS 1500
-/* Time to connect, besides the round trip. */
-#define CONNECT_NEAR_MS 300
-#define CONNECT_FAR_MS  500
-/* Bytes not acknowledged for this long: the server or the path is gone. */
+/* A non-idempotent request reuses only a connection with traffic within this
+ * time: a middlebox may have dropped the state of an older one, and then it is
+ * unknown whether the request ran. A new connection costs about 1 ms. */
+#define NON_IDEMPOTENT_IDLE_MS 1500
+/* Connect time-outs, for servers in the same region and in others. */
+#define CONNECT_SAME_REGION_MS  300
+#define CONNECT_OTHER_REGION_MS 500
+/* TCP_USER_TIMEOUT: with data unacknowledged for this long, the server or the
+ * path to it has failed. */
 #define USER_TIMEOUT_MS 1200
-/* The largest answer that is held whole. */
+/* Maximum size of an answer, which is buffered whole. */
 #define ANSWER_MAX (32u << 20)
 
 typedef struct {
     GList node; /* in edge->pools */
     GwEdge *edge;
-    GwServer *server; /* NULL once it is gone */
+    GwServer *server; /* NULL once the router has removed it */
     char *id;
-    GQueue idle; /* GwServerLink, the last used at the tail */
+    GQueue idle; /* GwServerLink, most recently used at the tail */
     uint32_t open;
 } GwPool;
 
@@ -35,16 +37,16 @@
     GwEdge *edge;
     GwPool *pool;
     GwConn *conn;
-    GwExchange *exchange; /* NULL while idle */
-    GList node;           /* in edge->connecting, then in pool->idle */
-    int64_t begun_us;     /* of connecting */
-    int64_t connect_us;   /* what connecting took; 0 when reused */
-    int64_t idle_us;      /* since when it is idle */
+    GwExchange *exchange;     /* NULL while idle */
+    GList node;               /* in edge->connecting, then in pool->idle */
+    int64_t connect_began_us; /* start of the connect */
+    int64_t connect_us;       /* duration of the connect; 0 when reused */
+    int64_t idle_since_us;    /* start of the idle time */
     uint32_t idle_max_ms;
-    uint32_t left_ms; /* of the request, when it was given to us */
-    int64_t given_us;
+    uint32_t time_left_ms; /* time left for the request at assigned_us */
+    int64_t assigned_us;
     bool connecting;
-    bool spoiled; /* a stray answer was on it: not used again */
+    bool has_stray_answer; /* not reusable */
 };
 
 static const GwConnOps link_ops;
@@ -67,7 +69,7 @@
 }
 
 static void
-free_pool_if_over(GwPool *pool)
+free_pool_if_unused(GwPool *pool)
 {
     if (pool->server == NULL && pool->open == 0) {
         g_queue_unlink(&pool->edge->pools, &pool->node);
@@ -77,7 +79,7 @@
 }
 
 static void
-discard(GwServerLink *link)
+close_link(GwServerLink *link)
 {
     GwPool *pool = link->pool;
 
@@ -94,14 +96,15 @@
         GwConn_Close(link->conn);
     }
     pool->open--;
-    free_pool_if_over(pool);
+    free_pool_if_unused(pool);
     g_free(link);
 }
 
-/* ---- Requests out -------------------------------------------------------- */
+/* ---- Sending requests ---------------------------------------------------- */
 
-/* Closes the connections that were idle longest, above this entry's part of
- * what the server takes: a server resets those beyond, of whoever comes. */
+/* Closes the longest-idle connections above this entry's share of the
+ * connections that the server accepts: a server resets connections above its
+ * limit, whichever entry they belong to. */
 static void
 trim_idle(GwPool *pool)
 {
@@ -109,45 +112,45 @@
         GwRouter_IdleConnectionsMax(pool->edge->router, pool->server);
 
     while (g_queue_get_length(&pool->idle) > most) {
-        discard(g_queue_peek_head(&pool->idle));
+        close_link(g_queue_peek_head(&pool->idle));
     }
 }
 
-/* Kept for the next request: not a byte of this one has left, so it is idle
- * for as long as before. */
+/* Returns a connection to the pool without having sent anything on it, so its
+ * idle time goes on. */
 static void
-put_back_unused(GwServerLink *link)
+return_unsent(GwServerLink *link)
 {
     link->exchange->link = NULL;
     link->exchange = NULL;
     g_queue_push_tail_link(&link->pool->idle, &link->node);
     if (link->pool->server == NULL) {
-        discard(link);
+        close_link(link);
         return;
     }
     trim_idle(link->pool);
 }
 
-/* Each request passes here before its first byte leaves, whether it has just
- * been read, has waited, or is tried again. An entry that is behind has the
- * end of the caller's connection unread then: passed on, the request would
- * take a slot to answer nobody. */
+/* Every request passes through here before its first byte is sent: when just
+ * read, after queueing, and on a retry. If the loop is behind, the end of the
+ * caller's connection may still be unread; forwarding the request would then
+ * use a slot to answer a disconnected caller. */
 static void
 write_request(GwServerLink *link)
 {
     GwExchange *x = link->exchange;
     const GwAdapter *names = link->edge->adapter;
 
-    if (!GwExchange_HasCaller(x)) {
-        put_back_unused(link);
+    if (!GwExchange_IsCallerConnected(x)) {
+        return_unsent(link);
         return;
     }
-    int64_t spent_ms = (GwEdge_Now() - link->given_us) / 1000;
-    int64_t left_ms = MAX((int64_t)link->left_ms - spent_ms, 0);
+    int64_t spent_ms = (GwEdge_Now() - link->assigned_us) / 1000;
+    int64_t time_left_ms = MAX((int64_t)link->time_left_ms - spent_ms, 0);
     const char *const drop[] = {names->time_left, names->expect_server,
                                 "expect", NULL};
     char *extra = g_strdup_printf("%s: %" G_GINT64_FORMAT "\r\n%s: %s\r\n",
-                                  names->time_left, left_ms,
+                                  names->time_left, time_left_ms,
                                   names->expect_server, link->pool->id);
     GwHttpWrite how = {.drop = drop, .extra = extra};
     GString *out = g_string_sized_new(x->msg->body->len + 512);
@@ -165,15 +168,15 @@
 
     while ((at = g_queue_peek_tail_link(&pool->idle)) != NULL) {
         GwServerLink *link = at->data;
-        int64_t idle_ms = (now_us - link->idle_us) / 1000;
+        int64_t idle_ms = (now_us - link->idle_since_us) / 1000;
         if (idle_ms < link->idle_max_ms && !GwConn_HasUnread(link->conn)) {
-            if (!idempotent && idle_ms > ONCE_IDLE_MS) {
+            if (!idempotent && idle_ms > NON_IDEMPOTENT_IDLE_MS) {
                 return NULL;
             }
             g_queue_unlink(&pool->idle, at);
             return link;
         }
-        discard(link);
+        close_link(link);
     }
     return NULL;
 }
@@ -194,8 +197,8 @@
     return "";
 }
 
-/* An attempt that broke may come again under another id, at any entry: its
- * fingerprint ties them together. */
+/* After a lost connection the caller may retry under another id and at any
+ * entry. The logged fingerprint connects the attempts. */
 static void
 log_failure(GwExchange *x, const GwAttemptEnd *end)
 {
@@ -215,7 +218,7 @@
 }
 
 static void
-report(GwExchange *x, GwAttemptEnd *end)
+report_attempt(GwExchange *x, GwAttemptEnd *end)
 {
     GwEdge *edge = x->edge;
 
@@ -225,7 +228,8 @@
     if (end->closed || GwRouter_WantsFingerprints(edge->router)) {
         end->fingerprint = GwExchange_Fingerprint(x);
     }
-    GwEdge_NoticeStop(edge); /* what this makes room for is judged by it */
+    GwEdge_CheckStopSignal(
+        edge); /* decides about the requests dispatched next */
     GwRouter_Ended(edge->router, GwEdge_Now(), x->request, end, edge->actions);
 }
 
@@ -247,7 +251,7 @@
     link->edge = edge;
     link->pool = pool;
     link->node.data = link;
-    link->begun_us = GwEdge_Now();
+    link->connect_began_us = GwEdge_Now();
     link->connecting = true;
     link->idle_max_ms = IDLE_DEFAULT_MS;
     link->conn = GwConn_Connect(&params, GwServer_Address(pool->server));
@@ -262,7 +266,7 @@
 }
 
 void
-GwServerLink_Send(GwExchange *x, GwServer *s, uint32_t left_ms)
+GwServerLink_Send(GwExchange *x, GwServer *s, uint32_t time_left_ms)
 {
     GwEdge *edge = x->edge;
     GwPool *pool = pool_of(edge, s);
@@ -274,12 +278,12 @@
     }
     if (link == NULL) {
         GwAttemptEnd end = {.outcome = GW_ATTEMPT_UNSENT};
-        report(x, &end);
+        report_attempt(x, &end);
         return;
     }
     link->exchange = x;
-    link->left_ms = left_ms;
-    link->given_us = GwEdge_Now();
+    link->time_left_ms = time_left_ms;
+    link->assigned_us = GwEdge_Now();
     x->link = link;
     GwHttpMessage_Free(x->answer);
     x->answer = NULL;
@@ -290,12 +294,12 @@
     }
 }
 
-/* What a connection that carries no request has told of its server. */
+/* Reports the server state found by a connection that carries no request. */
 static void
 report_probe(GwPool *pool, GwProbeResult result)
 {
     if (pool->server != NULL) {
-        GwEdge_NoticeStop(pool->edge);
+        GwEdge_CheckStopSignal(pool->edge);
         GwRouter_Probed(pool->edge->router, GwEdge_Now(), pool->server, result,
                         pool->edge->actions);
     }
@@ -315,20 +319,21 @@
 GwServerLink_Cancel(GwExchange *x)
 {
     if (x->link != NULL) {
-        discard(x->link);
+        close_link(x->link);
         x->link = NULL;
     }
 }
 
-/* The server is alive; the next request may go on the connection. */
+/* Reports the server as alive and keeps the connection for the next
+ * request. */
 static void
-keep_probe(GwServerLink *link)
+finish_probe(GwServerLink *link)
 {
     GwPool *pool = link->pool;
 
     g_queue_push_tail_link(&pool->idle, &link->node);
     if (pool->server == NULL) {
-        discard(link);
+        close_link(link);
         return;
     }
     report_probe(pool, GW_PROBE_ALIVE);
@@ -343,29 +348,29 @@
 
     link->connecting = false;
     g_queue_unlink(&edge->connecting, &link->node);
-    link->idle_us = GwEdge_Now();
-    link->connect_us = link->idle_us - link->begun_us;
+    link->idle_since_us = GwEdge_Now();
+    link->connect_us = link->idle_since_us - link->connect_began_us;
     if (link->exchange != NULL) {
         write_request(link);
     }
     else {
-        keep_probe(link);
+        finish_probe(link);
     }
     GwEdge_Carry(edge);
 }
 
-/* ---- Answers in ---------------------------------------------------------- */
+/* ---- Receiving answers --------------------------------------------------- */
 
-/* Keeps the connection for the next request, if the server goes on with it;
- * else it is gone. */
+/* Returns the connection to the pool if the server keeps it open, otherwise
+ * closes it. Returns whether the pool has an idle connection. */
 static bool
-put_back(GwServerLink *link, const GwHttpMessage *msg)
+return_answered(GwServerLink *link, const GwHttpMessage *msg)
 {
     const char *keep = GwHttpMessage_Get(msg, "keep-alive");
     const char *timeout = keep != NULL ? strstr(keep, "timeout=") : NULL;
 
     link->exchange = NULL;
-    link->idle_us = GwEdge_Now();
+    link->idle_since_us = GwEdge_Now();
     if (timeout != NULL) {
         long s = strtol(timeout + strlen("timeout="), NULL, 10);
         link->idle_max_ms = s > 0 && s < 3600
@@ -373,19 +378,19 @@
                                 : IDLE_DEFAULT_MS;
     }
     g_queue_push_tail_link(&link->pool->idle, &link->node);
-    if (!msg->keep_alive || !msg->framed || link->spoiled ||
+    if (!msg->keep_alive || !msg->framed || link->has_stray_answer ||
         link->pool->server == NULL) {
-        discard(link);
+        close_link(link);
         return false;
     }
     GwPool *pool = link->pool;
-    trim_idle(pool); /* this one last */
+    trim_idle(pool); /* closes this connection last */
     return !g_queue_is_empty(&pool->idle);
 }
 
-/* What an answer leads to is carried out once the whole read is parsed: only
- * then is it known that nothing stands behind the answer, and the next request
- * can go on its connection. */
+/* Runs the actions that follow from an answer only after the whole read is
+ * parsed: only then is it known that no data follows the answer, and that the
+ * connection can carry the next request. */
 static void
 on_read(void *owner)
 {
@@ -403,7 +408,7 @@
 
     if (x == NULL) {
         GwHttpMessage_Free(msg);
-        discard(link); /* an answer that nobody waits for */
+        close_link(link); /* unsolicited answer */
         GwEdge_Carry(edge);
         return;
     }
@@ -412,15 +417,15 @@
         return;
     }
     if (!GwAnswer_IsTo(edge->adapter, msg, x->msg)) {
-        link->spoiled = true;
+        link->has_stray_answer = true;
         GwHttpMessage_Free(msg);
         return;
     }
     GwAttemptEnd end = GwAnswer_End(edge->adapter, msg, link->connect_us);
     x->answer = msg;
     x->link = NULL;
-    bool kept = put_back(link, msg);
-    report(x, &end);
+    bool kept = return_answered(link, msg);
+    report_attempt(x, &end);
     if (!kept) {
         GwEdge_Carry(edge);
     }
@@ -435,7 +440,7 @@
     bool sent = GwConn_BytesOut(link->conn) > 0;
 
     if (how != GW_CONN_BAD) {
-        link->conn = NULL; /* it has closed itself */
+        link->conn = NULL; /* closed by GwConn */
     }
     if (how == GW_CONN_REFUSED) {
         report_probe(link->pool, GW_PROBE_REFUSED);
@@ -443,18 +448,18 @@
     else if (link->connecting && x == NULL) {
         report_probe(link->pool, GW_PROBE_SILENT);
     }
-    discard(link);
+    close_link(link);
     if (x != NULL) {
         GwAttemptEnd end = {.outcome =
                                 sent ? GW_ATTEMPT_BROKEN : GW_ATTEMPT_UNSENT};
         end.closed = sent && how != GW_CONN_BAD;
-        report(x, &end);
+        report_attempt(x, &end);
     }
     GwEdge_Carry(edge);
 }
 
 static bool
-on_to_head(void *owner)
+is_to_head(void *owner)
 {
     const GwServerLink *link = owner;
 
@@ -466,11 +471,11 @@
     .connected = on_connected,
     .message = on_message,
     .read = on_read,
-    .to_head = on_to_head,
+    .to_head = is_to_head,
     .ended = on_ended,
 };
 
-/* ---- Servers that go, and time ------------------------------------------- */
+/* ---- Removed servers and time-outs --------------------------------------- */
 
 static void
 close_idle(GwPool *pool, int64_t before_us)
@@ -478,14 +483,15 @@
     GwServerLink *link;
 
     while ((link = g_queue_peek_head(&pool->idle)) != NULL) {
-        int64_t until = link->idle_us + (int64_t)link->idle_max_ms * 1000;
+        int64_t until =
+            link->idle_since_us + (int64_t)link->idle_max_ms * 1000;
         if (until > before_us) {
             break;
         }
         bool last = pool->open == 1 && pool->server == NULL;
-        discard(link);
+        close_link(link);
         if (last) {
-            return; /* the pool is gone too */
+            return; /* the pool was freed as well */
         }
     }
 }
@@ -499,7 +505,7 @@
     if (pool != NULL) {
         pool->server = NULL;
         if (pool->open == 0) {
-            free_pool_if_over(pool);
+            free_pool_if_unused(pool);
             return;
         }
         close_idle(pool, INT64_MAX);
@@ -507,7 +513,7 @@
 }
 
 static void
-give_up_connecting(GwServerLink *link)
+abort_connecting(GwServerLink *link)
 {
     GwExchange *x = link->exchange;
     GwAttemptEnd end = {.outcome = GW_ATTEMPT_UNSENT};
@@ -515,46 +521,46 @@
     if (x == NULL) {
         report_probe(link->pool, GW_PROBE_SILENT);
     }
-    discard(link);
+    close_link(link);
     if (x != NULL) {
-        report(x, &end);
+        report_attempt(x, &end);
     }
 }
 
 void
-GwServerLink_GiveUpConnecting(GwEdge *edge)
+GwServerLink_AbortConnecting(GwEdge *edge)
 {
     GwServerLink *link;
 
     while ((link = g_queue_peek_head(&edge->connecting)) != NULL) {
-        give_up_connecting(link);
+        abort_connecting(link);
     }
 }
 
-/* Connections that are not made in time are given up: a machine without power
- * answers nothing. One that was made while the loop was busy is seen only at
- * its next look, so the time until its last look counts; by the clock, an
- * entry that is behind takes all servers for gone. */
+/* Aborts connects that take too long: a machine without power sends no reply.
+ * A connection established while the loop was busy is noticed only at the next
+ * poll, so time is counted up to the start of the last poll. Measured by the
+ * clock alone, an entry that is behind would take all servers for failed. */
 static void
 sweep_connecting(GwEdge *edge)
 {
-    int64_t seen_us = GwTurns_SeenUntil(edge->turns);
+    int64_t seen_us = GwTurns_PolledUntil(edge->turns);
 
     for (GList *at = edge->connecting.head, *next; at != NULL; at = next) {
         GwServerLink *link = at->data;
         uint32_t limit_ms =
             link->pool->server != NULL && GwServer_IsFar(link->pool->server)
-                ? CONNECT_FAR_MS
-                : CONNECT_NEAR_MS;
+                ? CONNECT_OTHER_REGION_MS
+                : CONNECT_SAME_REGION_MS;
         next = at->next;
-        if (seen_us - link->begun_us > (int64_t)limit_ms * 1000) {
-            give_up_connecting(link);
+        if (seen_us - link->connect_began_us > (int64_t)limit_ms * 1000) {
+            abort_connecting(link);
         }
     }
 }
 
-/* Connections that are idle or being made; those with a request under way
- * are closed with their callers. */
+/* Closes connections that are idle or being established. A connection with a
+ * request in progress is closed along with its caller's. */
 void
 GwServerLink_CloseAll(GwEdge *edge)
 {
@@ -562,17 +568,17 @@
     GwPool *pool;
 
     while ((link = g_queue_peek_head(&edge->connecting)) != NULL) {
-        discard(link);
+        close_link(link);
     }
     while ((pool = g_queue_peek_head(&edge->pools)) != NULL) {
         while ((link = g_queue_peek_head(&pool->idle)) != NULL) {
-            pool->open++; /* keeps it until the loop is over */
-            discard(link);
+            pool->open++; /* keeps the pool until the loop ends */
+            close_link(link);
             pool->open--;
         }
         pool->server = NULL;
         pool->open = 0;
-        free_pool_if_over(pool);
+        free_pool_if_unused(pool);
     }
 }
 
--- a/lib/edge/settings.c
+++ b/lib/edge/settings.c
@@ -6,15 +6,16 @@
 
 #include <string.h>
 
-#define FAR_PAST_MS 3600000
-/* Answers of the directory live no longer than this, so that callers leave a
- * gone entry soon, and ask no more often than once in two seconds. */
+#define DURATION_MAX_MS 3600000
+/* Directory answers expire after this time: short enough for callers to leave
+ * a stopped entry soon, and long enough for each to ask at most once in two
+ * seconds. */
 #define LOOKUP_TTL_MS 2000
 #define ROW_GRACE_MS  2000
 #define ENTRIES_MAX   16
 #define MEMORY_MB     256
 #define FD_LIMIT      1024
-/* Of an instance that says nothing of itself. */
+/* Defaults for an instance whose settings don't state its capacity. */
 #define LINK_MBPS     1000.0
 #define CPU_SHARE     1.0
 #define LINK_MBPS_MAX 1000000.0
@@ -27,10 +28,10 @@
     return GwRead_String(at, key, size, out, error);
 }
 
-/* The port at which entries meet each other, put in place of the one that the
- * seeds were given with. */
+/* Replaces the ports of the seeds with the port at which entries reach each
+ * other. */
 static bool
-move_seeds(const GwReadAt *at, GPtrArray *seeds, GError **error)
+override_seed_ports(const GwReadAt *at, GPtrArray *seeds, GError **error)
 {
     static const GwReadBound ports = {
         .min = 1, .max = 65535, .optional = true};
@@ -48,9 +49,10 @@
     return true;
 }
 
-/* A time with its unit; keeps `out` when the key is absent. */
+/* Reads a duration with its unit; keeps `out` when the key is absent. */
 static bool
-read_time(const GwReadAt *at, const char *key, uint32_t *out, GError **error)
+read_duration(const GwReadAt *at, const char *key, uint32_t *out,
+              GError **error)
 {
     struct json_object *member;
 
@@ -58,7 +60,8 @@
         return true;
     }
     const char *text = json_object_get_string(member);
-    if (text == NULL || !GwDuration_Parse(text, out) || *out > FAR_PAST_MS) {
+    if (text == NULL || !GwDuration_Parse(text, out) ||
+        *out > DURATION_MAX_MS) {
         return GwRead_Fail(at, key, GW_RESULT_INVALID, error,
                            "a time such as \"1500ms\", at most 1 hour");
     }
@@ -66,8 +69,8 @@
 }
 
 static bool
-read_real(const GwReadAt *at, const char *key, double max, double *out,
-          GError **error)
+read_number(const GwReadAt *at, const char *key, double max, double *out,
+            GError **error)
 {
     struct json_object *member;
 
@@ -99,7 +102,8 @@
     {
         if (!json_object_is_type(region, json_type_string)) {
             return GwRead_Fail(at, "regions", GW_RESULT_WRONG_TYPE, error,
-                               "\"%s\" names no region", domain);
+                               "the region of \"%s\" must be a string",
+                               domain);
         }
         g_hash_table_insert(out, g_strdup(domain),
                             g_strdup(json_object_get_string(region)));
@@ -124,7 +128,7 @@
         const char *seed = json_object_get_string(item);
         if (seed == NULL || !GwAddress_IsValid(seed)) {
             return GwRead_Fail(at, "seeds", GW_RESULT_INVALID, error,
-                               "item %zu is no address", i);
+                               "item %zu is not an address", i);
         }
         g_ptr_array_add(out, g_strdup(seed));
     }
@@ -139,9 +143,9 @@
            GwRead_Address(at, key, out, error);
 }
 
-/* What the instance can carry. */
+/* Reads the capacity of the instance. */
 static bool
-read_size(const GwReadAt *at, GwEdgeSettings *s, GError **error)
+read_capacity(const GwReadAt *at, GwEdgeSettings *s, GError **error)
 {
     static const GwReadBound memory = {
         .min = 16, .max = 1 << 20, .optional = true};
@@ -152,8 +156,8 @@
 
     if (!GwRead_U32(at, "memory_mb", &memory, &s->memory_mb, error) ||
         !GwRead_U32(at, "fd_limit", &descriptors, &s->fd_limit, error) ||
-        !read_real(at, "link_mbps", LINK_MBPS_MAX, &link_mbps, error) ||
-        !read_real(at, "cpu_share", CPU_SHARE_MAX, &cpu_share, error)) {
+        !read_number(at, "link_mbps", LINK_MBPS_MAX, &link_mbps, error) ||
+        !read_number(at, "cpu_share", CPU_SHARE_MAX, &cpu_share, error)) {
         return false;
     }
     s->link_kbps = (uint32_t)MAX(link_mbps * 1000, 1);
@@ -169,18 +173,18 @@
         .min = 1, .max = 100000, .optional = true};
     GwRouterParams *r = &s->router;
 
-    return read_size(at, s, error) &&
-           read_real(at, "retry_ratio", 1.0, &r->retry_ratio, error) &&
+    return read_capacity(at, s, error) &&
+           read_number(at, "retry_ratio", 1.0, &r->retry_ratio, error) &&
            GwRead_U32(at, "retry_extra", &extra, &r->retry_extra, error) &&
-           read_time(at, "retry_window", &r->retry_window_ms, error) &&
+           read_duration(at, "retry_window", &r->retry_window_ms, error) &&
            GwRead_U32(at, "entries_max", &entries, &r->entries_max, error) &&
-           read_time(at, "grace", &s->grace_ms, error) &&
-           read_time(at, "lookup_ttl", &s->lookup_ttl_ms, error) &&
-           read_time(at, "row_grace", &s->row_grace_ms, error);
+           read_duration(at, "grace", &s->grace_ms, error) &&
+           read_duration(at, "lookup_ttl", &s->lookup_ttl_ms, error) &&
+           read_duration(at, "row_grace", &s->row_grace_ms, error);
 }
 
 static bool
-read_level(const GwReadAt *at, GwEdgeSettings *s, GError **error)
+read_log_level(const GwReadAt *at, GwEdgeSettings *s, GError **error)
 {
     struct json_object *member;
 
@@ -246,14 +250,14 @@
            GwRead_Address(at, "peer_address", s->peer_address, error) &&
            GwRead_Address(at, "store_address", s->store_address, error) &&
            read_seeds(at, s->seeds, error) &&
-           move_seeds(at, s->seeds, error) &&
+           override_seed_ports(at, s->seeds, error) &&
            read_regions(at, s->regions, error) && read_bounds(at, s, error) &&
            GwRead_Bool(at, "first_start", &s->first_start, error) &&
-           read_level(at, s, error);
+           read_log_level(at, s, error);
 }
 
 static GwEdgeSettings *
-create(void)
+create_default(void)
 {
     GwEdgeSettings *s = g_new0(GwEdgeSettings, 1);
 
@@ -282,7 +286,7 @@
     if (root == NULL) {
         return NULL;
     }
-    GwEdgeSettings *s = create();
+    GwEdgeSettings *s = create_default();
     GwReadAt at = {.object = root};
     bool ok = read_all(&at, s, error);
     json_object_put(root);
--- a/lib/edge/status.c
+++ b/lib/edge/status.c
@@ -1,5 +1,5 @@
-/* What is to be seen of the entry from outside: counters and gauges, a short
- * status, and the whole state. */
+/* Monitoring output of the entry: counters and gauges, a short status, and a
+ * dump of the whole state. */
 #include "common/json.h"
 #include "edge/edge_internal.h"
 
--- a/lib/edge/stop_signal.h
+++ b/lib/edge/stop_signal.h
@@ -1,24 +1,25 @@
-/* The signal to stop, and when it came. The loop hears of a signal at the end
- * of its turn; the platform counts from the signal itself. */
+/* The stop signal and its time of arrival. The loop handles a signal only at
+ * the end of its turn, but the platform's grace period starts with the signal
+ * itself. */
 #ifndef GW_EDGE_STOP_SIGNAL_H
 #define GW_EDGE_STOP_SIGNAL_H
 
 #include <uv.h>
 
-/* Catches SIGTERM and SIGINT from now on; one in a process. `told` is called
- * on the loop at each. */
+/* Handler of SIGTERM and SIGINT; at most one per process. `notify` is called on
+ * the loop for each signal. */
 typedef struct {
     uv_async_t wake;
-    void (*told)(void *owner);
+    void (*notify)(void *owner);
     void *owner;
 } GwStopSignal;
 
 void GwStopSignal_Start(GwStopSignal *s, uv_loop_t *loop,
-                        void (*told)(void *owner), void *owner);
-/* Further signals change nothing: the process is about to end. `s` may be freed
- * when the loop has run once more. */
+                        void (*notify)(void *owner), void *owner);
+/* Later signals have no effect: the process is about to exit. `s` may be freed
+ * once the loop has run again. */
 void GwStopSignal_Close(GwStopSignal *s);
-/* When the first one came, us of uv_hrtime; 0: none has. */
+/* Time of the first signal, in us of uv_hrtime; 0: none was received. */
 int64_t GwStopSignal_At(void);
 
 #endif
--- a/lib/edge/turns.c
+++ b/lib/edge/turns.c
@@ -4,11 +4,11 @@
 
 struct GwTurns_s {
     uv_loop_t *loop;
-    uv_prepare_t prepare; /* runs right before each look at the sockets */
+    uv_prepare_t prepare; /* runs right before each poll of the sockets */
     GwTurnLong on_long;
     void *ctx;
-    int64_t looked_us; /* when the last look began; 0: none yet */
-    int64_t slept_us;  /* in all looks before that one */
+    int64_t poll_began_us; /* start of the last poll; 0: none yet */
+    int64_t idle_us;       /* idle time in all polls before that */
     GwTurnsView view;
 };
 
@@ -18,17 +18,17 @@
     return (int64_t)(uv_hrtime() / 1000);
 }
 
-/* In all looks at the sockets since the start. */
+/* Idle time in all polls of the sockets since the start. */
 static int64_t
-slept_us(const GwTurns *turns)
+idle_us(const GwTurns *turns)
 {
     return (int64_t)(uv_metrics_idle_time(turns->loop) / 1000);
 }
 
 int64_t
-GwTurns_SeenUntil(const GwTurns *turns)
+GwTurns_PolledUntil(const GwTurns *turns)
 {
-    return turns->looked_us + slept_us(turns) - turns->slept_us;
+    return turns->poll_began_us + idle_us(turns) - turns->idle_us;
 }
 
 static void
@@ -48,9 +48,9 @@
     GwTurns *turns = prepare->data;
     int64_t now = now_us();
 
-    note_turn(turns, MAX(now - GwTurns_SeenUntil(turns), 0));
-    turns->looked_us = now;
-    turns->slept_us = slept_us(turns);
+    note_turn(turns, MAX(now - GwTurns_PolledUntil(turns), 0));
+    turns->poll_began_us = now;
+    turns->idle_us = idle_us(turns);
 }
 
 GwTurns *
@@ -62,8 +62,8 @@
     turns->loop = loop;
     turns->on_long = on_long;
     turns->ctx = ctx;
-    turns->looked_us = now_us();
-    turns->slept_us = slept_us(turns);
+    turns->poll_began_us = now_us();
+    turns->idle_us = idle_us(turns);
     (void)uv_prepare_init(loop, &turns->prepare);
     turns->prepare.data = turns;
     (void)uv_prepare_start(&turns->prepare, on_prepare);
--- a/lib/edge/turns.h
+++ b/lib/edge/turns.h
@@ -1,13 +1,13 @@
-/* How long the turns of an event loop take: from its wake-up to its next look
- * at the sockets. What comes meanwhile is read late. */
+/* Measures the turns of an event loop: from its wake-up to the next poll of
+ * the sockets. Input that arrives during a turn is read late. */
 #ifndef GW_EDGE_TURNS_H
 #define GW_EDGE_TURNS_H
 
 #include <stdint.h>
 #include <uv.h>
 
-/* A turn above this is counted as long, and its host is told: callers' limits
- * are some hundreds of ms. */
+/* A longer turn is counted as long and reported to the callback: callers' time
+ * limits are some hundreds of ms. */
 #define GW_TURN_LONG_US 100000
 
 typedef struct GwTurns_s GwTurns;
@@ -16,17 +16,18 @@
 typedef void (*GwTurnLong)(void *ctx, int64_t turn_us);
 
 typedef struct {
-    int64_t max_us;  /* the longest since the start */
-    int64_t busy_us; /* all turns together */
+    int64_t max_us;  /* longest turn since the start */
+    int64_t busy_us; /* total time of all turns */
     uint64_t count_long;
 } GwTurnsView;
 
 GwTurns *GwTurns_Create(uv_loop_t *loop, GwTurnLong on_long, void *ctx);
-/* Frees it; the loop has to run once more. */
+/* Closes the handle; the memory is freed once the loop has run again. */
 void GwTurns_Close(GwTurns *turns);
 GwTurnsView GwTurns_View(const GwTurns *turns);
-/* us, uv_hrtime: whatever came to the sockets before this was seen by the
- * loop's last look. What came later has not been read, however long ago. */
-int64_t GwTurns_SeenUntil(const GwTurns *turns);
+/* Start of the last poll plus its idle time, in us of uv_hrtime: the poll has
+ * seen all input that arrived before this time. Later input is unread, however
+ * old it is. */
+int64_t GwTurns_PolledUntil(const GwTurns *turns);
 
 #endif
