--- a/tests/unit/test_edge_callers.c
+++ b/tests/unit/test_edge_callers.c
@@ -1,13 +1,12 @@
-/* Callers' connections of an entry: how they end, and what becomes of
- * requests that are under way or come just then. */
+/* Connections from callers: how they end, and what happens to requests that
+ * are in progress or arrive at that moment. */
 #include "fakes/edge_entry.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* Answered at once by the entry itself. */
-#define NOWHERE "GET /nowhere/ HTTP/1.1\r\nHost: h\r\n"
-/* Passed on to the server, which answers nothing. */
+#define UNROUTED "GET /nowhere/ HTTP/1.1\r\nHost: h\r\n"
+/* Forwarded to the server, which never answers. */
 #define ONCE  "GET /once/x HTTP/1.1\r\nHost: h\r\n\r\n"
 #define AGAIN "GET /again/x HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -19,15 +18,15 @@
     return GwRouter_OpenCount(entry->edge->router) > 0;
 }
 
-/* As many as one connection may have under way. */
-#define FULL 32
+/* Maximum number of requests in progress on one connection. */
+#define PIPELINE_MAX 32
 
 static bool
 is_full(void *ctx)
 {
     const EdgeEntry *entry = ctx;
 
-    return GwRouter_OpenCount(entry->edge->router) == FULL;
+    return GwRouter_OpenCount(entry->edge->router) == PIPELINE_MAX;
 }
 
 static void
@@ -41,21 +40,21 @@
     g_string_free(page, TRUE);
 }
 
-/* A caller sends two requests at once and has said that its connection ends
- * with the first. The second is read, dropped, and sent again elsewhere: that
- * is right, and must be told apart from what is lost. */
+/* A caller sends two pipelined requests, the first with "Connection: close".
+ * The second is read, dropped and retried elsewhere. That is correct, so the
+ * counter must tell it apart from lost requests. */
 Test(edge_callers, requests_behind_a_close_are_counted)
 {
     static const char *const behind[] = {
-        NOWHERE "\r\n", NOWHERE "Content-Length: 3\r\n\r\nabc",
-        NOWHERE, /* and its head goes no further */
+        UNROUTED "\r\n", UNROUTED "Content-Length: 3\r\n\r\nabc",
+        UNROUTED, /* incomplete head */
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(behind); i++) {
         EdgeEntry entry = EdgeEntry_Start();
         PlainCaller caller = PlainCaller_Connect(&entry);
 
-        PlainCaller_Send(&caller, NOWHERE "Connection: close\r\n\r\n");
+        PlainCaller_Send(&caller, UNROUTED "Connection: close\r\n\r\n");
         (void)PlainCaller_AwaitAnswer(&caller);
         (void)PlainCaller_AwaitEnd(&caller);
         cr_expect_eq(entry.edge->counts.dropped, 0);
@@ -67,9 +66,10 @@
     }
 }
 
-/* The process ends while one request is at a server and one waits behind it.
- * Their callers see a closed connection; the log said that they had left. */
-Test(edge_callers, requests_that_the_end_of_the_process_cuts_are_told_so)
+/* The process exits while one request runs at a server and another waits
+ * behind it. The callers see a closed connection; the log used to claim that
+ * they had disconnected. */
+Test(edge_callers, requests_interrupted_by_the_exit_are_counted_as_cut)
 {
     EdgeEntry entry = EdgeEntry_Start();
     PlainCaller caller = PlainCaller_Connect(&entry);
@@ -85,8 +85,8 @@
     EdgeEntry_Stop(&entry);
 }
 
-/* Those whose caller has left are still told as such. */
-Test(edge_callers, requests_whose_caller_left_are_told_so)
+/* A request whose caller disconnects is counted as such. */
+Test(edge_callers, requests_of_a_disconnected_caller_are_counted_as_left)
 {
     EdgeEntry entry = EdgeEntry_Start();
     PlainCaller caller = PlainCaller_Connect(&entry);
@@ -102,7 +102,7 @@
     EdgeEntry_Stop(&entry);
 }
 
-/* As the entry itself does it. */
+/* Runs the entry's sweep with the clock `ms` ahead. */
 static void
 sweep_after(EdgeEntry *entry, int64_t ms)
 {
@@ -110,11 +110,12 @@
     GwEdge_Carry(entry->edge);
 }
 
-/* Its request is answered, and the entry knows that the answer has arrived. */
+/* Gets a request answered and makes the entry note the arrival of the
+ * answer. */
 static void
 become_idle(PlainCaller *caller)
 {
-    PlainCaller_Send(caller, NOWHERE "\r\n");
+    PlainCaller_Send(caller, UNROUTED "\r\n");
     cr_assert_eq(PlainCaller_AwaitAnswer(caller), CALLER_WAITS);
     sweep_after(caller->entry, 0);
 }
@@ -150,11 +151,10 @@
     {"the idle limit", sweep_above_limit},
 };
 
-/* The entry closes an idle connection while a request of its caller is on the
- * way. The request was read and dropped, and the connection ended without an
- * answer: the caller may not send it again, since it may have run. Idle
- * connections were closed like those behind a last answer, which read on for
- * 0.4 s; the entry's counter of dropped requests showed it. */
+/* An entry closes an idle connection while a request of its caller is in
+ * transit. Guards against reading and dropping that request, as is done for
+ * 0.4 s behind a last answer: the connection then ends without an answer, and
+ * the caller can't resend the request because it may have run. */
 Test(edge_callers, a_request_that_crosses_an_idle_close_stays_unread)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(idle_closes); i++) {
@@ -206,18 +206,18 @@
     g_string_free(requests, TRUE);
 }
 
-/* The entry has answered all of them, and the caller has read none. */
+/* Sends requests that the entry answers, without reading the answers. */
 static void
 send_many(PlainCaller *caller)
 {
-    send_times(caller, NOWHERE "\r\n", MANY);
+    send_times(caller, UNROUTED "\r\n", MANY);
     cr_assert(
         EdgeEntry_RunUntil(caller->entry, have_all_arrived, caller->entry));
 }
 
-/* Answers are on their way on a narrow link when their connection is closed,
- * and the caller sends a further request. The reset that this one gets must
- * not overtake the answers and destroy them. */
+/* Answers are in transit on a slow link when their connection is closed, and
+ * the caller sends another request. The reset sent for that request must not
+ * overtake and destroy the answers. */
 static void
 expect_answers_to_arrive(const IdleClose *end)
 {
@@ -248,9 +248,9 @@
     GwCallers_CloseAll(entry->edge);
 }
 
-/* At the end of the process sockets were closed at once. The kernel goes on
- * sending, but a request that comes then makes it forget what it has: a few
- * dozen of 400 answers arrived. */
+/* Guards against closing sockets at once when the process exits. The kernel
+ * continues to send, but discards its send buffer when another request
+ * arrives: a few dozen of 400 answers arrived. */
 Test(edge_callers, answers_arrive_before_the_end_of_the_process)
 {
     const IdleClose end = {"the end of the process", end_process};
@@ -258,17 +258,17 @@
     expect_answers_to_arrive(&end);
 }
 
-/* The entry was busy or stood still while a connection reached its idle limit
- * and a request came on it. The limit was looked at first, and the request was
- * then read and dropped; its caller had kept to the limit. Only a stop asked
- * the socket whether something had come; the sweep of the limits did not. */
+/* The entry is busy or stalled while a connection reaches its idle limit and a
+ * request arrives on it. Guards against checking the limit before the socket:
+ * the request was then read and dropped, although its caller had kept to the
+ * limit. The graceful stop checked the socket, the sweep did not. */
 Test(edge_callers, a_connection_with_a_request_unread_is_not_idle)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(idle_closes); i++) {
         EdgeEntry entry = EdgeEntry_Start();
         PlainCaller caller = connect_idle(&entry);
 
-        PlainCaller_Send(&caller, NOWHERE "\r\n");
+        PlainCaller_Send(&caller, UNROUTED "\r\n");
         idle_closes[i].close(&entry);
         cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS, "%s",
                      idle_closes[i].what);
@@ -279,10 +279,10 @@
     }
 }
 
-/* A new configuration lowers the idle limit. Connections that were idle for
- * longer than the new limit were closed at the next sweep, though their
- * callers had them under the old one and were still using them: requests
- * crossed the close. The sweep knew the newest limit only. */
+/* A new configuration lowers the idle limit. Guards against closing
+ * connections that have been idle for longer than the new limit at the next
+ * sweep: their callers still use them under the old limit, and requests cross
+ * the close. */
 Test(edge_callers, a_lowered_idle_limit_leaves_what_is_idle_alone)
 {
     EdgeEntry entry = EdgeEntry_Start();
@@ -290,7 +290,7 @@
 
     EdgeEntry_SetIdleLimit(&entry, 1000);
     sweep_after(&entry, GW_DEFAULT_IDLE_TIMEOUT_MS * 4 / 5);
-    PlainCaller_Send(&caller, NOWHERE "\r\n");
+    PlainCaller_Send(&caller, UNROUTED "\r\n");
     cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
     cr_expect_gt(caller.got->len, 0);
     cr_expect_eq(entry.edge->counts.dropped, 0);
@@ -298,9 +298,9 @@
     EdgeEntry_Stop(&entry);
 }
 
-/* It holds from the next time that the connection is idle; a raised one holds
- * at once, since callers may know it. */
-Test(edge_callers, a_new_idle_limit_comes_into_force)
+/* A lowered limit applies from the next time that the connection is idle; a
+ * raised limit applies at once, because callers may know it. */
+Test(edge_callers, a_new_idle_limit_applies)
 {
     static const struct {
         uint32_t limit_ms;
@@ -328,7 +328,7 @@
                          "case %zu", i);
         }
         else {
-            PlainCaller_Send(&caller, NOWHERE "\r\n");
+            PlainCaller_Send(&caller, UNROUTED "\r\n");
             cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS,
                          "case %zu", i);
         }
@@ -337,17 +337,17 @@
     }
 }
 
-/* A caller sends two requests at once, and the second is cut in two on the
- * way. With the first answered and half of the second read, the connection
- * was taken for idle and closed in a stop: the second got no answer and no
- * refusal. The parser said "inside a message" by a flag that the first message
- * took back and the second, in the same read, did not set again. */
+/* A caller sends two pipelined requests, and the second arrives in two parts.
+ * Guards against taking the connection for idle, and closing it in a graceful
+ * stop without an answer, when the first request is answered and half of the
+ * second is read. The parser's flag for a partial message was cleared by the
+ * first message and not set by the second in the same read. */
 Test(edge_callers, a_connection_with_half_a_request_is_not_idle)
 {
     EdgeEntry entry = EdgeEntry_Start();
     PlainCaller caller = PlainCaller_Connect(&entry);
 
-    PlainCaller_Send(&caller, NOWHERE "\r\n" NOWHERE);
+    PlainCaller_Send(&caller, UNROUTED "\r\n" UNROUTED);
     cr_assert_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
     stop_idle(&entry);
     PlainCaller_Send(&caller, "\r\n");
@@ -358,10 +358,10 @@
     EdgeEntry_Stop(&entry);
 }
 
-/* The answers take their time on a narrow link. The caller counts from their
- * arrival, for up to four fifths of the limit; the entry counted from the
- * moment at which it had handed them to its kernel, and closed the connection
- * just before the caller's next request. */
+/* Answers take long on a slow link. The caller measures idle time from their
+ * arrival, up to four fifths of the limit. Guards against measuring from the
+ * write to the kernel, which closes the connection just before the caller's
+ * next request. */
 Test(edge_callers, a_connection_is_idle_from_the_arrival_of_its_answer)
 {
     EdgeEntry entry = EdgeEntry_Start();
@@ -373,7 +373,7 @@
     cr_assert_eq(count_answers(&caller), MANY);
     sweep_after(&entry, GW_DEFAULT_IDLE_TIMEOUT_MS * 3 / 5);
     sweep_after(&entry, GW_DEFAULT_IDLE_TIMEOUT_MS * 7 / 5);
-    PlainCaller_Send(&caller, NOWHERE "\r\n");
+    PlainCaller_Send(&caller, UNROUTED "\r\n");
     cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
     cr_expect_gt(caller.got->len, 0);
     PlainCaller_Close(&caller);
@@ -384,34 +384,33 @@
 refuse_long(EdgeEntry *entry, PlainCaller *caller)
 {
     (void)entry;
-    PlainCaller_Send(caller, NOWHERE "Content-Length: 1000000000000\r\n\r\n");
+    PlainCaller_Send(caller, UNROUTED "Content-Length: 1000000000000\r\n\r\n");
 }
 
 static void
 refuse_for_room(EdgeEntry *entry, PlainCaller *caller)
 {
     entry->edge->bodies.max = 1;
-    PlainCaller_Send(caller, NOWHERE "Content-Length: 2000\r\n\r\n");
+    PlainCaller_Send(caller, UNROUTED "Content-Length: 2000\r\n\r\n");
 }
 
 static void
 refuse_slow(EdgeEntry *entry, PlainCaller *caller)
 {
-    PlainCaller_Send(caller, NOWHERE "Content-Length: 2000\r\n\r\n");
+    PlainCaller_Send(caller, UNROUTED "Content-Length: 2000\r\n\r\n");
     EdgeEntry_RunOnce(entry);
     sweep_after(entry, GW_DEFAULT_IDLE_TIMEOUT_MS + 1000);
 }
 
 #define PIECE    "0123456789"
 #define PIECES   12
-#define PIECE_MS 60 /* all take longer than a close lingers in silence */
+#define PIECE_MS 60 /* longer in total than the linger time */
 
 /* A request is refused at its head, and its caller sends the whole body before
- * it looks for an answer. The entry read on for 0.4 s behind its refusal, and
- * then reset the connection: the refusal was lost, and with it the promise
- * that the request has not run. The time was counted from the refusal, not
- * from what came last. */
-Test(edge_callers, a_refusal_outlives_the_body_that_still_comes)
+ * reading the answer. Guards against resetting the connection 0.4 s after the
+ * refusal instead of after the last input: the refusal is lost, and with it
+ * the guarantee that the request did not run. */
+Test(edge_callers, a_refusal_is_received_while_the_body_still_arrives)
 {
     static const struct {
         const char *status;
@@ -442,15 +441,16 @@
     }
 }
 
-/* The entry stood still while the rest of a request came. The limit for half
- * a request was looked at first, and the request refused as too slow although
- * its bytes were there: timers of the loop come before reads. */
+/* The entry is stalled while the rest of a request arrives. Guards against
+ * checking the time limit for partial requests before the socket, since timers
+ * of the loop run before reads: the request was refused as too slow although
+ * it was complete. */
 Test(edge_callers, a_request_whose_rest_is_unread_is_not_late)
 {
     EdgeEntry entry = EdgeEntry_Start();
     PlainCaller caller = PlainCaller_Connect(&entry);
 
-    PlainCaller_Send(&caller, NOWHERE);
+    PlainCaller_Send(&caller, UNROUTED);
     EdgeEntry_RunOnce(&entry);
     sweep_after(&entry, 0);
     PlainCaller_Send(&caller, "\r\n");
@@ -462,16 +462,16 @@
     EdgeEntry_Stop(&entry);
 }
 
-/* A caller sends more requests at once than the entry takes, which stops
- * reading; then it leaves. Its end stood behind what was not read, and its
- * requests went on at the servers until the first one was answered. The loop
- * tells no end of a stream that it does not read. */
-Test(edge_callers, a_caller_that_is_not_read_can_leave)
+/* A caller pipelines more requests than the entry accepts, so the entry stops
+ * reading; then the caller disconnects. Guards against missing the disconnect,
+ * because libuv doesn't report the end of a stream that is not being read: the
+ * requests kept running at the servers until the first one was answered. */
+Test(edge_callers, a_disconnect_of_a_paused_caller_is_noticed)
 {
     EdgeEntry entry = EdgeEntry_Start();
     PlainCaller caller = PlainCaller_Connect(&entry);
 
-    send_times(&caller, AGAIN, FULL);
+    send_times(&caller, AGAIN, PIPELINE_MAX);
     cr_assert(EdgeEntry_RunUntil(&entry, is_full, &entry));
     PlainCaller_Send(&caller, AGAIN);
     PlainCaller_Shut(&caller);
@@ -481,19 +481,20 @@
     EdgeEntry_Stop(&entry);
 }
 
-#define FLOOD_BYTES (8u << 20) /* more than buffers of kernels on the way */
+#define FLOOD_BYTES (8u << 20) /* exceeds the kernel's socket buffers */
 
-/* A caller sends requests without end and reads no answer. The entry read on
- * and kept the answers: ten bytes of memory for each that the caller sent.
- * Only requests under way stopped it, and these were over at once. */
-Test(edge_callers, a_caller_that_reads_nothing_is_not_read_either)
+/* A caller sends requests without end and reads no answers. Guards against
+ * buffering the answers without a bound, at ten bytes of memory per byte
+ * received: only requests in progress paused the reading, and these ended at
+ * once. */
+Test(edge_callers, a_caller_that_reads_no_answers_is_paused)
 {
     EdgeEntry entry = EdgeEntry_Start();
     PlainCaller caller = PlainCaller_ConnectNarrow(&entry);
     GString *text = g_string_new(NULL);
 
     for (int i = 0; i < MANY; i++) {
-        g_string_append(text, NOWHERE "\r\n");
+        g_string_append(text, UNROUTED "\r\n");
     }
     size_t sent = PlainCaller_Flood(&caller, text->str, FLOOD_BYTES);
     cr_expect_lt(sent, FLOOD_BYTES);
--- a/tests/unit/test_edge_crashes.c
+++ b/tests/unit/test_edge_crashes.c
@@ -1,4 +1,4 @@
-/* Requests that crash servers, as sockets show it. */
+/* Detection of requests that crash servers, over real sockets. */
 #include "edge/peers_internal.h"
 #include "fakes/edge_host.h"
 
@@ -7,15 +7,16 @@
 #include <unistd.h>
 
 #define SERVERS 4
-/* Crashes that lie so far apart have no cause but the request in common. */
-#define APART_US 300000
+/* Time between crashes; at this distance only the request can be their common
+ * cause. */
+#define CRASH_INTERVAL_US 300000
 
 typedef struct {
     EdgeHost *h;
-    EdgeHostServer *got; /* the server that got the request */
+    EdgeHostServer *receiver; /* the server that got the request */
     const char *id;
     int caller;
-    char said[1024]; /* to the caller */
+    char answer[1024]; /* received by the caller */
 } Ctx;
 
 static bool
@@ -23,8 +24,8 @@
 {
     Ctx *c = ctx;
 
-    g_strlcat(c->said, EdgeHost_Read(c->caller), sizeof(c->said));
-    return c->said[0] != '\0';
+    g_strlcat(c->answer, EdgeHost_Read(c->caller), sizeof(c->answer));
+    return c->answer[0] != '\0';
 }
 
 static bool
@@ -34,14 +35,14 @@
 
     for (uint32_t i = 0; i < c->h->server_count; i++) {
         if (EdgeHost_Got(&c->h->servers[i], c->id) > 0) {
-            c->got = &c->h->servers[i];
+            c->receiver = &c->h->servers[i];
         }
     }
-    return is_answered(c) || c->got != NULL;
+    return is_answered(c) || c->receiver != NULL;
 }
 
-/* Guards against: a caller that comes by another address each time goes on
- * crashing servers. */
+/* Guards against a caller that goes on crashing servers by connecting from
+ * another address each time. */
 Test(edge_crashes, one_request_is_held_by_whatever_address_it_comes)
 {
     EdgeHost *h = EdgeHost_Create();
@@ -57,47 +58,48 @@
         EdgeHost_Ask(ctx.caller, "/once/", ctx.id);
         cr_assert(EdgeHost_Until(h, is_decided, &ctx));
         if (i < GW_QUARANTINE_CRASHES) {
-            cr_assert_not_null(ctx.got, "%s", ctx.said);
-            EdgeHost_Crash(ctx.got);
+            cr_assert_not_null(ctx.receiver, "%s", ctx.answer);
+            EdgeHost_Crash(ctx.receiver);
             cr_assert(EdgeHost_Until(h, is_answered, &ctx), "round %d: %s", i,
-                      ctx.said);
-            cr_expect_not_null(strstr(ctx.said, "HTTP/1.1 502"));
+                      ctx.answer);
+            cr_expect_not_null(strstr(ctx.answer, "HTTP/1.1 502"));
         }
         else {
-            cr_expect_null(ctx.got, "sent once more");
-            cr_expect_not_null(strstr(ctx.said, "HTTP/1.1 503"), "%s",
-                               ctx.said);
-            cr_expect_not_null(strstr(ctx.said, "Retry-After: "));
+            cr_expect_null(ctx.receiver, "sent once more");
+            cr_expect_not_null(strstr(ctx.answer, "HTTP/1.1 503"), "%s",
+                               ctx.answer);
+            cr_expect_not_null(strstr(ctx.answer, "Retry-After: "));
         }
         close(ctx.caller);
-        g_usleep(APART_US);
+        g_usleep(CRASH_INTERVAL_US);
     }
     EdgeHost_Free(h);
 }
 
-/* Guards against: an entry ends, or keeps a request's crashes, when another
- * entry tells that the request was released: such a record has no servers. */
-Test(edge_crashes, a_release_is_taken_from_another_entry)
+/* Guards against an entry crashing, or keeping a request's crash records, when
+ * another entry reports the request as released: such a record lists no
+ * servers. */
+Test(edge_crashes, a_release_reported_by_another_entry_applies)
 {
     static const GwFingerprint f = {.hi = 1, .lo = 2};
     static uint64_t servers[] = {11, 12, 13};
     static const struct {
         uint32_t generation;
         size_t server_count;
-        uint32_t crashes; /* known then */
-    } told[] = {{1, 3, 3}, {2, 0, 0}, {1, 3, 0}};
+        uint32_t crashes; /* crashes known afterwards */
+    } records[] = {{1, 3, 3}, {2, 0, 0}, {1, 3, 0}};
     EdgeHost *h = EdgeHost_Create();
     GwPeers peers = {.edge = h->edge};
     GwPeerEntry peer = {0};
     GwQuarantine *q = GwRouter_Quarantine(h->edge->router);
 
-    for (size_t i = 0; i < G_N_ELEMENTS(told); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(records); i++) {
         Gw__Peer__Suspect suspect = GW__PEER__SUSPECT__INIT;
         suspect.fingerprint_hi = f.hi;
         suspect.fingerprint_lo = f.lo;
-        suspect.generation = told[i].generation;
-        suspect.n_servers = told[i].server_count;
-        suspect.servers = told[i].server_count > 0 ? servers : NULL;
+        suspect.generation = records[i].generation;
+        suspect.n_servers = records[i].server_count;
+        suspect.servers = records[i].server_count > 0 ? servers : NULL;
         Gw__Peer__Suspect *list[] = {&suspect};
         Gw__Peer__Report report = GW__PEER__REPORT__INIT;
         report.n_suspects = 1;
@@ -105,7 +107,7 @@
 
         GwPeers_TakeSuspects(&peers, &peer, &report);
 
-        cr_expect_eq(GwQuarantine_Crashes(q, &f), told[i].crashes,
+        cr_expect_eq(GwQuarantine_Crashes(q, &f), records[i].crashes,
                      "record %zu", i);
     }
     EdgeHost_Free(h);
--- a/tests/unit/test_edge_full.c
+++ b/tests/unit/test_edge_full.c
@@ -1,4 +1,4 @@
-/* An entry that has as many callers as it may. */
+/* An entry at its limit of connections from callers. */
 #include "fakes/edge_host.h"
 
 #include <criterion/criterion.h>
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define MOST 40 /* a third of the descriptors of EdgeHost_Create */
+#define CONNECTIONS_MAX 40 /* a third of the descriptors of EdgeHost_Create */
 
 typedef struct {
     EdgeHost *h;
@@ -16,7 +16,7 @@
 } Ctx;
 
 static bool
-has_come(void *ctx)
+was_received(void *ctx)
 {
     Ctx *c = ctx;
 
@@ -43,40 +43,41 @@
 }
 
 static void
-be_served(Ctx *c, int number)
+connect_and_ask(Ctx *c, int number)
 {
     c->caller = EdgeHost_Call(c->h);
     g_snprintf(c->id, sizeof(c->id), "c%d", number);
     EdgeHost_Ask(c->caller, "/again/", c->id);
-    cr_assert(EdgeHost_Until(c->h, has_come, c), "%s", c->id);
+    cr_assert(EdgeHost_Until(c->h, was_received, c), "%s", c->id);
     EdgeHost_Answer(&c->h->servers[0], c->id);
     c->answered = false;
     cr_assert(EdgeHost_Until(c->h, has_answer, c), "%s", c->id);
 }
 
-/* Callers keep their connections and ask nothing. One who comes beyond the
- * number that the entry takes waited until one of these left, for as long as
- * its configuration lets them be idle. The one that was idle longest makes room
- * instead; it had nothing under way. */
-Test(edge_full, who_was_idle_longest_makes_room, .timeout = 60)
+/* Callers keep idle connections open. Guards against a new caller beyond the
+ * limit waiting until one of them disconnects, for up to the configured idle
+ * time-out: the entry closes the longest-idle connection instead, which has no
+ * request in progress. */
+Test(edge_full, the_longest_idle_connection_is_closed_for_a_new_caller,
+     .timeout = 60)
 {
     Ctx c = {.h = EdgeHost_Create()};
-    int callers[MOST];
+    int callers[CONNECTIONS_MAX];
 
     EdgeHost_AddServer(c.h, "a", 4);
-    for (int i = 0; i < MOST; i++) {
-        be_served(&c, i);
+    for (int i = 0; i < CONNECTIONS_MAX; i++) {
+        connect_and_ask(&c, i);
         callers[i] = c.caller;
     }
-    be_served(&c, MOST);
+    connect_and_ask(&c, CONNECTIONS_MAX);
     close(c.caller);
     c.caller = callers[0];
     cr_expect(EdgeHost_Until(c.h, is_closed, &c));
-    for (int i = 1; i < MOST; i++) {
+    for (int i = 1; i < CONNECTIONS_MAX; i++) {
         c.caller = callers[i];
         cr_expect_not(is_closed(&c), "%d", i);
     }
-    for (int i = 0; i < MOST; i++) {
+    for (int i = 0; i < CONNECTIONS_MAX; i++) {
         close(callers[i]);
     }
     EdgeHost_Free(c.h);
--- a/tests/unit/test_edge_late.c
+++ b/tests/unit/test_edge_late.c
@@ -1,5 +1,5 @@
-/* An entry whose loop is behind: what has come to its sockets lies unread
- * while it decides. */
+/* An entry whose loop is behind: input is unread in its sockets while the
+ * entry makes decisions. */
 #include "fakes/edge_host.h"
 #include "router/router_internal.h"
 
@@ -8,38 +8,39 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* As many as one connection may have under way: the rest of it, and its end,
- * is read only later. */
+/* Maximum number of requests in progress on one connection: further requests
+ * and the end of the connection are read only later. */
 #define PIPELINED 32
 
 typedef enum {
-    AT_ARRIVAL,   /* in the turn in which it was read */
-    AFTER_A_WAIT, /* as the end of another request makes room */
-    SECOND_TRY,   /* a server refused it, and it goes to the next */
-    AS_CONNECTED  /* as the connection to the server is made */
+    AT_ARRIVAL,   /* in the turn in which the request was read */
+    AFTER_A_WAIT, /* when the end of another request frees a slot */
+    SECOND_TRY,   /* retry at another server after a refusal */
+    AS_CONNECTED  /* when the connection to the server is established */
 } SentWhen;
 
 typedef enum {
     STAYS,
-    STAYS_AND_ASKS, /* with another request, unread */
+    STAYS_AND_ASKS, /* another request is unread */
     CLOSES,
-    CLOSES_BEHIND_BYTES, /* another request comes before the end */
+    CLOSES_BEHIND_BYTES, /* another request precedes the end */
     RESETS
 } CallerThen;
 
 typedef struct {
     EdgeHost *h;
     int caller;
-    int other; /* another caller, who stays */
+    int other; /* another caller, which stays connected */
     CallerThen then;
-    const char *awaited; /* id of a request */
-    uint32_t before;     /* times that it had come when its caller decided */
-    uint32_t open;       /* requests, as awaited */
+    const char *awaited;
+    uint32_t
+        before; /* times that servers had received it when its caller acted */
+    uint32_t open; /* expected number of open requests */
 } Late;
 
-/* At all servers together. */
+/* Times that the servers received the request, in total. */
 static uint32_t
-got(Late *late, const char *id)
+received_count(Late *late, const char *id)
 {
     uint32_t count = 0;
 
@@ -50,18 +51,18 @@
 }
 
 static bool
-has_come(void *ctx)
+was_received(void *ctx)
 {
     Late *late = ctx;
 
-    return got(late, late->awaited) > 0;
+    return received_count(late, late->awaited) > 0;
 }
 
 static void
 await_request(Late *late, const char *id)
 {
     late->awaited = id;
-    cr_assert(EdgeHost_Until(late->h, has_come, late), "%s", id);
+    cr_assert(EdgeHost_Until(late->h, was_received, late), "%s", id);
 }
 
 static bool
@@ -72,8 +73,8 @@
     return GwRouter_OpenCount(late->h->edge->router) == 0;
 }
 
-/* What the servers said just before is the first event of the next turn: the
- * turn here takes from the kernel's list what was read in the last one. */
+/* Sends the answers so that they are the first event of the next turn: the
+ * turn here removes the events of the last turn from the kernel's list. */
 static void
 answer(Late *late, const char *id)
 {
@@ -93,7 +94,7 @@
 }
 
 static void
-do_then(const Late *late)
+act_as_caller(const Late *late)
 {
     struct linger now = {.l_onoff = 1};
 
@@ -116,8 +117,8 @@
     close(late->caller);
 }
 
-/* Requests that are answered leave as many kept connections, half of them at
- * each server: all come at once, and the servers have just that much room. */
+/* Leaves `count` idle connections, half of them at each server: the requests
+ * are sent together, and the servers have just that many slots. */
 static void
 keep_connections(Late *late, uint32_t count)
 {
@@ -139,11 +140,11 @@
 }
 
 static void
-send_at_arrival(Late *late)
+setup_at_arrival(Late *late)
 {
     keep_connections(late, 6);
     EdgeHost_Ask(late->caller, "/again/", "late");
-    do_then(late);
+    act_as_caller(late);
 }
 
 static bool
@@ -154,9 +155,10 @@
     return GwRouter_OpenCount(late->h->edge->router) == late->open;
 }
 
-/* The servers have one slot now, and one ahead: the fifth request waits. */
+/* The servers now take one request in their slot and one ahead: the fifth
+ * request waits. */
 static void
-send_after_a_wait(Late *late)
+setup_after_a_wait(Late *late)
 {
     static const char *const ids[] = {"f1", "f2", "f3", "f4"};
 
@@ -174,25 +176,26 @@
     EdgeHost_Ask(late->caller, "/again/", "late");
     late->open = G_N_ELEMENTS(ids) + 1;
     cr_assert(EdgeHost_Until(late->h, has_open, late));
-    cr_assert_eq(got(late, "late"), 0);
+    cr_assert_eq(received_count(late, "late"), 0);
     answer(late, "f1");
-    do_then(late);
+    act_as_caller(late);
 }
 
 static void
-send_second_try(Late *late)
+setup_second_try(Late *late)
 {
     keep_connections(late, 6);
     EdgeHost_Ask(late->caller, "/again/", "late");
     await_request(late, "late");
     late->before = 1;
     refuse(late, "late");
-    do_then(late);
+    act_as_caller(late);
 }
 
-/* The connections are being made when the caller leaves. */
+/* The caller disconnects while the connections to servers are being
+ * established. */
 static void
-send_as_connected(Late *late)
+setup_as_connected(Late *late)
 {
     char id[16] = "late";
 
@@ -203,31 +206,31 @@
     while (g_queue_is_empty(&late->h->edge->connecting)) {
         EdgeHost_Turn(late->h);
     }
-    do_then(late);
+    act_as_caller(late);
 }
 
-/* Its caller's part is over: it has come, or nobody asks any more. */
+/* The request was sent to a server, or its caller was removed. */
 static bool
-is_settled(void *ctx)
+is_decided_for_caller(void *ctx)
 {
     Late *late = ctx;
 
-    return got(late, "late") > late->before ||
+    return received_count(late, "late") > late->before ||
            g_queue_get_length(&late->h->edge->callers) == 1;
 }
 
-/* A caller sends a request, gets no answer for a while, and closes its
- * connection. Its entry is behind: it reads the request late and passes it on
- * at once, or passes on what has waited as room comes, while the end of the
- * connection lies unread in the next event of the same turn. The server works
- * for nobody, and another caller's request is refused for it. */
+/* A caller sends a request, gets no answer for a while, and disconnects. Its
+ * entry is behind: it reads the request late, or dispatches it from the queue,
+ * while the end of the connection is unread in the next event of the same
+ * turn. Guards against forwarding the request: the server works for a
+ * disconnected caller, and another caller's request is refused. */
 Test(edge_late, nothing_is_passed_on_for_a_caller_who_has_left)
 {
     static void (*const paths[])(Late * late) = {
-        [AT_ARRIVAL] = send_at_arrival,
-        [AFTER_A_WAIT] = send_after_a_wait,
-        [SECOND_TRY] = send_second_try,
-        [AS_CONNECTED] = send_as_connected,
+        [AT_ARRIVAL] = setup_at_arrival,
+        [AFTER_A_WAIT] = setup_after_a_wait,
+        [SECOND_TRY] = setup_second_try,
+        [AS_CONNECTED] = setup_as_connected,
     };
     static const struct {
         SentWhen when;
@@ -264,10 +267,12 @@
         late.caller = EdgeHost_Call(late.h);
         late.other = EdgeHost_Call(late.h);
         paths[cases[i].when](&late);
-        cr_expect(EdgeHost_Until(late.h, is_settled, &late), "case %zu", i);
-        cr_expect_eq(got(&late, "late"), late.before + stays, "case %zu", i);
+        cr_expect(EdgeHost_Until(late.h, is_decided_for_caller, &late),
+                  "case %zu", i);
+        cr_expect_eq(received_count(&late, "late"), late.before + stays,
+                     "case %zu", i);
         if (!stays) {
-            /* What it held is free, and whoever is here is served. */
+            /* Its slots are free, and another caller is served. */
             EdgeHost_Ask(late.other, "/again/", "next");
             await_request(&late, "next");
         }
@@ -279,11 +284,11 @@
     }
 }
 
-/* Longer than a connection to a server may take. */
+/* Longer than the time-out of a connect to a server. */
 #define STALL_US 700000
 
 static void
-see_ejected(void *ctx, const GwServiceView *view)
+add_ejected(void *ctx, const GwServiceView *view)
 {
     *(uint32_t *)ctx += view->ejected;
 }
@@ -293,7 +298,7 @@
 {
     uint32_t ejected = 0;
 
-    GwRouter_EachService(h->edge->router, GwEdge_Now(), see_ejected, &ejected);
+    GwRouter_EachService(h->edge->router, GwEdge_Now(), add_ejected, &ejected);
     return ejected;
 }
 
@@ -302,15 +307,15 @@
 {
     Late *late = ctx;
 
-    return got(late, "late") > 0 || count_ejected(late->h) > 0;
+    return received_count(late, "late") > 0 || count_ejected(late->h) > 0;
 }
 
-/* An entry begins connections to sound servers, and its loop does nothing for
- * longer than a connection may take. They were made at once, but its clock is
- * the first thing that it looks at: it gives them up, passes over the servers
- * as if they were gone, and callers are refused beside idle servers. One that
- * is really not made is still given up. */
-Test(edge_late, a_connection_is_given_up_only_after_a_look_at_it)
+/* An entry connects to healthy servers, and its loop is stalled for longer
+ * than the connect time-out. Guards against checking the time-out before
+ * polling: the entry aborted connects that had succeeded, ejected the servers,
+ * and refused callers although servers were idle. A connect that does not
+ * succeed must still be aborted. */
+Test(edge_late, a_connect_is_aborted_only_after_a_poll)
 {
     static const struct {
         bool is_made;
@@ -333,14 +338,15 @@
         g_usleep(STALL_US);
         cr_expect(EdgeHost_Until(late.h, is_decided, &late), "case %zu", i);
         cr_expect_eq(count_ejected(late.h), cases[i].ejected, "case %zu", i);
-        cr_expect_eq(got(&late, "late"), cases[i].come, "case %zu", i);
+        cr_expect_eq(received_count(&late, "late"), cases[i].come, "case %zu",
+                     i);
         close(late.caller);
         EdgeHost_Free(late.h);
     }
 }
 
-/* What the request's caller gives it; with what is kept for the server's word
- * that is less than a stall. */
+/* Time limit of the request; even with the time reserved for the server's
+ * answer it is shorter than the stall. */
 #define SHORT_MS 300
 
 static char answer_text[4096];
@@ -357,11 +363,11 @@
     return answer_text[0] != '\0';
 }
 
-/* A server answers in time, and its entry is behind: when it looks at its
- * clock the request's time is over, and the answer lies unread. The caller,
- * who still waits, was told 504 though it could have had the answer. One that
- * really isn't answered is still told so. */
-Test(edge_late, time_is_over_only_after_a_look_for_the_answer)
+/* A server answers in time, and its entry is behind: when the entry checks
+ * deadlines, the request's has passed and the answer is unread. Guards against
+ * sending 504 to a caller that still waits and could have had the answer. A
+ * request without an answer must still get 504. */
+Test(edge_late, a_deadline_expires_only_after_a_poll)
 {
     static const struct {
         bool is_answered;
@@ -389,12 +395,12 @@
     }
 }
 
-#define LEAVERS      4
-#define EACH         4 /* requests of one of them */
-#define HELD         6 /* by the first caller */
-#define KEPT_EACH    6
-#define SLOTS_BEFORE (KEPT_EACH - GW_SLOTS_AHEAD)
-#define SLOTS_NOW    (HELD / 2 - GW_SLOTS_AHEAD)
+#define DISCONNECTING 4
+#define REQUESTS_EACH 4 /* requests of each */
+#define SLOTS_USED    6 /* slots used by the first caller */
+#define KEPT_EACH     6
+#define SLOTS_BEFORE  (KEPT_EACH - GW_SLOTS_AHEAD)
+#define SLOTS_NOW     (SLOTS_USED / 2 - GW_SLOTS_AHEAD)
 
 static void
 ask_many(int caller, char name, uint32_t count)
@@ -407,10 +413,11 @@
     }
 }
 
-/* How long this machine took for the first answers must not decide which server
- * is the better one: requests would wait for it beside a free slot. */
+/* Resets the servers' speed estimates, which depend on the machine: requests
+ * would wait for the server that seems faster although the other has a free
+ * slot. */
 static void
-forget_speeds(EdgeHost *h)
+reset_speeds(EdgeHost *h)
 {
     GPtrArray *servers = GwRouter_ServiceOf(h->edge->router, "s")->servers;
 
@@ -419,15 +426,15 @@
     }
 }
 
-/* Several callers with more than one request each leave while their entry is
- * behind, after one whose requests held all slots. Some of them are found to
- * have left in one go. As the first is dropped, the room that it leaves goes
- * to a request of the next one, who is dropped too: the entry must not pass on
- * what is gone. */
-Test(edge_late, callers_who_leave_together_make_room_for_each_other)
+/* Several callers with several requests each disconnect while their entry is
+ * behind, after one whose requests used all slots. The entry finds some of
+ * them disconnected in the same step. Guards against forwarding a freed request: when
+ * the first is freed, its slots go to requests of the next, which is freed as
+ * well and must not be forwarded. */
+Test(edge_late, callers_that_disconnect_together_free_slots_for_each_other)
 {
     Late late = {.h = EdgeHost_Create()};
-    int callers[LEAVERS];
+    int callers[DISCONNECTING];
 
     EdgeHost_AddServer(late.h, "a", SLOTS_BEFORE);
     EdgeHost_AddServer(late.h, "b", SLOTS_BEFORE);
@@ -435,32 +442,32 @@
     keep_connections(&late, 2 * KEPT_EACH);
     EdgeHost_PutServer(late.h, &late.h->servers[0], SLOTS_NOW);
     EdgeHost_PutServer(late.h, &late.h->servers[1], SLOTS_NOW);
-    forget_speeds(late.h);
+    reset_speeds(late.h);
     late.caller = EdgeHost_Call(late.h);
-    ask_many(late.caller, 'f', HELD);
-    late.open = HELD;
+    ask_many(late.caller, 'f', SLOTS_USED);
+    late.open = SLOTS_USED;
     cr_assert(EdgeHost_Until(late.h, has_open, &late));
-    for (int i = 0; i < LEAVERS; i++) {
+    for (int i = 0; i < DISCONNECTING; i++) {
         callers[i] = EdgeHost_Call(late.h);
-        ask_many(callers[i], (char)('l' + i), EACH);
+        ask_many(callers[i], (char)('l' + i), REQUESTS_EACH);
     }
-    late.open = HELD + EACH * LEAVERS;
+    late.open = SLOTS_USED + REQUESTS_EACH * DISCONNECTING;
     cr_assert(EdgeHost_Until(late.h, has_open, &late));
     EdgeHost_Turn(late.h);
     close(late.caller);
-    for (int i = 0; i < LEAVERS; i++) {
+    for (int i = 0; i < DISCONNECTING; i++) {
         close(callers[i]);
     }
     cr_expect(EdgeHost_Until(late.h, is_idle, &late));
-    cr_expect_eq(got(&late, "f0"), 1);
-    cr_expect_eq(got(&late, "l0"), 0);
+    cr_expect_eq(received_count(&late, "f0"), 1);
+    cr_expect_eq(received_count(&late, "l0"), 0);
     EdgeHost_Ask(late.other, "/again/", "next");
     await_request(&late, "next");
     close(late.other);
     EdgeHost_Free(late.h);
 }
 
-#define CALLERS    60 /* more than may be connected at once, */
+#define CALLERS    60 /* exceeds the limit of connections */
 #define CONNECTED  40 /* a third of the descriptors of EdgeHost_Create */
 #define MANY_SLOTS 100
 
@@ -472,12 +479,12 @@
     return g_queue_get_length(&late->h->edge->callers) >= CONNECTED;
 }
 
-/* Many callers come to one entry at once, as when all others of its region
- * stop. It accepted until it had no descriptor left: then no connection to a
- * server could be made, and the loop tried to accept without end and did
- * nothing else any more. Callers wait to be accepted instead, and each is
- * served as others leave. */
-Test(edge_late, callers_leave_descriptors_for_servers)
+/* Many callers connect to one entry at once, as when all others of its region
+ * stop. Guards against accepting until no file descriptor is left: no
+ * connection to a server could be made, and the loop did nothing but try to
+ * accept. Callers wait in the backlog instead, and each is served as others
+ * disconnect. */
+Test(edge_late, descriptors_are_reserved_for_servers)
 {
     Late late = {.h = EdgeHost_Create()};
     int callers[CALLERS];
@@ -495,7 +502,7 @@
         await_request(&late, id);
     }
     cr_expect_eq(g_queue_get_length(&late.h->edge->callers), CONNECTED);
-    cr_expect_eq(got(&late, "c40"), 0);
+    cr_expect_eq(received_count(&late, "c40"), 0);
     for (int i = 0; i < CALLERS; i++) {
         g_snprintf(id, sizeof(id), "c%d", i);
         await_request(&late, id);
--- a/tests/unit/test_edge_links.c
+++ b/tests/unit/test_edge_links.c
@@ -1,4 +1,4 @@
-/* Connections to backend servers. */
+/* Reuse of connections to backend servers. */
 #include "fakes/edge_host.h"
 
 #include <criterion/criterion.h>
@@ -10,17 +10,18 @@
 } Ctx;
 
 static bool
-has_come(void *ctx)
+was_received(void *ctx)
 {
     Ctx *c = ctx;
 
     return EdgeHost_Got(&c->h->servers[0], c->awaited) > 0;
 }
 
-/* An answer makes room for a request that waits, and its connection is free: the
- * request goes on it. It was taken for one with bytes unread, as its answer was
- * still being parsed, and closed; a new one cost a round trip each time. */
-Test(edge_links, what_has_waited_goes_on_the_connection_that_is_free)
+/* An answer frees a slot for a waiting request, which must reuse the answer's
+ * connection. Guards against taking that connection for one with unread bytes
+ * while its answer is still being parsed: it was closed, and each new
+ * connection cost a round trip. */
+Test(edge_links, a_waiting_request_reuses_the_freed_connection)
 {
     EdgeHost *h = EdgeHost_Create();
     Ctx ctx = {.h = h};
@@ -36,7 +37,7 @@
     for (uint32_t i = 0; i < 3 * sent; i++) {
         g_snprintf(id, sizeof(id), "r%u", i);
         ctx.awaited = id;
-        cr_assert(EdgeHost_Until(h, has_come, &ctx), "%s", id);
+        cr_assert(EdgeHost_Until(h, was_received, &ctx), "%s", id);
         EdgeHost_Answer(&h->servers[0], id);
     }
     cr_expect_eq(h->edge->counts.connects, sent, "%lu",
--- a/tests/unit/test_edge_settings.c
+++ b/tests/unit/test_edge_settings.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* %s stands for what a case adds or puts in place. */
+/* Valid settings; `extra` is appended to their members. */
 #define SETTINGS(extra)                                                       \
     "{ /* a comment */ \"name\":\"e1\",\"region\":\"r1\",\"domain\":\"d1\","  \
     "\"call_address\":\"10.0.0.1:1\",\"ready_address\":\"10.0.0.1:2\","       \
@@ -11,7 +11,7 @@
     "\"control_address\":\"10.0.0.1:4\",\"peer_address\":\"10.0.0.1:5\","     \
     "\"store_address\":\"10.0.0.9:6\",\"regions\":{\"d1\":\"r1\"}" extra "}"
 
-Test(edge_settings, good_ones_are_read)
+Test(edge_settings, valid_settings_are_read)
 {
     static const char text[] = SETTINGS(
         ",\"seeds\":[\"10.0.0.2:9\"],\"seeds_peer_port\":5,"
@@ -33,7 +33,7 @@
     GwEdgeSettings_Free(s);
 }
 
-Test(edge_settings, bad_ones_are_refused_with_their_key)
+Test(edge_settings, invalid_settings_are_refused_with_their_key)
 {
     static const struct {
         const char *text;
--- a/tests/unit/test_edge_stop.c
+++ b/tests/unit/test_edge_stop.c
@@ -1,5 +1,5 @@
-/* A stop of an entry in the process of the test: callers are plain sockets, and
- * the loop runs when the test says so. */
+/* Graceful stop of an entry in the test's process: callers are plain sockets,
+ * and the test runs the turns of the loop. */
 #include "fakes/edge_host.h"
 #include "fakes/raw_server.h"
 
@@ -8,15 +8,15 @@
 #include <string.h>
 #include <unistd.h>
 
-#define GRACE_MS    1000
-#define LEFT_MS     20000 /* of callers: far more than the grace */
-#define SHORT_MS    200   /* and so little that it is over well before */
-#define FAR_PAST_US (12 * GRACE_MS * 100)
+#define GRACE_MS     1000
+#define LEFT_MS      20000 /* callers' time limit: far more than the grace period */
+#define SHORT_MS     200 /* time limit that expires well within the long turn */
+#define LONG_TURN_US (12 * GRACE_MS * 100)
 
 typedef struct {
     EdgeHost *h;
     int caller;
-    GString *got; /* by the caller */
+    GString *got; /* received by the caller */
     const char *awaited;
 } Stop;
 
@@ -57,7 +57,7 @@
 }
 
 static bool
-has_come(void *ctx)
+was_received(void *ctx)
 {
     Stop *stop = ctx;
 
@@ -80,8 +80,8 @@
     return EdgeHost_Until(stop->h, is_so, stop);
 }
 
-/* Until the kernel's list of what is ready is empty, so that what comes next is
- * told in the order in which it comes. */
+/* Runs the loop until the kernel's list of ready sockets is empty, so that
+ * later events are reported in the order in which they occur. */
 static void
 settle(const Stop *stop)
 {
@@ -96,13 +96,13 @@
 {
     (void)uv_prepare_stop(prepare);
     (void)raise(SIGTERM);
-    g_usleep(FAR_PAST_US);
+    g_usleep(LONG_TURN_US);
 }
 
-/* One turn in which the signal comes, which takes until long after the grace, and
- * which looks at the sockets only then. Timers of that turn have been. */
+/* Runs one turn in which the signal arrives after the timers have run, and
+ * which polls the sockets only long after the end of the grace period. */
 static void
-be_told_in_a_long_turn(const Stop *stop)
+signal_in_a_long_turn(const Stop *stop)
 {
     uv_prepare_t prepare;
 
@@ -113,20 +113,22 @@
     EdgeHost_Turn(stop->h);
 }
 
-/* A request lies unread when the signal comes, and the loop gets to both only
- * when the entry should be gone. It must not be sent on: it is refused. */
-Test(edge_stop, what_is_read_late_is_judged_by_the_signal, .timeout = 30)
+/* A request is unread when the signal arrives, and the loop gets to both only
+ * after the grace period. The request must be refused, not forwarded. */
+Test(edge_stop, a_request_read_after_the_grace_period_is_refused,
+     .timeout = 30)
 {
     Stop stop = start(4);
 
-    /* A connection to the server is kept: what is sent leaves at once. */
+    /* Leaves an idle connection to the server, so that a forwarded request
+     * would be sent at once. */
     ask(&stop, "first");
-    cr_assert(await(&stop, has_come, "first"));
+    cr_assert(await(&stop, was_received, "first"));
     EdgeHost_Answer(&stop.h->servers[0], "first");
     cr_assert(await(&stop, has_answer, "200 OK"));
     settle(&stop);
     EdgeHost_AskFor(stop.caller, "/again/", "late", SHORT_MS);
-    be_told_in_a_long_turn(&stop);
+    signal_in_a_long_turn(&stop);
     cr_expect(await(&stop, has_answer, "HTTP/1.1 503"));
     cr_expect_eq(count_text(stop.got, "Connection: close"), 1);
     cr_expect_eq(count_text(stop.got, "Retry-After: "), 1);
@@ -134,9 +136,10 @@
     finish(&stop);
 }
 
-/* The same for one that waits for a slot, when an answer that lies unread makes
- * room: the loop reads that answer first. */
-Test(edge_stop, room_that_comes_late_is_not_given, .timeout = 30)
+/* The same for a request that waits for a slot, when an unread answer frees
+ * one: the loop reads that answer first. */
+Test(edge_stop, a_slot_freed_after_the_grace_period_is_not_assigned,
+     .timeout = 30)
 {
     Stop stop = start(1);
     char id[8];
@@ -145,11 +148,11 @@
         g_snprintf(id, sizeof(id), "r%d", i);
         ask(&stop, id);
     }
-    cr_assert(await(&stop, has_come, "r0"));
-    cr_assert(await(&stop, has_come, "r1")); /* sent ahead of its slot */
+    cr_assert(await(&stop, was_received, "r0"));
+    cr_assert(await(&stop, was_received, "r1"));
     settle(&stop);
     EdgeHost_Answer(&stop.h->servers[0], "r0");
-    be_told_in_a_long_turn(&stop);
+    signal_in_a_long_turn(&stop);
     cr_expect(await(&stop, has_answer, "200 OK"));
     cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "r2"), 0);
     cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "r3"), 0);
@@ -175,7 +178,8 @@
     return count;
 }
 
-/* Callers are sent to an entry that has been told to stop. */
+/* Guards against the directory sending callers to an entry that has received a
+ * stop signal. */
 Test(edge_stop, not_ready_from_the_signal_on, .timeout = 30)
 {
     static const RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {
@@ -192,17 +196,17 @@
               sizeof(settings->store_address));
     cr_assert(EdgeHost_Until(stop.h, is_ready, &stop));
     cr_expect_eq(count_named(&stop), 1);
-    (void)raise(SIGTERM); /* the loop has not heard of it yet */
+    (void)raise(SIGTERM); /* not handled by the loop yet */
     cr_expect_not(is_ready(&stop));
     cr_expect_eq(count_named(&stop), 0);
     finish(&stop);
     RawServer_Stop(store);
 }
 
-/* Several come in one piece, and none can end in the stop. Each is refused, and
- * the last alone closes the connection: what is read behind an answer that
- * closes it would get nothing. */
-Test(edge_stop, those_that_come_together_are_refused_each, .timeout = 30)
+/* Several pipelined requests arrive during a graceful stop. Each must be
+ * refused, and only the last answer closes the connection: requests read after
+ * an answer that closes it get no answer. */
+Test(edge_stop, pipelined_requests_are_refused_one_by_one, .timeout = 30)
 {
     Stop stop = start(4);
 
@@ -219,17 +223,18 @@
     finish(&stop);
 }
 
-/* A caller has sent one before the signal, which runs for long, and sends
- * another behind it. That one was sent on at once and answered; its answer
- * waited for the first one's, and went with the process. It is not begun: the
- * caller may send it again. */
+/* A caller has sent a long-running request before the signal and sends a
+ * second one after it. Guards against forwarding the second at once: its
+ * answer had to wait for the first and was lost with the process. A request
+ * that was not started can be retried. */
 Test(edge_stop, nothing_is_begun_behind_another, .timeout = 30)
 {
     Stop stop = start(4);
 
-    stop.h->edge->settings->grace_ms = 100 * LEFT_MS; /* both could end */
+    stop.h->edge->settings->grace_ms =
+        100 * LEFT_MS; /* both requests could end */
     ask(&stop, "first");
-    cr_assert(await(&stop, has_come, "first"));
+    cr_assert(await(&stop, was_received, "first"));
     (void)raise(SIGTERM);
     ask(&stop, "second");
     for (int i = 0; i < 100; i++) {
@@ -237,23 +242,23 @@
     }
     cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "second"), 0);
     EdgeHost_Answer(&stop.h->servers[0], "first");
-    cr_expect(await(&stop, has_come, "second"));
+    cr_expect(await(&stop, was_received, "second"));
     EdgeHost_Answer(&stop.h->servers[0], "second");
     cr_expect(await(&stop, has_answer, "Connection: close"));
     cr_expect_eq(count_text(stop.got, "200 OK"), 2);
     finish(&stop);
 }
 
-/* The grace is over while a request runs, and while another waits for a
- * connection to its server. The loop ends; the second has not left, so its
- * caller is told that it did not run. */
-Test(edge_stop, the_loop_ends_and_refuses_what_was_not_sent, .timeout = 30)
+/* The grace period ends while a request runs and another waits for a
+ * connection to its server. The loop ends, and the second is refused because
+ * nothing of it was sent. */
+Test(edge_stop, the_loop_ends_and_refuses_unsent_requests, .timeout = 30)
 {
     Stop stop = start(4);
     int other;
 
     ask(&stop, "runs");
-    cr_assert(await(&stop, has_come, "runs"));
+    cr_assert(await(&stop, was_received, "runs"));
     EdgeHost_Block(&stop.h->servers[0]);
     other = EdgeHost_Call(stop.h);
     EdgeHost_AskFor(other, "/once/", "unsent", LEFT_MS);
--- a/tests/unit/test_leave.c
+++ b/tests/unit/test_leave.c
@@ -4,10 +4,11 @@
 
 #define CALLS 40
 
-/* An entry with more calls than slots gets SIGTERM. The running ones end with
- * their answers; the waiting ones are refused at once and not at their
- * deadlines, half a minute later: their callers go elsewhere, and the stop takes
- * no longer than what runs and the look-ups that name the entry. */
+/* An entry with more calls than slots gets SIGTERM. Running calls end with
+ * their answers. Guards against keeping waiting calls until their deadlines,
+ * half a minute later: they are refused at once, so that their callers go
+ * elsewhere and the stop takes no longer than the running calls and the
+ * directory answers that name the entry. */
 Test(leave, waiting_calls_are_refused_at_once_and_running_ones_answered)
 {
     char *text = FakeConfig_Text(1, 1, 2, 3, 0, 12);
--- a/tests/unit/test_meters.c
+++ b/tests/unit/test_meters.c
@@ -12,12 +12,13 @@
     return g_string_free(out, FALSE);
 }
 
-/* Each end has its own histogram, whose buckets count what is at most as long
- * as their bound, as collectors expect. */
-Test(meters, an_end_is_counted_in_its_buckets)
+/* Each kind of end has its own histogram with cumulative buckets, as the
+ * exposition format requires. */
+Test(meters, ends_are_counted_in_their_buckets)
 {
     static const struct {
-        uint16_t status; /* of a reply of our own; 0: a server's answer */
+        uint16_t
+            status; /* of an answer made by the entry; 0: a server's answer */
         GwWhy why;
         uint32_t took_ms;
         const char *lines[3];
@@ -64,9 +65,9 @@
     }
 }
 
-/* Operators add routes by the hundred; the page and the memory are bounded,
- * and nothing goes uncounted. */
-Test(meters, routes_beyond_the_bound_are_counted_together)
+/* Operators add hundreds of routes: the size of the page and the memory must
+ * be bounded, and every request must be counted. */
+Test(meters, routes_beyond_the_limit_are_counted_together)
 {
     GwMeters *meters = GwMeters_Create();
     char name[16];
@@ -82,12 +83,12 @@
     GwMeters_Free(meters);
 }
 
-/* A name with a quote must not end its label. */
-Test(meters, names_are_escaped)
+/* A quote in a route's name must not end the label value. */
+Test(meters, route_names_are_escaped)
 {
     GwMeters *meters = GwMeters_Create();
 
-    GwMeters_Add(meters, "a\"b", GW_END_LEFT, GW_WHY_NONE, 1);
+    GwMeters_Add(meters, "a\"b", GW_END_DISCONNECTED, GW_WHY_NONE, 1);
     char *page = page_of(meters);
     cr_expect_not_null(strstr(page, "{route=\"a\\\"b\",end=\"left\"}"));
     g_free(page);
--- a/tests/unit/test_stop_signal.c
+++ b/tests/unit/test_stop_signal.c
@@ -1,13 +1,9 @@
-/* A process is told to stop while its loop is in a long turn.
- *
- * Seen: a request came 4.4 s after the signal, was read, and its connection was
- * closed with no answer 6.0 s after it. The entry was busy; its loop heard of
- * the signal 4 s late, counted the whole grace from there, and was killed when
- * the platform's was over.
- *
- * Cause: the time of a signal was the time at which the loop came to it. Proved
- * by the entry's log: no line for 4 s, then the stop begins, and no end of it
- * before the next start. */
+/* A stop signal arrives while the loop is in a long turn. Guards against
+ * counting the grace period from the time at which the loop handles the
+ * signal. A busy entry handled the signal 4 s late, counted the whole grace
+ * period from there and was killed when the platform's was over: a request
+ * read 4.4 s after the signal had its connection closed without an answer 6.0
+ * s after it. */
 #include "edge/stop_signal.h"
 
 #include <criterion/criterion.h>
@@ -24,7 +20,7 @@
 }
 
 static void
-on_told(void *owner)
+on_stop_signal(void *owner)
 {
     GwStopSignal *s = owner;
 
@@ -39,13 +35,13 @@
         GwStopSignal s;
         uv_loop_t loop;
         (void)uv_loop_init(&loop);
-        GwStopSignal_Start(&s, &loop, on_told, &s);
+        GwStopSignal_Start(&s, &loop, on_stop_signal, &s);
         cr_expect_eq(GwStopSignal_At(), 0);
         int64_t before_us = now_us();
         (void)raise(signals[i]);
         int64_t after_us = now_us();
         while (now_us() < after_us + BUSY_US) {
-            /* the turn goes on */
+            /* keeps the turn busy */
         }
         (void)uv_run(&loop, UV_RUN_DEFAULT);
         cr_expect_geq(GwStopSignal_At(), before_us);
@@ -54,9 +50,9 @@
     }
 }
 
-/* A second signal, of an operator who lost patience, gives no more time. The
- * handler leaves errno to what it interrupts, also where its wake fails: the
- * loop's own descriptor is full here. */
+/* A second signal, for example of an impatient operator, does not extend the
+ * grace period. The handler preserves errno, also where its wake-up fails: the
+ * loop's eventfd is full here. */
 Test(stop_signal, the_first_signal_counts_and_errno_stays, .timeout = 10)
 {
     uint64_t most = UINT64_MAX - 1;
@@ -64,7 +60,7 @@
     uv_loop_t loop;
 
     (void)uv_loop_init(&loop);
-    GwStopSignal_Start(&s, &loop, on_told, &s);
+    GwStopSignal_Start(&s, &loop, on_stop_signal, &s);
     cr_assert_eq(write(loop.async_io_watcher.fd, &most, sizeof(most)),
                  sizeof(most));
     errno = ENOENT;
--- a/tests/unit/test_turns.c
+++ b/tests/unit/test_turns.c
@@ -1,4 +1,4 @@
-/* How late an entry's loop is, as seen from outside. */
+/* Measurement of the turns of an event loop. */
 #include "edge/turns.h"
 
 #include "fakes/edge_host.h"
@@ -10,10 +10,10 @@
 #define SLEEP_MS 50
 
 typedef struct {
-    int64_t work_us; /* of each turn with the timer */
+    int64_t work_us; /* work per turn in which the timer fires */
     int left;
-    uint32_t heard;
-    int64_t heard_us;
+    uint32_t notified;
+    int64_t notified_max_us;
 } Work;
 
 static int64_t
@@ -40,19 +40,19 @@
 {
     Work *work = ctx;
 
-    work->heard++;
-    work->heard_us = MAX(work->heard_us, turn_us);
+    work->notified++;
+    work->notified_max_us = MAX(work->notified_max_us, turn_us);
 }
 
-/* Callers see answers seconds late, and the entry's log shows nothing: its
- * loop was at work all the time, and each line has the time at which the
- * request was read. Turns are told by their length, without their waits. */
-Test(turns, long_ones_are_counted_without_their_waits)
+/* Guards against late answers that leave no trace in the entry's log: a busy
+ * loop stamps each line with the time at which the request was read. Turns are
+ * measured without the time spent waiting for input. */
+Test(turns, long_turns_are_counted_without_idle_time)
 {
     static const struct {
         int64_t work_us;
         int turns;
-        uint32_t least; /* long ones */
+        uint32_t long_min; /* minimum number of long turns */
     } cases[] = {{0, 4, 0}, {LONG_US, 1, 1}, {LONG_US, 2, 2}};
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -69,10 +69,11 @@
         (void)uv_run(&loop, UV_RUN_DEFAULT);
         GwTurnsView view = GwTurns_View(turns);
         int64_t asleep_us = (int64_t)(uv_metrics_idle_time(&loop) / 1000);
-        cr_expect_geq(view.count_long, cases[i].least, "case %zu", i);
-        cr_expect_eq(view.count_long, work.heard, "case %zu", i);
+        cr_expect_geq(view.count_long, cases[i].long_min, "case %zu", i);
+        cr_expect_eq(view.count_long, work.notified, "case %zu", i);
         cr_expect_geq(view.max_us, cases[i].work_us, "case %zu", i);
-        cr_expect_eq(work.heard > 0 ? view.max_us : 0, work.heard_us);
+        cr_expect_eq(work.notified > 0 ? view.max_us : 0,
+                     work.notified_max_us);
         cr_expect_leq(view.busy_us, clock_us() - start_us - asleep_us,
                       "case %zu: waits are no work", i);
         GwTurns_Close(turns);
@@ -81,8 +82,8 @@
     }
 }
 
-/* What the page for collectors says of it. */
-Test(turns, the_metrics_page_shows_them)
+/* Checks the metrics page. */
+Test(turns, the_metrics_page_shows_turns)
 {
     static const char *const names[] = {
         "\ngw_loop_busy_ms_total ",
