--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -6,8 +6,8 @@
 /* Share of the memory for bodies, in bytes per MiB: a third, because buffers
  * are up to twice as large as their contents. */
 #define BODIES_SHARE ((1 << 20) / 3)
-/* The log is flushed every half second: each write costs processor time, and a
- * killed process loses its unwritten lines. */
+/* The log is flushed every half second: each write has a cost, and a killed
+ * process loses its unwritten lines. */
 #define LOG_FLUSH_SWEEPS 2
 /* Interval between CONTROL_COST log lines. */
 #define COST_PERIOD_US 10000000
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -15,7 +15,8 @@
  * time: a middlebox may have dropped the state of an older one, and then it is
  * unknown whether the request ran. A new connection costs about 1 ms. */
 #define NON_IDEMPOTENT_IDLE_MS 1500
-/* Connect time-outs, for servers in the same region and in others. */
+/* Connect time-outs for servers in the same region and in others; they leave
+ * time beyond the round trip. */
 #define CONNECT_SAME_REGION_MS  300
 #define CONNECT_OTHER_REGION_MS 500
 /* TCP_USER_TIMEOUT: with data unacknowledged for this long, the server or the
@@ -228,8 +229,8 @@
     if (end->closed || GwRouter_WantsFingerprints(edge->router)) {
         end->fingerprint = GwExchange_Fingerprint(x);
     }
-    GwEdge_CheckStopSignal(
-        edge); /* decides about the requests dispatched next */
+    /* Decides whether the freed slot is assigned to another request. */
+    GwEdge_CheckStopSignal(edge);
     GwRouter_Ended(edge->router, GwEdge_Now(), x->request, end, edge->actions);
 }
 
@@ -539,8 +540,8 @@
 
 /* Aborts connects that take too long: a machine without power sends no reply.
  * A connection established while the loop was busy is noticed only at the next
- * poll, so time is counted up to the start of the last poll. Measured by the
- * clock alone, an entry that is behind would take all servers for failed. */
+ * poll, so time is counted up to the last poll. Measured by the clock alone,
+ * an entry that is behind would take all servers for failed. */
 static void
 sweep_connecting(GwEdge *edge)
 {
