--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -105,7 +105,7 @@
  * ready, until none are left; then arms the router's timer. Must be the last
  * call of each callback of the loop. */
 void GwEdge_Carry(GwEdge *edge);
-/* leave.c */
+/* stop.c */
 /* Sets up the handling of the stop signals. */
 void GwEdge_InitStop(GwEdge *edge);
 /* Called at each sweep during a graceful stop. */
