--- a/lib/edge/adapter.h
+++ b/lib/edge/adapter.h
@@ -31,9 +31,8 @@
     const char *time_left;  /* time in ms that the caller still waits */
     const char *object_key; /* equal for requests about the same object */
     const char *seal;       /* marks an answer as made by the server itself */
-    const char
-        *expect_server;  /* id of the only server that may run the request */
-    const char *load;    /* "running,waiting,slots" of the server */
+    const char *expect_server; /* id of the only server allowed */
+    const char *load;          /* "running,waiting,slots" of the server */
     const char *not_run; /* set when the server did not run the request */
     const char *cold_ms;
     const char *limit; /* maximum requests/s of the server */
--- a/lib/edge/callers_internal.h
+++ b/lib/edge/callers_internal.h
@@ -15,7 +15,7 @@
     bool has_unacked_answer;  /* last answer may be unacknowledged */
     int64_t partial_since_us; /* start of a partly received message; 0: none */
     bool is_flush_pending;    /* in edge->flush_queue: has answers to send */
-    bool is_disconnected;     /* in edge->disconnected: disconnected */
+    bool is_disconnected;     /* in edge->disconnected, to be freed */
     uint16_t error_status; /* error to send after the other answers; 0: none */
 };
 
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -194,7 +194,7 @@
 
     note_store_answer(feed);
     feed->fresh_us = now_us;
-    bool news = set->rows->len > 0;
+    bool has_rows = set->rows->len > 0;
     if (feed->phase == PHASE_FEED) {
         GwRowCache_ApplyChanges(feed->cache, now_us, set);
         feed->version = MAX(feed->version, set->version);
@@ -214,7 +214,7 @@
     else {
         feed->next_poll_us = now_us + POLL_PAUSE_US;
     }
-    if (news) {
+    if (has_rows) {
         GwPeers_Hurry(feed->edge->peers);
     }
     GwEdge_Carry(feed->edge);
@@ -305,8 +305,7 @@
         return;
     }
     feed->reads = reads;
-    feed->answered_us =
-        GwEdge_Now(); /* no poll was sent, so this was no outage */
+    feed->answered_us = GwEdge_Now(); /* not polled, so no outage */
     if (!reads) {
         close_store(feed);
         return;
--- a/lib/edge/meters.c
+++ b/lib/edge/meters.c
@@ -16,8 +16,8 @@
 #define OTHER_ROUTES "(other)"
 
 typedef struct {
-    uint32_t counts[BOUND_COUNT +
-                    1]; /* not cumulative; the last one has no upper bound */
+    /* Per bucket, not cumulative; the last bucket has no upper bound. */
+    uint32_t counts[BOUND_COUNT + 1];
     uint64_t sum_ms;
     uint64_t count;
 } Histogram;
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -55,18 +55,18 @@
 static GwPool *
 pool_of(GwEdge *edge, GwServer *s)
 {
-    void **place = GwServer_User(s);
+    void **user = GwServer_User(s);
 
-    if (*place == NULL) {
+    if (*user == NULL) {
         GwPool *pool = g_new0(GwPool, 1);
         pool->edge = edge;
         pool->server = s;
         pool->id = g_strdup(GwServer_Id(s));
         pool->node.data = pool;
         g_queue_push_tail_link(&edge->pools, &pool->node);
-        *place = pool;
+        *user = pool;
     }
-    return *place;
+    return *user;
 }
 
 static void
--- a/tests/unit/test_edge_stop.c
+++ b/tests/unit/test_edge_stop.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 #define GRACE_MS     1000
-#define LEFT_MS      20000 /* callers' time limit: far more than the grace period */
+#define LEFT_MS      20000 /* of callers: far more than the grace period */
 #define SHORT_MS     200 /* time limit that expires well within the long turn */
 #define LONG_TURN_US (12 * GRACE_MS * 100)
 
--- a/tests/unit/test_turns.c
+++ b/tests/unit/test_turns.c
@@ -11,7 +11,7 @@
 
 typedef struct {
     int64_t work_us; /* work per turn in which the timer fires */
-    int left;
+    int turns_left;
     uint32_t notified;
     int64_t notified_max_us;
 } Work;
@@ -30,7 +30,7 @@
 
     while (clock_us() - start_us < work->work_us) {
     }
-    if (--((Work *)timer->data)->left == 0) {
+    if (--((Work *)timer->data)->turns_left == 0) {
         uv_close((uv_handle_t *)timer, NULL);
     }
 }
@@ -56,7 +56,8 @@
     } cases[] = {{0, 4, 0}, {LONG_US, 1, 1}, {LONG_US, 2, 2}};
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        Work work = {.work_us = cases[i].work_us, .left = cases[i].turns};
+        Work work = {.work_us = cases[i].work_us,
+                     .turns_left = cases[i].turns};
         uv_loop_t loop;
         uv_timer_t timer;
         int64_t start_us = clock_us();
