--- a/lib/steer/seat_claim.c
+++ b/lib/steer/seat_claim.c
@@ -1,4 +1,4 @@
-/* Claims of free seats, and reclaims of those whose holder is gone. */
+/* Claims of free seats, and reclaims of seats whose holder has stopped. */
 #include "steer/seats_internal.h"
 
 static bool
@@ -9,9 +9,10 @@
             member->info.state == GW_MEMBER_SUSPECT);
 }
 
-/* The seats that each live entry of the region should hold, rounded up. */
+/* The number of seats each live entry of the region should hold, rounded
+ * up. */
 uint32_t
-GwSeats_Share(const GwSeats *s, const GwMembers *members)
+GwSeats_FairShare(const GwSeats *s, const GwMembers *members)
 {
     uint32_t live = 1;
 
@@ -24,11 +25,11 @@
 static bool
 is_free(const GwSeatRow *row)
 {
-    return row->version == 0 || (!row->bad && row->holder.node == 0);
+    return row->version == 0 || (!row->is_malformed && row->holder.node == 0);
 }
 
 static uint32_t
-own_count(const GwSeats *s)
+count_own_seats(const GwSeats *s)
 {
     uint32_t count = 0;
 
@@ -41,24 +42,25 @@
     return count;
 }
 
-/* Claims free seats up to the share; one that stayed free is anyone's, since
- * its units would be of use to nobody. Which one comes first is drawn, so that
- * entries that start together seldom want the same. */
+/* Claims free seats up to the fair share. A seat that has stayed free for
+ * GW_SEAT_UNCLAIMED_US is claimed beyond the share, one per list, because
+ * no entry can use its units. The scan starts at a random seat, so that
+ * entries that start together rarely claim the same one. */
 void
-GwSeats_Claims(GwSeats *s, int64_t now_us, const GwMembers *members,
-               GwActions *out)
+GwSeats_ClaimFree(GwSeats *s, int64_t now_us, const GwMembers *members,
+                  GwActions *out)
 {
-    uint32_t share = GwSeats_Share(s, members);
-    uint32_t have = own_count(s);
+    uint32_t share = GwSeats_FairShare(s, members);
+    uint32_t have = count_own_seats(s);
     uint32_t first = s->total > 0 ? GwRng_Below(&s->rng, s->total) : 0;
     uint32_t claims = 0;
 
     for (uint32_t i = 0; i < s->total && claims < GW_SEAT_CLAIMS_MAX; i++) {
         uint32_t seat = (first + i) % s->total;
         GwSeat *t = &s->seats[seat];
-        bool leftover = now_us - t->since_us > GW_SEAT_LEFTOVER_US;
+        bool is_unclaimed = now_us - t->since_us > GW_SEAT_UNCLAIMED_US;
         if (t->state != GW_SEAT_NONE || t->write.op != GW_SEAT_OP_NONE ||
-            !is_free(&t->row) || (have >= share && !leftover)) {
+            !is_free(&t->row) || (have >= share && !is_unclaimed)) {
             continue;
         }
         GwSeats_Write(s, now_us, seat, GW_SEAT_OP_CLAIM, &t->row, out);
@@ -67,10 +69,11 @@
     }
 }
 
-/* A newer start of the holder is there, so the start in the row is gone: it
- * had the same address. */
+/* True when the holder's node runs again under a newer start number. The
+ * start named in the row has then exited, since both use one address. */
 static bool
-is_replaced(const GwSeats *s, const GwSeatRow *row, const GwMembers *members)
+has_holder_restarted(const GwSeats *s, const GwSeatRow *row,
+                     const GwMembers *members)
 {
     if (row->holder.node == s->params.id.node) {
         return row->holder.start < s->params.id.start;
@@ -81,16 +84,17 @@
            member->info.id.start > row->holder.start;
 }
 
-/* The list, read lately, lacks the holder, and it is silent. A suspicion is
- * not enough, and neither is a list that lags. */
+/* True when the instance list, read recently, does not contain the holder,
+ * and membership considers the holder dead or does not know it. Neither a
+ * mere suspicion nor an outdated list is sufficient. */
 static bool
-is_gone(const GwSeats *s, int64_t now_us, const GwSeatRow *row,
-        const GwMembers *members)
+has_holder_stopped(const GwSeats *s, int64_t now_us, const GwSeatRow *row,
+                   const GwMembers *members)
 {
     int64_t read_us = GwMembers_ListReadUs(members);
 
     if (row->holder.node == s->params.id.node || read_us == 0 ||
-        now_us - read_us > GW_SEAT_LIST_US ||
+        now_us - read_us > GW_SEAT_LIST_FRESH_US ||
         GwMembers_IsListed(members, row->name)) {
         return false;
     }
@@ -99,9 +103,9 @@
     return member == NULL || member->info.state == GW_MEMBER_DEAD;
 }
 
-/* Whether another process, which is there, already runs this reclaim. */
+/* Whether another live process has already written its notice. */
 static bool
-noticed_by_other(const GwSeats *s, const GwSeatRow *row,
+has_other_notice(const GwSeats *s, const GwSeatRow *row,
                  const GwMembers *members)
 {
     if (!row->notice || row->notice_by == s->params.id.node) {
@@ -112,19 +116,20 @@
     return member != NULL && member->info.state != GW_MEMBER_DEAD;
 }
 
-/* First the notice, then, after the hold-off on our own clock since it was
- * surely in the row, the claim on that very version. A live holder has the
- * whole hold-off to read the notice and rewrite the row, which makes the claim
- * fail. The hold-off is longer than the fence and the longest deadline
- * together, so that what the holder started has ended as well. */
+/* Reclaims in two steps: writes a notice, then, once the hold-off has
+ * passed on the local clock since the notice was confirmed, claims that
+ * exact row version. A live holder has the whole hold-off to read the
+ * notice and rewrite the row, which makes the claim fail. The hold-off is
+ * longer than the fence and the longest deadline together, so that the
+ * calls that the holder started have ended as well. */
 static void
-reclaim_gone(GwSeats *s, int64_t now_us, uint32_t seat,
-             const GwMembers *members, GwActions *out)
+reclaim_stopped(GwSeats *s, int64_t now_us, uint32_t seat,
+                const GwMembers *members, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
     int64_t holdoff_us = s->params.seat_holdoff_ms * 1000LL;
 
-#if GW_MUTANT == 53 /* breaks: no hold-off */
+#if GW_MUTANT == 53 /* breaks: a reclaim waits for the hold-off */
     holdoff_us = 0;
 #endif
     if (t->notice_us != 0) {
@@ -132,74 +137,77 @@
             GwSeats_Write(s, now_us, seat, GW_SEAT_OP_CLAIM, &t->row, out);
         }
     }
-    else if (!noticed_by_other(s, &t->row, members)) {
+    else if (!has_other_notice(s, &t->row, members)) {
         GwActions_Log(out, GW_LOG_SEAT_RECLAIM, "seat=%u holder=%s", seat,
                       t->row.name);
         GwSeats_Write(s, now_us, seat, GW_SEAT_OP_NOTICE, &t->row, out);
     }
 }
 
-/* The start in the row is gone for sure, but a backend server may still run
- * what it sent: the row waits for the hold-off. The new start goes first. */
+/* Reclaims the seat of a start that certainly has exited. A backend server
+ * may still run calls of that start, so the claim waits for the hold-off.
+ * The holder's own new start claims first; other entries wait longer. */
 static void
-reclaim_replaced(GwSeats *s, int64_t now_us, uint32_t seat, GwActions *out)
+reclaim_restarted(GwSeats *s, int64_t now_us, uint32_t seat, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
     int64_t wait_us = s->params.seat_holdoff_ms * 1000LL;
 
-    if (t->newer_us == 0) {
-        t->newer_us = now_us;
+    if (t->restarted_us == 0) {
+        t->restarted_us = now_us;
     }
     if (t->row.holder.node != s->params.id.node) {
-        wait_us += GW_SEAT_LEFTOVER_US;
+        wait_us += GW_SEAT_UNCLAIMED_US;
     }
-    if (now_us - t->newer_us >= wait_us) {
+    if (now_us - t->restarted_us >= wait_us) {
         GwSeats_Write(s, now_us, seat, GW_SEAT_OP_CLAIM, &t->row, out);
     }
 }
 
-/* Entries below their share reclaim first, so that a gone holder's seats don't
- * all go to whoever read the rows first. */
+/* Whether this entry may reclaim the seat now. Entries below their share go
+ * first, so that the seats of a stopped holder do not all go to the entry
+ * that read the rows first. */
 static bool
-is_our_turn(const GwSeats *s, int64_t now_us, GwSeat *t, uint32_t *have,
+may_reclaim(const GwSeats *s, int64_t now_us, GwSeat *t, uint32_t *have,
             uint32_t share)
 {
-    if (t->gone_us == 0) {
-        t->gone_us = now_us;
+    if (t->stopped_us == 0) {
+        t->stopped_us = now_us;
     }
     if (t->row.notice && t->row.notice_by == s->params.id.node) {
         (*have)++;
         return true;
     }
-    if (*have >= share && now_us - t->gone_us < GW_SEAT_LEFTOVER_US) {
+    if (*have >= share && now_us - t->stopped_us < GW_SEAT_UNCLAIMED_US) {
         return false;
     }
     (*have)++;
     return true;
 }
 
-/* Looks for rows whose holder is gone. */
+/* Reclaims the seats of holders that have restarted or stopped. */
 void
-GwSeats_Reclaims(GwSeats *s, int64_t now_us, const GwMembers *members,
-                 GwActions *out)
+GwSeats_ReclaimStale(GwSeats *s, int64_t now_us, const GwMembers *members,
+                     GwActions *out)
 {
-    uint32_t share = GwSeats_Share(s, members);
-    uint32_t have = own_count(s);
+    uint32_t share = GwSeats_FairShare(s, members);
+    uint32_t have = count_own_seats(s);
 
     for (uint32_t seat = 0; seat < s->total; seat++) {
         GwSeat *t = &s->seats[seat];
         if (t->state != GW_SEAT_NONE || t->write.op != GW_SEAT_OP_NONE ||
-            t->row.bad || is_free(&t->row) || GwSeats_IsOwn(s, &t->row)) {
+            t->row.is_malformed || is_free(&t->row) ||
+            GwSeats_IsOwn(s, &t->row)) {
             continue;
         }
-        if (is_replaced(s, &t->row, members)) {
-            reclaim_replaced(s, now_us, seat, out);
+        if (has_holder_restarted(s, &t->row, members)) {
+            reclaim_restarted(s, now_us, seat, out);
         }
-        else if (!is_gone(s, now_us, &t->row, members)) {
-            t->gone_us = 0;
+        else if (!has_holder_stopped(s, now_us, &t->row, members)) {
+            t->stopped_us = 0;
         }
-        else if (is_our_turn(s, now_us, t, &have, share)) {
-            reclaim_gone(s, now_us, seat, members, out);
+        else if (may_reclaim(s, now_us, t, &have, share)) {
+            reclaim_stopped(s, now_us, seat, members, out);
         }
     }
 }
--- a/lib/steer/seat_handover.c
+++ b/lib/steer/seat_handover.c
@@ -1,21 +1,22 @@
-/* Seats on their way from one holder to the next.
+/* Handover of a seat from one holder to the next.
  *
- * Two ways were weighed: the giver frees the row and anyone claims it, or the
- * giver offers it to a peer, who writes itself into the row. The second needs
- * no reach of the table on the giver's side, and the seat goes where it is
- * wanted, so it is tried first; the first remains for when no peer answers.
+ * The holder offers the seat to a peer, which writes itself into the row.
+ * This needs no access to the table on the holder's side, and the seat goes
+ * to an entry that is below its share. If no peer accepts, the holder frees
+ * the row, and any entry may claim it.
  *
- * The peer uses the seat only once its name stands in the row. If it began
- * on the offer alone, a third process could reclaim the row, which still
- * names the giver, gone for good reasons: one entry cut off from the table
- * would be enough for two users of a seat. All writes on the way are
- * conditional on the row's version at the release, so of several takers, the
- * giver's own change of mind and a reclaim, one wins. */
+ * The peer uses the seat only once the row names it. If it used the seat on
+ * the offer alone, a third process could rightly reclaim the row, which
+ * still names the previous holder, once that holder has stopped: one entry
+ * cut off from the table would be enough for two users of a seat. All
+ * writes of a handover are conditional on the row's version at the release,
+ * so that exactly one of several takers, a withdrawal by the holder and a
+ * reclaim succeeds. */
 #include "steer/seats_internal.h"
 
-/* Seats that the rows, as last read, give to a node. */
+/* The number of seats whose last known row names the node. */
 uint32_t
-GwSeats_CountOf(const GwSeats *s, uint64_t node)
+GwSeats_CountByNode(const GwSeats *s, uint64_t node)
 {
     uint32_t count = 0;
 
@@ -37,12 +38,13 @@
     return false;
 }
 
-/* The live peer of the region with the fewest seats, of those not tried with
- * `t` yet; NULL if none. `offset` tells apart the seats of a leaving entry,
- * which go to different peers. */
+/* The live peer of the region with the fewest seats, without the peers that
+ * `t` was already offered to; NULL if none. `offset` varies the start of
+ * the scan, so that the seats of a stopping entry go to different peers. */
 static const GwMember *
-poorest(const GwSeats *s, const GwSeat *t, const GwMembers *members,
-        uint32_t offset, uint32_t *count_out)
+find_smallest_holder(const GwSeats *s, const GwSeat *t,
+                     const GwMembers *members, uint32_t offset,
+                     uint32_t *count_out)
 {
     uint32_t n = GwMembers_Count(members);
     const GwMember *best = NULL;
@@ -55,7 +57,7 @@
             (t != NULL && was_offered(t, member->info.id.node))) {
             continue;
         }
-        uint32_t count = GwSeats_CountOf(s, member->info.id.node);
+        uint32_t count = GwSeats_CountByNode(s, member->info.id.node);
         if (count < best_count) {
             best = member;
             best_count = count;
@@ -65,9 +67,9 @@
     return best;
 }
 
-/* Parts with one seat when a live peer has at least two fewer: a new entry
- * joined. One at a time, and only towards a difference of one, so that seats
- * never go back and forth. */
+/* Starts the handover of one seat when a live peer has at least two fewer,
+ * as after a new entry has joined. Seats move one at a time, and only until
+ * the difference is one, so that they never move back and forth. */
 void
 GwSeats_Rebalance(GwSeats *s, int64_t now_us, const GwMembers *members,
                   GwActions *out)
@@ -86,8 +88,9 @@
             last = i;
         }
     }
-    if (last != GW_NONE && held > GwSeats_Share(s, members) &&
-        poorest(s, NULL, members, 0, &poor) != NULL && poor + 2 <= held) {
+    if (last != GW_NONE && held > GwSeats_FairShare(s, members) &&
+        find_smallest_holder(s, NULL, members, 0, &poor) != NULL &&
+        poor + 2 <= held) {
         GwSeats_SetState(s, last, GW_SEAT_PARTING, out);
     }
 }
@@ -105,15 +108,17 @@
     action->u.send.message = msg;
 }
 
-/* Nobody took it: a write on the version of the release takes it back, or
- * frees it when we leave. Only after that write is it ours to use again: a
- * peer we offered it to may still be writing. */
+/* Ends an offer that no peer accepted: a write conditional on the version
+ * of the release resumes the seat, or frees the row when this entry is
+ * stopping or the seat is above the total. The seat is usable again only
+ * after that write is confirmed, since a peer that received the offer may
+ * still be writing. */
 static void
 give_up_offer(GwSeats *s, int64_t now_us, uint32_t seat, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
 
-#if GW_MUTANT == 55 /* breaks: an offer is taken back without a write */
+#if GW_MUTANT == 55 /* breaks: an offer is withdrawn by a write only */
     if (!s->leaving) {
         GwSeats_SetState(s, seat, GW_SEAT_HELD, out);
         return;
@@ -127,7 +132,8 @@
     }
 }
 
-/* Offers a released seat, some times to each of a few peers. */
+/* Offers a released seat: GW_SEAT_SENDS_PER_PEER sends to each of up to
+ * GW_SEAT_PEERS_MAX peers. */
 static void
 offer(GwSeats *s, int64_t now_us, uint32_t seat, const GwMembers *members,
       GwActions *out)
@@ -140,11 +146,11 @@
         now_us - t->offer.sent_us < GW_SEAT_RESEND_US) {
         return;
     }
-    if (t->offer.peers > 0 && t->offer.tries < GW_SEAT_TRIES) {
+    if (t->offer.peers > 0 && t->offer.tries < GW_SEAT_SENDS_PER_PEER) {
         to = GwMembers_Find(members, t->offer.to[t->offer.peers - 1]);
     }
-    if (to == NULL && t->offer.peers < GW_SEAT_PEERS) {
-        to = poorest(s, t, members, seat, &poor);
+    if (to == NULL && t->offer.peers < GW_SEAT_PEERS_MAX) {
+        to = find_smallest_holder(s, t, members, seat, &poor);
         if (to != NULL) {
             t->offer.to[t->offer.peers++] = to->info.id.node;
             t->offer.tries = 0;
@@ -161,19 +167,19 @@
     send_seat(s, GW_MSG_SEAT_HANDOVER, to, &handover, out);
 }
 
-/* Offers that need an answer, gifts that were never taken, and takings whose
- * write was lost. */
+/* Resends unanswered offers, withdraws accepted offers that were not
+ * written in time, and repeats the lost writes of seats being taken. */
 void
-GwSeats_Handovers(GwSeats *s, int64_t now_us, const GwMembers *members,
-                  GwActions *out)
+GwSeats_AdvanceHandovers(GwSeats *s, int64_t now_us, const GwMembers *members,
+                         GwActions *out)
 {
-    for (uint32_t seat = 0; seat < s->high; seat++) {
+    for (uint32_t seat = 0; seat < s->max_total; seat++) {
         GwSeat *t = &s->seats[seat];
         if (t->state == GW_SEAT_RELEASED) {
             offer(s, now_us, seat, members, out);
         }
         else if (t->state == GW_SEAT_GIVEN &&
-                 now_us - t->given_us > GW_SEAT_GIVEN_US) {
+                 now_us - t->given_us > GW_SEAT_TAKE_TIMEOUT_US) {
             give_up_offer(s, now_us, seat, out);
         }
         else if (t->state == GW_SEAT_TAKING &&
@@ -187,19 +193,19 @@
     }
 }
 
-/* Nothing of the seat is in flight any more: it goes to a peer. From here on
- * this claim of it is never used again by this process. */
+/* Offers the seat to a peer once none of its units is in use or on loan.
+ * From here on this process never uses this claim of the seat again. */
 void
 GwSeats_Release(GwSeats *s, int64_t now_us, uint32_t seat,
                 const GwMembers *members, GwActions *out)
 {
-    GwSeats_Beat(s, now_us, out);
+    GwSeats_CheckPause(s, now_us, out);
     if (seat >= GW_SEATS_MAX || s->seats[seat].state != GW_SEAT_PARTING ||
         s->fenced) {
         return;
     }
     GwSeat *t = &s->seats[seat];
-    t->given = t->row.claim;
+    t->released_claim = t->row.claim;
     t->offer.peers = 0;
     t->offer.tries = 0;
     t->offer.sent_us = 0;
@@ -207,13 +213,14 @@
     offer(s, now_us, seat, members, out);
 }
 
-/* Whether an offer is wanted: from one who leaves always; from others while
- * we have fewer than our share, or several would give to the same newcomer. */
+/* Whether to accept an offer. An offer of a stopping entry is always
+ * accepted; other offers only while this entry is below its share, or
+ * several holders would hand seats to the same new entry. */
 static bool
-is_welcome(const GwSeats *s, const GwSeatHandover *h, const GwMember *from,
-           const GwMembers *members)
+should_accept(const GwSeats *s, const GwSeatHandover *h, const GwMember *from,
+              const GwMembers *members)
 {
-    uint32_t have = GwSeats_CountOf(s, s->params.id.node);
+    uint32_t have = GwSeats_CountByNode(s, s->params.id.node);
 
     for (uint32_t i = 0; i < s->total; i++) {
         have += s->seats[i].state == GW_SEAT_TAKING ? 1 : 0;
@@ -222,11 +229,12 @@
            s->seats[h->seat].write.op == GW_SEAT_OP_NONE &&
            h->row_version >= s->seats[h->seat].row.version &&
            (from->info.state == GW_MEMBER_LEAVING ||
-            have < GwSeats_Share(s, members));
+            have < GwSeats_FairShare(s, members));
 }
 
-/* An offer. The answer is sent when we decided to take it; we go on until the
- * row is ours or has changed, so the giver need not stay for that. */
+/* Handles an offer. The reply is sent once the offer is accepted; this
+ * process then repeats the write until the row names it or has changed, so
+ * the holder need not stay running for it. */
 static void
 receive_offer(GwSeats *s, int64_t now_us, const GwSeatHandover *h,
               const GwMember *from, const GwMembers *members, GwActions *out)
@@ -236,19 +244,19 @@
     bool taken = GwSeats_IsOwn(s, &t->row) && t->row.claim == h->claim + 1;
 
     if (!taking && !taken) {
-        if (s->leaving || s->fenced || !is_welcome(s, h, from, members)) {
+        if (s->leaving || s->fenced || !should_accept(s, h, from, members)) {
             return;
         }
         t->take.version = h->row_version;
         t->take.claim = h->claim;
         t->take.retry_us = now_us;
         GwSeats_SetState(s, h->seat, GW_SEAT_TAKING, out);
-#if GW_MUTANT == 56 /* breaks: a seat is used on the offer alone */
+#if GW_MUTANT == 56 /* breaks: a seat is not used on the offer alone */
         GwSeats_SetState(s, h->seat, GW_SEAT_HELD, out);
 #endif
     }
     send_seat(s, GW_MSG_SEAT_TAKEN, from, h, out);
-    GwSeats_Handovers(s, now_us, members, out);
+    GwSeats_AdvanceHandovers(s, now_us, members, out);
 }
 
 static void
@@ -265,8 +273,8 @@
     }
 }
 
-/* SEAT_HANDOVER and SEAT_TAKEN; heard only from known members of the region,
- * at their present start. */
+/* Handles SEAT_HANDOVER and SEAT_TAKEN; accepted only from known members of
+ * the region under their current start number. */
 void
 GwSeats_Receive(GwSeats *s, int64_t now_us, const GwMessage *msg,
                 const GwMembers *members, GwActions *out)
@@ -274,7 +282,7 @@
     const GwSeatHandover *h = &msg->u.seat;
     const GwMember *from = GwMembers_Find(members, msg->from.node);
 
-    GwSeats_Beat(s, now_us, out);
+    GwSeats_CheckPause(s, now_us, out);
     if (from == NULL || !GwNodeId_Equal(from->info.id, msg->from) ||
         from->info.region != s->region || h->seat >= s->total) {
         return;
--- a/lib/steer/seat_rows.c
+++ b/lib/steer/seat_rows.c
@@ -1,36 +1,38 @@
-/* Rows of seats: their text, and the requests that read and write them. */
+/* Rows of seats: their text format, and the requests that read and write
+ * them. */
 #include "steer/seats_internal.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* Tokens of writes carry the seat plus one, so that an answer finds it. */
+/* Write tokens hold the seat number plus one above this bit, so that a
+ * reply can be matched to its seat. */
 #define SEAT_SHIFT 40
 
 void
-GwSeats_Key(const GwSeats *s, uint32_t seat, char out[GW_ROW_KEY_MAX])
+GwSeats_FormatKey(const GwSeats *s, uint32_t seat, char out[GW_ROW_KEY_MAX])
 {
     g_snprintf(out, GW_ROW_KEY_MAX, GW_KEY_SEAT_PREFIX "%s/%04u",
                s->params.region, seat);
 }
 
-/* Whether the row names this very start as the holder. */
+/* Whether the row names this process, by node and start number. */
 bool
 GwSeats_IsOwn(const GwSeats *s, const GwSeatRow *row)
 {
-    return row->version != 0 && !row->bad &&
+    return row->version != 0 && !row->is_malformed &&
            GwNodeId_Equal(row->holder, s->params.id);
 }
 
-/* Reads "<node> <start> <claim> <held|notice> <notice by> <name>". A value
- * that is something else is marked bad: held by nobody known, and not free. */
+/* Parses "<node> <start> <claim> <held|notice> <notice by> <name>". Any
+ * other value is marked malformed: neither free nor held by a known node. */
 void
 GwSeatRow_Parse(const GwRow *row, GwSeatRow *out)
 {
     g_autofree char *text = g_strndup(row->value, row->len);
     g_auto(GStrv) words = g_strsplit(text, " ", -1);
 
-    *out = (GwSeatRow){.version = row->version, .bad = true};
+    *out = (GwSeatRow){.version = row->version, .is_malformed = true};
     if (g_strv_length(words) != 6 ||
         !g_ascii_string_to_unsigned(words[0], 16, 0, UINT64_MAX,
                                     &out->holder.node, NULL) ||
@@ -43,7 +45,7 @@
         return;
     }
     out->notice = strcmp(words[3], "notice") == 0;
-    out->bad = !out->notice && strcmp(words[3], "held") != 0;
+    out->is_malformed = !out->notice && strcmp(words[3], "held") != 0;
     g_strlcpy(out->name, words[5], GW_NAME_MAX);
 }
 
@@ -56,13 +58,13 @@
         row->notice ? "notice" : "held", row->notice_by, row->name);
 }
 
-/* The row after the write: `base` as changed by `op`. */
+/* The row to be written: `base` changed by `op`. */
 static GwSeatRow
 row_after(const GwSeats *s, GwSeatOp op, const GwSeatRow *base)
 {
     GwSeatRow row = *base;
 
-    row.bad = false;
+    row.is_malformed = false;
     row.notice = false;
     row.notice_by = 0;
     switch (op) {
@@ -88,8 +90,8 @@
     return row;
 }
 
-/* Sends a write of the seat, conditional on the version of `base`. One write
- * of a seat is in flight at a time. */
+/* Sends a write of the seat's row, conditional on the version of `base`.
+ * Each seat has at most one write in flight. */
 void
 GwSeats_Write(GwSeats *s, int64_t now_us, uint32_t seat, GwSeatOp op,
               const GwSeatRow *base, GwActions *out)
@@ -106,21 +108,21 @@
     request->op = GW_TABLE_TXN;
     request->row_count = 1;
     request->rows[0].version = base->version;
-    GwSeats_Key(s, seat, request->rows[0].key);
+    GwSeats_FormatKey(s, seat, request->rows[0].key);
     request->rows[0].value = format_row(&t->write.row);
     request->rows[0].len = (uint32_t)strlen(request->rows[0].value);
     GwActions_Add(out, GW_ACTION_TABLE)->u.table = request;
 }
 
-/* Reads all rows of the region; slower while the table does not answer, and
- * where the rows are many: a reading costs by their number, and so many entries
- * read them. Both together are no slower than the one, since a holder has to
- * read its rows twice within the hold-off. */
+/* Requests all seat rows of the region. The period is longer while the
+ * table fails and where the rows are many, since a read costs in proportion
+ * to their number and every entry reads them. The two do not add up, since
+ * a holder has to read its rows twice within the hold-off. */
 void
-GwSeats_List(GwSeats *s, int64_t now_us, GwActions *out)
+GwSeats_ReadRows(GwSeats *s, int64_t now_us, GwActions *out)
 {
     GwTableRequest *request = g_new0(GwTableRequest, 1);
-    bool slow = s->fails > 0 || s->total > GW_SEAT_MANY;
+    bool slow = s->failed_reads > 0 || s->total > GW_SEAT_SLOW_POLL_ROWS;
     int64_t poll_us = ((int64_t)s->params.seat_poll_ms * 1000)
                       << (slow ? GW_SEAT_BACKOFF_MAX : 0);
 
@@ -136,14 +138,14 @@
     GwActions_Add(out, GW_ACTION_TABLE)->u.table = request;
 }
 
-/* A reading before its time: something waits for it. Not sooner than the
- * backoff allows while the table is away. */
+/* Schedules an early read, because a decision waits for it. While the table
+ * fails, the longer period stays. */
 void
-GwSeats_ListSoon(GwSeats *s, int64_t now_us)
+GwSeats_ReadRowsSoon(GwSeats *s, int64_t now_us)
 {
-    if (s->fails == 0) {
-        int64_t soon_us = now_us + GwRng_Jitter(&s->rng, GW_SEAT_SOON_US,
-                                                2 * GW_SEAT_SOON_US);
+    if (s->failed_reads == 0) {
+        int64_t soon_us = now_us + GwRng_Jitter(&s->rng, GW_SEAT_READ_SOON_US,
+                                                2 * GW_SEAT_READ_SOON_US);
         s->next_list_us = MIN(s->next_list_us, soon_us);
     }
 }
--- a/lib/steer/seat_state.c
+++ b/lib/steer/seat_state.c
@@ -1,18 +1,18 @@
-/* What a seat is to this process, by what is known of its row. */
+/* State of each seat in this process, derived from the known rows. */
 #include "steer/seats_internal.h"
 
 static bool
-usable(const GwSeat *t)
+is_seat_usable(const GwSeat *t)
 {
     return t->state == GW_SEAT_HELD && !t->contested;
 }
 
-/* Sets the state; a change of what may be used raises the epoch. */
+/* Sets the state; the epoch increases when usability changes. */
 void
 GwSeats_SetState(GwSeats *s, uint32_t seat, GwSeatState state, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
-    bool was = usable(t);
+    bool was = is_seat_usable(t);
 
     if (state == GW_SEAT_HELD && (s->leaving || seat >= s->total)) {
         state = GW_SEAT_PARTING;
@@ -22,14 +22,15 @@
                       t->row.claim);
     }
     t->state = state;
-    if (was != usable(t)) {
+    if (was != is_seat_usable(t)) {
         s->epoch++;
     }
 }
 
-/* The row is no longer ours: nothing of it may be used from now on. */
+/* Marks a seat as lost: the row no longer names this process, and none of
+ * the seat's units may be used from now on. */
 void
-GwSeats_Lose(GwSeats *s, uint32_t seat, GwActions *out)
+GwSeats_MarkLost(GwSeats *s, uint32_t seat, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
 
@@ -41,41 +42,40 @@
     t->contested = false;
 }
 
-/* A row that is ours. One whose claim we once gave up is not taken back by
- * reading it: the peer we offered it to may be writing itself in right now.
- * One that carries a notice is not used until our objection is confirmed: the
- * symptom would be two users of a seat, if the table was out of our reach for
- * the whole hold-off. */
+/* Applies a row that names this process. A seat whose claim was released is
+ * not resumed by reading the row: the peer that received the offer may be
+ * writing itself into it. A seat with a notice is not used until the
+ * objection is confirmed; otherwise it could have two users, if the table
+ * was out of reach for the whole hold-off. */
 static void
-own_row(GwSeats *s, uint32_t seat, GwActions *out)
+apply_own_row(GwSeats *s, uint32_t seat, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
-    bool was = usable(t);
+    bool was = is_seat_usable(t);
 
     t->contested = t->row.notice;
-#if GW_MUTANT == 54 /* breaks: a notice does not stop the use */
+#if GW_MUTANT == 54 /* breaks: a notice suspends the use of the seat */
     t->contested = false;
 #endif
-    if (was != usable(t)) {
+    if (was != is_seat_usable(t)) {
         s->epoch++;
     }
-#if GW_MUTANT == 57 /* breaks: a given-up claim is taken back by reading */
+#if GW_MUTANT == 57 /* breaks: a read does not resume a released claim */
     if (t->state == GW_SEAT_GIVEN || t->state == GW_SEAT_RELEASED) {
         GwSeats_SetState(s, seat, GW_SEAT_HELD, out);
     }
 #endif
     if ((t->state == GW_SEAT_NONE || t->state == GW_SEAT_TAKING) &&
-        t->row.claim > t->given) {
+        t->row.claim > t->released_claim) {
         GwSeats_SetState(s, seat, GW_SEAT_HELD, out);
     }
 }
 
-/* Takes in what is known of a row, by a reading or a confirmed write. Older
- * knowledge than what we have is ignored: readings and writes may overtake
- * each other. */
+/* Applies a row from a read or a confirmed write. An older version than the
+ * known one is ignored, since reads and writes may overtake each other. */
 void
-GwSeats_Learn(GwSeats *s, int64_t now_us, uint32_t seat, const GwSeatRow *row,
-              GwActions *out)
+GwSeats_ApplyRow(GwSeats *s, int64_t now_us, uint32_t seat,
+                 const GwSeatRow *row, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
 
@@ -85,8 +85,8 @@
     if (row->version > t->row.version || t->since_us == 0) {
         t->since_us = now_us;
         t->notice_us = 0;
-        t->newer_us = 0;
-        t->gone_us = 0;
+        t->restarted_us = 0;
+        t->stopped_us = 0;
     }
     t->row = *row;
     if (row->notice && row->notice_by == s->params.id.node &&
@@ -94,13 +94,13 @@
         t->notice_us = now_us;
     }
     if (GwSeats_IsOwn(s, row)) {
-        own_row(s, seat, out);
+        apply_own_row(s, seat, out);
         return;
     }
     if (t->state == GW_SEAT_TAKING && row->version <= t->take.version) {
         return;
     }
     if (t->state != GW_SEAT_NONE) {
-        GwSeats_Lose(s, seat, out);
+        GwSeats_MarkLost(s, seat, out);
     }
 }
--- a/lib/steer/seats.c
+++ b/lib/steer/seats.c
@@ -1,4 +1,5 @@
-/* The interface of seats: beats and the fence, readings, answers to writes. */
+/* Interface of the seats: pause detection and the fence, table reads,
+ * replies to writes. */
 #include "steer/seats_internal.h"
 
 #include <string.h>
@@ -20,13 +21,13 @@
     g_free(s);
 }
 
-/* A seat beyond the number is given away, never used. */
+/* A held seat at or above the total is handed over and not used. */
 void
 GwSeats_Configure(GwSeats *s, uint32_t total)
 {
     s->total = MIN(total, GW_SEATS_MAX);
-    s->high = MAX(s->high, s->total);
-    for (uint32_t i = s->total; i < s->high; i++) {
+    s->max_total = MAX(s->max_total, s->total);
+    for (uint32_t i = s->total; i < s->max_total; i++) {
         if (s->seats[i].state == GW_SEAT_HELD) {
             s->seats[i].state = GW_SEAT_PARTING;
             s->epoch++;
@@ -34,20 +35,21 @@
     }
 }
 
-/* Every event passes here first. A gap between two of them longer than the
- * fence means that this process was paused, perhaps long enough for another
- * to have reclaimed its seats: it uses none, and believes no answer to what
- * it asked before, until it has read the rows anew. Without this, a holder
- * that wakes would go on with the units that somebody else now uses. */
+/* Detects a pause of the process; called first for every event. A gap
+ * between two events longer than the fence means that another process may
+ * have reclaimed the seats meanwhile. This process then uses no seat, and
+ * ignores the replies to its earlier requests, until it has read the rows
+ * again. Without the fence, a holder that resumes would use units that
+ * another process now uses. */
 void
-GwSeats_Beat(GwSeats *s, int64_t now_us, GwActions *out)
+GwSeats_CheckPause(GwSeats *s, int64_t now_us, GwActions *out)
 {
-    int64_t gap_us = now_us - s->beat_us;
+    int64_t gap_us = now_us - s->last_event_us;
     bool paused =
-        s->beat_us != 0 && gap_us > (int64_t)s->params.fence_ms * 1000;
+        s->last_event_us != 0 && gap_us > (int64_t)s->params.fence_ms * 1000;
 
-    s->beat_us = now_us;
-#if GW_MUTANT == 50 /* breaks: no fence */
+    s->last_event_us = now_us;
+#if GW_MUTANT == 50 /* breaks: a pause fences the process */
     paused = false;
 #endif
     if (!paused) {
@@ -58,60 +60,61 @@
     s->fence_us = now_us;
     s->epoch++;
     s->next_list_us = now_us;
-#if GW_MUTANT != 51 /* breaks: a reading from before the pause lifts it */
+#if GW_MUTANT != 51 /* breaks: an older read does not end the fence */
     s->list.token = 0;
 #endif
-    for (uint32_t i = 0; i < s->high; i++) {
+    for (uint32_t i = 0; i < s->max_total; i++) {
         s->seats[i].write.op = GW_SEAT_OP_NONE;
         s->seats[i].write.token = 0;
     }
 }
 
-/* A write without an answer in time: whether it took effect is found out by
- * reading. An answer that comes later is not heard, since what it tells may
- * have been overtaken. */
+/* Gives up requests without a reply in time. Whether a write took effect is
+ * determined by reading. A later reply is ignored, since its content may be
+ * outdated. */
 static void
 expire(GwSeats *s, int64_t now_us)
 {
-#if GW_MUTANT != 51 /* breaks: a reading from before the pause lifts it */
-    if (s->list.token != 0 && now_us - s->list.sent_us > GW_SEAT_REQUEST_US) {
+#if GW_MUTANT != 51 /* breaks: an older read does not end the fence */
+    if (s->list.token != 0 &&
+        now_us - s->list.sent_us > GW_SEAT_REQUEST_TIMEOUT_US) {
         s->list.token = 0;
-        s->fails++;
+        s->failed_reads++;
     }
 #endif
-    if (now_us - s->expired_us < GW_SEAT_EXPIRE_US) {
+    if (now_us - s->expired_us < GW_SEAT_EXPIRE_PERIOD_US) {
         return;
     }
     s->expired_us = now_us;
-    for (uint32_t i = 0; i < s->high; i++) {
+    for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeat *t = &s->seats[i];
         if (t->write.op != GW_SEAT_OP_NONE &&
-            now_us - t->write.sent_us > GW_SEAT_REQUEST_US) {
+            now_us - t->write.sent_us > GW_SEAT_REQUEST_TIMEOUT_US) {
             t->write.op = GW_SEAT_OP_NONE;
             t->write.token = 0;
-            GwSeats_ListSoon(s, now_us);
+            GwSeats_ReadRowsSoon(s, now_us);
         }
     }
 }
 
-/* Time-outs, readings and handovers that are due. */
+/* Runs the timeouts, handovers and reads that are due. */
 void
 GwSeats_Tick(GwSeats *s, int64_t now_us, const GwMembers *members,
              GwActions *out)
 {
-    GwSeats_Beat(s, now_us, out);
+    GwSeats_CheckPause(s, now_us, out);
     expire(s, now_us);
     if (s->next_list_us == 0) {
-        s->next_list_us = now_us + GwRng_Jitter(&s->rng, GW_SEAT_START_US,
-                                                GW_SEAT_START_US / 2);
+        s->next_list_us = now_us + GwRng_Jitter(&s->rng, GW_SEAT_FIRST_READ_US,
+                                                GW_SEAT_FIRST_READ_US / 2);
     }
-    GwSeats_Handovers(s, now_us, members, out);
+    GwSeats_AdvanceHandovers(s, now_us, members, out);
     if (s->total > 0 && s->list.token == 0 && now_us >= s->next_list_us) {
-        GwSeats_List(s, now_us, out);
+        GwSeats_ReadRows(s, now_us, out);
     }
 }
 
-/* The number of the seat in a row's key; GW_NONE when it is no seat. */
+/* The seat number in a row's key; GW_NONE for other keys. */
 static uint32_t
 seat_of(const GwSeats *s, const char *key)
 {
@@ -124,21 +127,22 @@
         return GW_NONE;
     }
     char expected[GW_ROW_KEY_MAX];
-    GwSeats_Key(s, (uint32_t)seat, expected);
+    GwSeats_FormatKey(s, (uint32_t)seat, expected);
     return strcmp(expected, key) == 0 ? (uint32_t)seat : GW_NONE;
 }
 
-/* A seat of ours whose row is not there: the table has lost it. */
+/* Drops the seats whose row is missing from the list: the table has lost
+ * the row. */
 static void
-lose_absent(GwSeats *s, int64_t now_us, int64_t sent_us, GwActions *out)
+drop_absent_rows(GwSeats *s, int64_t now_us, int64_t sent_us, GwActions *out)
 {
-    for (uint32_t i = 0; i < s->high; i++) {
+    for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeat *t = &s->seats[i];
-        if (t->reading != s->reading && t->row.version != 0 &&
+        if (t->list_round != s->list_round && t->row.version != 0 &&
             t->since_us < sent_us && t->write.op == GW_SEAT_OP_NONE) {
             t->row = (GwSeatRow){0};
             t->since_us = now_us;
-            GwSeats_Lose(s, i, out);
+            GwSeats_MarkLost(s, i, out);
         }
         if (t->since_us == 0) {
             t->since_us = now_us;
@@ -149,7 +153,7 @@
 static void
 object(GwSeats *s, int64_t now_us, GwActions *out)
 {
-    for (uint32_t i = 0; i < s->high; i++) {
+    for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeat *t = &s->seats[i];
         bool ours = t->state == GW_SEAT_HELD || t->state == GW_SEAT_PARTING;
         if (ours && t->contested && t->write.op == GW_SEAT_OP_NONE) {
@@ -158,13 +162,13 @@
     }
 }
 
-/* Takes in a reading of all rows. One sent before a fence was dropped by the
- * fence; so this one shows the rows as they were after the wake. */
+/* Applies a list of all rows. A fence cancels the reads sent before it, so
+ * the list that ends a fence shows the rows as they were after the pause. */
 static void
-take_list(GwSeats *s, int64_t now_us, const GwTableReply *reply,
-          const GwMembers *members, GwActions *out)
+apply_list(GwSeats *s, int64_t now_us, const GwTableReply *reply,
+           const GwMembers *members, GwActions *out)
 {
-    s->reading++;
+    s->list_round++;
     for (uint32_t i = 0; i < reply->row_count; i++) {
         uint32_t seat = seat_of(s, reply->rows[i].key);
         if (seat == GW_NONE) {
@@ -172,28 +176,28 @@
         }
         GwSeatRow row;
         GwSeatRow_Parse(&reply->rows[i], &row);
-        s->seats[seat].reading = s->reading;
+        s->seats[seat].list_round = s->list_round;
         if (s->seats[seat].write.op == GW_SEAT_OP_NONE) {
-            GwSeats_Learn(s, now_us, seat, &row, out);
+            GwSeats_ApplyRow(s, now_us, seat, &row, out);
         }
     }
-    lose_absent(s, now_us, s->list.sent_us, out);
+    drop_absent_rows(s, now_us, s->list.sent_us, out);
     if (s->fenced) {
         s->fenced = false;
         s->epoch++;
     }
     object(s, now_us, out);
     if (!s->leaving) {
-        GwSeats_Reclaims(s, now_us, members, out);
+        GwSeats_ReclaimStale(s, now_us, members, out);
         GwSeats_Rebalance(s, now_us, members, out);
-        GwSeats_Claims(s, now_us, members, out);
+        GwSeats_ClaimFree(s, now_us, members, out);
     }
 }
 
-/* A confirmed write: the row is as we wrote it. */
+/* Applies a confirmed write. */
 static void
-take_write(GwSeats *s, int64_t now_us, uint32_t seat, uint64_t version,
-           GwActions *out)
+apply_write(GwSeats *s, int64_t now_us, uint32_t seat, uint64_t version,
+            GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
     GwSeatOp op = t->write.op;
@@ -205,46 +209,46 @@
     if (op == GW_SEAT_OP_RESUME) {
         GwSeats_SetState(s, seat, GW_SEAT_NONE, out);
     }
-    GwSeats_Learn(s, now_us, seat, &row, out);
+    GwSeats_ApplyRow(s, now_us, seat, &row, out);
 }
 
 static void
-take_write_reply(GwSeats *s, int64_t now_us, uint32_t seat,
-                 const GwTableReply *reply, GwActions *out)
+receive_write_reply(GwSeats *s, int64_t now_us, uint32_t seat,
+                    const GwTableReply *reply, GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
 
-#if GW_MUTANT == 52 /* breaks: a lost answer is taken for a yes */
+#if GW_MUTANT == 52 /* breaks: a lost reply does not confirm a write */
     if (reply->status == GW_TABLE_LOST) {
-        take_write(s, now_us, seat, t->row.version + 1, out);
+        apply_write(s, now_us, seat, t->row.version + 1, out);
         return;
     }
 #endif
     if (reply->status == GW_TABLE_DONE && reply->row_count == 1) {
-        take_write(s, now_us, seat, reply->rows[0].version, out);
+        apply_write(s, now_us, seat, reply->rows[0].version, out);
         return;
     }
-    /* Refused, or unknown: the row tells, and until then nothing changes. A
-     * refusal too may be the work of our own earlier write, whose answer was
-     * lost. */
+    /* Refused, or result unknown: the state stays until the row is read. A
+     * refusal may also be caused by an earlier write of this process whose
+     * reply was lost. */
     t->write.op = GW_SEAT_OP_NONE;
     t->write.token = 0;
-    GwSeats_ListSoon(s, now_us);
+    GwSeats_ReadRowsSoon(s, now_us);
 }
 
-/* Answers to readings and writes. An unknown token is of a request that was
- * given up, or that a fence made worthless. */
+/* Handles replies to reads and writes. A reply with an unknown token
+ * belongs to a request that timed out or that a fence cancelled. */
 void
 GwSeats_TableReply(GwSeats *s, int64_t now_us, const GwTableReply *reply,
                    const GwMembers *members, GwActions *out)
 {
-    GwSeats_Beat(s, now_us, out);
+    GwSeats_CheckPause(s, now_us, out);
     uint32_t seat = (uint32_t)(reply->token >> 40) & 0xffff;
 
     if (seat > 0 && seat <= GW_SEATS_MAX) {
         if (s->seats[seat - 1].write.op != GW_SEAT_OP_NONE &&
             s->seats[seat - 1].write.token == reply->token) {
-            take_write_reply(s, now_us, seat - 1, reply, out);
+            receive_write_reply(s, now_us, seat - 1, reply, out);
         }
         return;
     }
@@ -253,11 +257,11 @@
     }
     s->list.token = 0;
     if (reply->status != GW_TABLE_DONE) {
-        s->fails++;
+        s->failed_reads++;
         return;
     }
-    s->fails = 0;
-    take_list(s, now_us, reply, members, out);
+    s->failed_reads = 0;
+    apply_list(s, now_us, reply, members, out);
 }
 
 bool
@@ -273,12 +277,12 @@
     return seat < GW_SEATS_MAX && s->seats[seat].state == GW_SEAT_PARTING;
 }
 
-/* Every seat parts; new ones are not taken. */
+/* Starts the handover of every seat; no new ones are claimed. */
 void
 GwSeats_Leave(GwSeats *s, int64_t now_us)
 {
     s->leaving = true;
-    for (uint32_t i = 0; i < s->high; i++) {
+    for (uint32_t i = 0; i < s->max_total; i++) {
         if (s->seats[i].state == GW_SEAT_HELD) {
             s->seats[i].state = GW_SEAT_PARTING;
         }
@@ -286,14 +290,14 @@
     s->epoch++;
 }
 
-/* Seats that this node still answers for: held, parting, or offered without
- * an answer yet. */
+/* The number of seats that this process is still responsible for: held,
+ * being handed over, or offered without a reply. */
 uint32_t
 GwSeats_HeldCount(const GwSeats *s)
 {
     uint32_t count = 0;
 
-    for (uint32_t i = 0; i < s->high; i++) {
+    for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeatState state = s->seats[i].state;
         count += state == GW_SEAT_HELD || state == GW_SEAT_PARTING ||
                          state == GW_SEAT_RELEASED
@@ -316,7 +320,7 @@
 }
 
 static uint32_t
-common_divisor(uint32_t a, uint32_t b)
+greatest_common_divisor(uint32_t a, uint32_t b)
 {
     while (b != 0) {
         uint32_t rest = a % b;
@@ -326,11 +330,11 @@
     return a;
 }
 
-/* The seat of a unit. Units go round all seats by a step without a common
- * divisor, so that any run of them is spread evenly: no seat has two more than
- * another. `count` has no part in it: during a change of a cap or of slots the
- * entries obey different versions for a moment, and a unit that both versions
- * know must belong to the same seat in both. */
+/* Maps a unit to its seat. Consecutive units advance by a step coprime to
+ * `seats`, so that any run of units is spread evenly: no seat gets two more
+ * than another. `count` is not used: while a cap or a slot count changes,
+ * entries use different configuration versions for a moment, and a unit
+ * that both versions contain must belong to the same seat in both. */
 uint32_t
 GwSeat_OfUnit(uint64_t owner, uint32_t index, uint32_t count, uint32_t seats)
 {
@@ -341,7 +345,7 @@
     uint32_t step = (uint32_t)(seats * 618ULL / 1000);
 
     step = MAX(step, 1);
-    while (common_divisor(step, seats) != 1) {
+    while (greatest_common_divisor(step, seats) != 1) {
         step++;
     }
     return (uint32_t)((first % seats + (uint64_t)index * step) % seats);
--- a/tests/property/seats_explore.cpp
+++ b/tests/property/seats_explore.cpp
@@ -276,8 +276,8 @@
             add(age(s, s.read_us[i]));
             add(g->fenced);
             add(g->leaving);
-            add(std::min<int64_t>(g->fails, 2));
-            add(age(s, g->beat_us));
+            add(std::min<int64_t>(g->failed_reads, 2));
+            add(age(s, g->last_event_us));
             add(g->fenced ? age(s, g->fence_us) : 0);
             add(g->next_list_us - s.now_us);
             add(g->list.token != 0 ? age(s, g->list.sent_us) : -1);
@@ -286,9 +286,10 @@
             addRow(t.row);
             add(age(s, t.since_us));
             add(age(s, t.notice_us));
-            add(age(s, t.gone_us));
-            add(t.given == 0 ? 1
-                             : static_cast<int64_t>(t.given - table.claim));
+            add(age(s, t.stopped_us));
+            add(t.released_claim == 0
+                    ? 1
+                    : static_cast<int64_t>(t.released_claim - table.claim));
             add(t.write.op);
             if (t.write.op != GW_SEAT_OP_NONE) {
                 addRow(t.write.row);
