--- a/lib/steer/backends.c
+++ b/lib/steer/backends.c
@@ -1,71 +1,72 @@
-/* What this entry knows of one backend server: failures and ejection, slow
- * start, draining, reports and their age. */
+/* State of one backend server: failures and ejection, slow start, draining,
+ * load reports and their age. */
 #include "steer/steer_internal.h"
 
-/* What this entry saw itself. The observation stands for its time, since a
- * health endpoint may lag; after that until the endpoint says, at last, that
- * the server is open. Were it to lapse by itself, a draining server without
- * a working endpoint would be sent new work each time it did. */
+/* True while a drain that this entry observed itself is in force: for
+ * drain_hint_ttl_ms, since the health endpoint may lag, and then until a
+ * later health report says that the server is not draining. If the
+ * observation expired by itself, a draining server without a working health
+ * endpoint would receive new calls after each expiry. */
 static bool
-is_drained_as_seen(const GwBackendState *b, int64_t now_us)
+is_observed_draining(const GwBackendState *b, int64_t now_us)
 {
     if (b->own_drain_until_us == 0) {
         return false;
     }
-#if GW_MUTANT == 5 /* breaks: a drain once seen does not lapse */
+#if GW_MUTANT == 5 /* breaks: an observed drain does not lapse */
     return b->own_drain_until_us > now_us;
 #else
     return b->own_drain_until_us > now_us ||
-           b->open_at_us < b->own_drain_until_us;
+           b->reported_open_us < b->own_drain_until_us;
 #endif
 }
 
-/* Whether new work stays away: by configuration, by what this entry saw, or
- * by what a peer saw. */
+/* Whether the server is draining: by configuration, by an observation of
+ * this entry, or by a peer's hint. */
 bool
 GwBackend_IsDraining(const GwBackendState *b, int64_t now_us)
 {
-    return b->config_drain || is_drained_as_seen(b, now_us) ||
+    return b->config_drain || is_observed_draining(b, now_us) ||
            b->hint_drain_until_us > now_us;
 }
 
-/* The panic threshold is the choice's: this says only what this server's own
- * failures ask for. */
+/* Whether the server is ejected for its own failures. The panic threshold
+ * is applied by GwSteer_ChooseBackend(). */
 bool
 GwBackend_IsEjected(const GwBackendState *b, int64_t now_us)
 {
     return b->ejected_until_us > now_us;
 }
 
-/* Whether this entry would start new work there now, panic aside. */
+/* Whether this entry would start a new call there now, apart from panic. */
 bool
-GwBackend_TakesWork(const GwBackendState *b, int64_t now_us)
+GwBackend_IsAvailable(const GwBackendState *b, int64_t now_us)
 {
     return !GwBackend_IsDraining(b, now_us) &&
            !GwBackend_IsEjected(b, now_us) && b->shed_until_us <= now_us;
 }
 
-/* Thousandths of a full share: a server that came back with cold caches is
- * ramped up over GW_SLOW_START_US, so that it is not hit by everyone because
- * it looks idle. */
+/* The server's weight in thousandths. A server that has returned with cold
+ * caches is ramped up over GW_SLOW_START_US, so that the entries do not all
+ * send to it because it appears idle. */
 uint32_t
-GwBackend_Weight(const GwBackendState *b, int64_t now_us)
+GwBackend_SlowStartWeight(const GwBackendState *b, int64_t now_us)
 {
-    int64_t age_us = now_us - b->slow_from_us;
+    int64_t age_us = now_us - b->slow_start_us;
 
-    if (b->slow_from_us == 0 || age_us >= GW_SLOW_START_US) {
+    if (b->slow_start_us == 0 || age_us >= GW_SLOW_START_US) {
         return GW_WEIGHT_FULL;
     }
     int64_t ramp = (GW_WEIGHT_FULL - GW_WEIGHT_MIN) * age_us;
     return GW_WEIGHT_MIN + (uint32_t)(ramp / GW_SLOW_START_US);
 }
 
-/* Requests believed to run there. Own in-flight outranks a lower report: a
- * server that lies "idle" gains nothing by it. A stale report becomes
- * "unknown": the last value or half the slots, whichever is more, never
- * idle. */
+/* Estimated number of calls running on the server. A report below this
+ * entry's own in-flight count is ignored, so that a server gains nothing by
+ * reporting "idle" wrongly. A stale report counts as unknown: the last
+ * value or half the slots, whichever is more, never idle. */
 uint64_t
-GwBackend_Load(const GwBackendState *b, int64_t now_us)
+GwBackend_EstimateLoad(const GwBackendState *b, int64_t now_us)
 {
     uint64_t load = b->in_flight;
 
@@ -79,9 +80,9 @@
     return load > unknown ? load : unknown;
 }
 
-/* An answer came. Latency is a moving average with weight 1/8. */
+/* Records an answer. Latency is a moving average with weight 1/8. */
 void
-GwBackend_Succeeded(GwBackendState *b, int64_t now_us, int64_t latency_us)
+GwBackend_RecordSuccess(GwBackendState *b, int64_t now_us, int64_t latency_us)
 {
     b->failures = 0;
     b->ejections = 0;
@@ -97,10 +98,11 @@
     }
 }
 
-/* Consecutive failures eject for a time that doubles with each ejection in a
- * row. Jitter keeps the entries from coming back in one beat. */
+/* Records a failure. Consecutive failures eject the server, for a time that
+ * doubles with each ejection in a row. Jitter keeps the entries from
+ * resuming at the same moment. */
 void
-GwBackend_Failed(GwBackendState *b, int64_t now_us, GwRng *rng)
+GwBackend_RecordFailure(GwBackendState *b, int64_t now_us, GwRng *rng)
 {
     b->failures++;
     if (b->failures < GW_EJECT_FAILURES || b->ejected_until_us > now_us) {
@@ -118,19 +120,19 @@
     b->ejected_until_us = now_us + GwRng_Jitter(rng, wait_us, wait_us / 4);
 }
 
-/* A load reading, from an answer or the health endpoint. */
+/* Records a load report, from an answer or the health endpoint. */
 void
-GwBackend_Reported(GwBackendState *b, int64_t now_us, uint32_t load)
+GwBackend_RecordLoad(GwBackendState *b, int64_t now_us, uint32_t load)
 {
     b->has_load = true;
     b->load = load;
     b->load_at_us = now_us;
 }
 
-/* This entry saw it draining. A later reading that says otherwise may lag, so
- * the observation stands until its time is over. */
+/* Records a drain observed by this entry. A later report that contradicts
+ * it may lag, so the observation stands until `until_us`. */
 void
-GwBackend_Drained(GwBackendState *b, int64_t until_us)
+GwBackend_RecordDrain(GwBackendState *b, int64_t until_us)
 {
     if (until_us > b->own_drain_until_us) {
         b->own_drain_until_us = until_us;
@@ -138,9 +140,11 @@
     b->was_draining = true;
 }
 
-/* It refused for load: no new work until it said to come back. */
+/* Records a refusal for load: no new calls until the requested delay is
+ * over, which is capped at GW_SHED_MAX_MS. */
 void
-GwBackend_Shed(GwBackendState *b, int64_t now_us, uint32_t retry_after_ms)
+GwBackend_RecordShed(GwBackendState *b, int64_t now_us,
+                     uint32_t retry_after_ms)
 {
     uint32_t wait_ms = retry_after_ms;
 
@@ -153,56 +157,58 @@
     b->shed_until_us = now_us + GW_MS(wait_ms);
 }
 
-/* Ends what has run out; true when the server takes work again. A server
- * back from ejection or a drain begins its slow start here. */
+/* Ends expired ejections, sheds and drains; true when the server is
+ * available again. A server back from an ejection or a drain starts its
+ * slow start here. */
 bool
 GwBackend_Tick(GwBackendState *b, int64_t now_us)
 {
-    bool came_back = false;
+    bool has_recovered = false;
 
     if (b->ejected_until_us != 0 && b->ejected_until_us <= now_us) {
         b->ejected_until_us = 0;
-        b->slow_from_us = now_us;
-        came_back = true;
+        b->slow_start_us = now_us;
+        has_recovered = true;
     }
     if (b->shed_until_us != 0 && b->shed_until_us <= now_us) {
         b->shed_until_us = 0;
-        came_back = true;
+        has_recovered = true;
     }
     if (b->was_draining && !GwBackend_IsDraining(b, now_us)) {
         b->was_draining = false;
-        b->slow_from_us = now_us;
-        came_back = true;
+        b->slow_start_us = now_us;
+        has_recovered = true;
     }
-    return came_back;
+    return has_recovered;
 }
 
-/* Learns from the end of one attempt. A refusal is the server's right and no
- * failure; cancelled attempts and late deadlines say nothing certain. */
+/* Records the end of one attempt. A refusal is not a failure; a cancelled
+ * attempt or an exceeded deadline proves nothing about the server. */
 void
-GwBackend_Ended(GwBackendState *b, int64_t now_us, int64_t latency_us,
-                const GwAttemptEvent *end, int64_t drain_ttl_us, GwRng *rng)
+GwBackend_RecordEnd(GwBackendState *b, int64_t now_us, int64_t latency_us,
+                    const GwAttemptEvent *end, int64_t drain_ttl_us,
+                    GwRng *rng)
 {
     if (end->has_load) {
-        GwBackend_Reported(b, now_us, end->reported_load);
+        GwBackend_RecordLoad(b, now_us, end->reported_load);
     }
     if (end->draining || end->reason == GW_REASON_DRAINING) {
-        GwBackend_Drained(b, now_us + drain_ttl_us);
+        GwBackend_RecordDrain(b, now_us + drain_ttl_us);
     }
     if (end->outcome == GW_OUTCOME_ANSWERED) {
-        GwBackend_Succeeded(b, now_us, latency_us);
+        GwBackend_RecordSuccess(b, now_us, latency_us);
         return;
     }
     switch (end->reason) {
     case GW_REASON_CONNECT:
     case GW_REASON_SILENT:
     case GW_REASON_BROKEN:
-        GwBackend_Failed(b, now_us, rng);
+        GwBackend_RecordFailure(b, now_us, rng);
         break;
     case GW_REASON_SHED:
     case GW_REASON_NO_SLOT:
     case GW_REASON_QUEUE_FULL:
-        GwBackend_Shed(b, now_us, end->retry_after_ms);
+        GwBackend_RecordShed(b, now_us, end->retry_after_ms);
         break;
     default:
         break;
--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -1,4 +1,4 @@
-/* The borrower's side of loans: asks, what was given, and its return. */
+/* The borrower's side of loans: requests, borrowed units, and their return. */
 #include "steer/steer_internal.h"
 
 #include <string.h>
@@ -15,8 +15,8 @@
     return NULL;
 }
 
-/* Remembers the earliest deadline among the calls that wait, as of the last
- * pass over the queue: what loans have to outlast to be of use. */
+/* Records the earliest deadline among the waiting calls, as of the last
+ * pass over the queue. A loan that ends before it cannot be used. */
 void
 GwService_NoteWait(GwServiceState *service, const GwPickAsk *ask,
                    const GwPick *out)
@@ -24,14 +24,15 @@
     if (out->kind != GW_PICK_WAIT) {
         return;
     }
-    if (!service->wait_seen || ask->deadline_us < service->wait_deadline_us) {
+    if (!service->has_waiting ||
+        ask->deadline_us < service->wait_deadline_us) {
         service->wait_deadline_us = ask->deadline_us;
     }
-    service->wait_seen = true;
+    service->has_waiting = true;
 }
 
 static uint32_t
-borrowed_usable(const GwBackendState *b, int64_t deadline_us)
+count_usable_borrowed(const GwBackendState *b, int64_t deadline_us)
 {
     uint32_t count = 0;
 
@@ -42,20 +43,21 @@
     return count;
 }
 
-/* Units of the place that a waiting call could use at once. A loan that ends
- * before the calls' deadlines does not count: else its idle units would keep
- * this entry from asking for others while its queue grows. */
+/* The number of units of the place that a waiting call could use at once. A
+ * loan that ends before the calls' deadlines does not count; otherwise its
+ * idle units would keep this entry from requesting others while its queue
+ * grows. */
 uint32_t
-GwSteer_FreeUnits(const GwServiceState *service, int64_t now_us)
+GwSteer_CountFreeUnits(const GwServiceState *service, int64_t now_us)
 {
     uint32_t count = 0;
 
     for (uint32_t i = 0; i < service->backend_count; i++) {
         const GwBackendState *b = service->backends[i];
-        if (GwBackend_TakesWork(b, now_us)) {
+        if (GwBackend_IsAvailable(b, now_us)) {
             count += b->own_free_count;
             if (b->borrowed_free_count > 0) {
-                count += borrowed_usable(b, service->wait_deadline_us);
+                count += count_usable_borrowed(b, service->wait_deadline_us);
             }
         }
     }
@@ -63,7 +65,7 @@
 }
 
 static bool
-was_tried(const GwAsking *asking, uint64_t node)
+was_tried(const GwAskState *asking, uint64_t node)
 {
     for (uint32_t i = 0; i < asking->tried_count; i++) {
         if (asking->tried[i] == node) {
@@ -84,12 +86,14 @@
     return false;
 }
 
-/* The member whose digest shows most idle units. Digests lag, so a near peer
- * that said it has none is still asked, last: a wrong ask costs one round
- * trip, a wrong silence a queue beside idle slots. A far one is not. */
+/* The member whose digest shows the most idle units. Digests lag, so a peer
+ * of this region whose digest shows none is still asked, last: an unneeded
+ * request costs one round trip, while a missing one leaves a queue beside
+ * idle slots. A peer of another region without idle units is not asked. */
 static const GwMember *
-best_lender(const GwSteer *s, const GwMembers *members, const GwAsking *asking,
-            uint32_t regions, uint64_t service, GwUnitKind kind)
+best_lender(const GwSteer *s, const GwMembers *members,
+            const GwAskState *asking, uint32_t regions, uint64_t service,
+            GwUnitKind kind)
 {
     const GwMember *best = NULL;
     uint32_t best_free = 0;
@@ -116,11 +120,12 @@
     return best;
 }
 
-/* Sends one ask to the next member of `regions` (a bit per region index).
- * False when the round is over: nobody is left to ask for a short time. */
+/* Sends one LOAN_ASK to the next member of `regions` (one bit per region
+ * index). Returns false when no member is left; the next round then starts
+ * after a short pause. */
 bool
 GwSteer_SendAsk(GwSteer *s, int64_t now_us, const GwMembers *members,
-                GwAsking *asking, uint32_t regions, GwLoanAsk *ask,
+                GwAskState *asking, uint32_t regions, GwLoanAsk *ask,
                 GwActions *out)
 {
     const GwMember *m = NULL;
@@ -153,8 +158,8 @@
 ask_for_slots(GwSteer *s, int64_t now_us, GwServiceState *service,
               uint32_t queued, const GwMembers *members, GwActions *out)
 {
-    GwAsking *asking = &service->slots;
-    uint32_t idle = GwSteer_FreeUnits(service, now_us);
+    GwAskState *asking = &service->slots;
+    uint32_t idle = GwSteer_CountFreeUnits(service, now_us);
 
     if (asking->seq != 0 && now_us - asking->asked_us < GW_ASK_TIMEOUT_US) {
         return;
@@ -170,7 +175,7 @@
                      .kind = GW_UNIT_SLOT};
     if (!GwSteer_SendAsk(s, now_us, members, asking, 1u << s->region, &ask,
                          out)) {
-        service->dry_us = now_us;
+        service->no_lender_us = now_us;
     }
 }
 
@@ -188,10 +193,10 @@
     memcpy(msg->u.giveback.units, units, unit_count * sizeof(GwUnit));
 }
 
-/* A GIVE that no ask waits for: late, or a copy. The ask may have been made
- * long ago, so its units are not used. They go back when this start asked for
- * them and does not have them; a copy of a loan that is here must not be
- * answered with a return while calls run on it. */
+/* Handles a LOAN_GIVE without an outstanding request, late or duplicated.
+ * Its request may be old, so the units are not used. They are returned if
+ * this start requested them and does not have the loan. A duplicate of a
+ * current loan must not be answered with a return while calls run on it. */
 static void
 refuse_give(GwSteer *s, const GwMessage *msg, const GwMembers *members,
             GwActions *out)
@@ -200,50 +205,51 @@
     bool asked = give->seq > s->seq_base && give->seq <= s->seq_base + s->seq;
 
 #if GW_MUTANT == 24 /* breaks: no return while calls run on the loan */
-    bool here = false;
+    bool has_loan = false;
 #else
-    bool here = GwSteer_FindBorrowed(s, give->loan) != NULL;
+    bool has_loan = GwSteer_FindBorrowed(s, give->loan) != NULL;
 #endif
-    if (asked && !here && give->unit_count > 0) {
+    if (asked && !has_loan && give->unit_count > 0) {
         send_return(s, members, msg->from, give->loan, give->unit_count,
                     give->units, out);
     }
 }
 
 static void
-mark_slots(GwSteer *s, int64_t now_us, const GwBorrowed *b, bool on)
+set_borrowed_slots(GwSteer *s, int64_t now_us, const GwBorrowed *b, bool on)
 {
     for (uint32_t i = 0; i < b->unit_count; i++) {
-        GwBackendState *backend = GwSteer_Backend(s, b->units[i].owner);
+        GwBackendState *backend = GwSteer_FindBackend(s, b->units[i].owner);
         uint32_t slot = b->units[i].index;
         if (backend == NULL || slot >= backend->slot_capacity) {
             continue;
         }
         GwSlot *unit = &backend->slots[slot];
-        if (on && unit->borrowed == 0) {
-            unit->borrowed = b->id;
+        if (on && unit->borrowed_loan == 0) {
+            unit->borrowed_loan = b->id;
             unit->borrowed_until_us = b->use_until_us;
         }
-        if (!on && unit->borrowed == b->id) {
-            unit->borrowed = 0;
+        if (!on && unit->borrowed_loan == b->id) {
+            unit->borrowed_loan = 0;
         }
         GwBackend_RefreshSlot(backend, slot, now_us);
     }
 }
 
-/* Takes in the units of an answer to the outstanding ask; true when some can
- * be used. Time counts from the ask: the answer may have waited anywhere. */
+/* Adds the units of a reply to the outstanding request; true when they can
+ * be used. The term counts from the request, since the reply may have been
+ * delayed. */
 bool
-GwSteer_LoanGiven(GwSteer *s, int64_t now_us, const GwMessage *msg,
-                  const GwMembers *members, GwActions *out)
+GwSteer_ReceiveLoanGive(GwSteer *s, int64_t now_us, const GwMessage *msg,
+                        const GwMembers *members, GwActions *out)
 {
     const GwLoanGive *give = &msg->u.give;
-    GwServiceState *service = GwSteer_ServiceOf(s, give->service);
+    GwServiceState *service = GwSteer_FindService(s, give->service);
 
     if (service == NULL || give->unit_count > GW_UNITS_MAX) {
         return false;
     }
-    GwAsking *asking =
+    GwAskState *asking =
         give->kind == GW_UNIT_SLOT ? &service->slots : &service->grants;
     bool expected = asking->seq != 0 && asking->seq == give->seq &&
                     GwNodeId_Equal(asking->peer, msg->from);
@@ -273,7 +279,7 @@
     b.dropped = s->fenced || s->leaving;
     g_array_append_val(s->borrowed, b);
     if (b.kind == GW_UNIT_SLOT && !b.dropped) {
-        mark_slots(s, now_us, &b, true);
+        set_borrowed_slots(s, now_us, &b, true);
     }
     return !b.dropped;
 }
@@ -285,7 +291,8 @@
         return b->busy != 0;
     }
     for (uint32_t i = 0; i < b->unit_count; i++) {
-        const GwBackendState *backend = GwSteer_Backend(s, b->units[i].owner);
+        const GwBackendState *backend =
+            GwSteer_FindBackend(s, b->units[i].owner);
         uint32_t slot = b->units[i].index;
         if (backend != NULL && slot < backend->slot_capacity &&
             backend->slots[slot].in_use) {
@@ -295,7 +302,7 @@
     return false;
 }
 
-/* No new work on one loan; calls on it run out. */
+/* Stops new calls on a loan; running calls finish. */
 void
 GwSteer_DropLoan(GwSteer *s, int64_t now_us, uint64_t loan)
 {
@@ -303,14 +310,14 @@
 
     if (b != NULL && !b->dropped) {
         b->dropped = true;
-        mark_slots(s, now_us, b, false);
+        set_borrowed_slots(s, now_us, b, false);
     }
 }
 
-/* After a fence: this process was away for a time it cannot tell, so nothing
- * that it was lent carries new work. */
+/* Stops new calls on all loans after a fence, since the length of the pause
+ * is unknown. */
 void
-GwSteer_DropBorrowed(GwSteer *s, int64_t now_us)
+GwSteer_DropAllLoans(GwSteer *s, int64_t now_us)
 {
     for (guint i = 0; i < s->borrowed->len; i++) {
         GwBorrowed *b = &g_array_index(s->borrowed, GwBorrowed, i);
@@ -318,13 +325,14 @@
     }
 }
 
-/* Whether a waiting call could still run on the loan. One that ends before
- * their deadlines is of no use here, and its lender would count it out for the
- * rest of the term: the place would stand idle beside a queue. */
+/* Whether a waiting call could still run on the loan. A loan that ends
+ * before the calls' deadlines cannot be used here, and its lender would
+ * count the units as lent for the rest of the term: they would be idle
+ * beside a queue. */
 static bool
-wants_it(const GwSteer *s, const GwBorrowed *b, const uint32_t *queued)
+is_wanted(const GwSteer *s, const GwBorrowed *b, const uint32_t *queued)
 {
-    const GwServiceState *service = GwSteer_ServiceOf(s, b->service);
+    const GwServiceState *service = GwSteer_FindService(s, b->service);
 
     if (b->dropped || service == NULL || service->index == GW_NONE) {
         return false;
@@ -334,7 +342,7 @@
 }
 
 static int64_t
-idle_bound_us(const GwSteer *s, const GwBorrowed *b)
+idle_limit_us(const GwSteer *s, const GwBorrowed *b)
 {
     if (s->leaving || b->dropped) {
         return 0;
@@ -342,8 +350,8 @@
     return b->kind == GW_UNIT_SLOT ? GW_LOAN_IDLE_US : GW_GRANT_IDLE_US;
 }
 
-/* Returns loans of which no unit was in use for a short time and that no
- * waiting call wants; forgets those that have run out. */
+/* Returns loans that have been idle for a short time and that no waiting
+ * call can use; removes expired ones. */
 void
 GwSteer_ReturnIdle(GwSteer *s, int64_t now_us, const GwMembers *members,
                    const uint32_t *queued, GwActions *out)
@@ -351,7 +359,7 @@
     for (guint i = s->borrowed->len; i-- > 0;) {
         GwBorrowed *b = &g_array_index(s->borrowed, GwBorrowed, i);
         bool over = b->use_until_us <= now_us;
-        bool idle = now_us - b->used_us >= idle_bound_us(s, b);
+        bool idle = now_us - b->used_us >= idle_limit_us(s, b);
 #if GW_MUTANT == 27 /* breaks: no return while calls run on the loan */
         bool busy = over && is_busy(s, b);
 #else
@@ -363,7 +371,7 @@
             }
             continue;
         }
-        if (!over && (!idle || wants_it(s, b, queued))) {
+        if (!over && (!idle || is_wanted(s, b, queued))) {
             continue;
         }
         if (!over) {
@@ -375,7 +383,7 @@
     }
 }
 
-/* Asks for what waiting calls need. */
+/* Requests slots for the waiting calls of every service. */
 void
 GwSteer_AskForSlots(GwSteer *s, int64_t now_us, const GwMembers *members,
                     const uint32_t *queued, GwActions *out)
@@ -391,9 +399,9 @@
     }
 }
 
-/* Expiry, returns, and asks for what is waited for. */
+/* Expires and returns loans, and requests slots for waiting calls. */
 void
-GwSteer_LoansTick(GwSteer *s, int64_t now_us, const GwMembers *members,
+GwSteer_TickLoans(GwSteer *s, int64_t now_us, const GwMembers *members,
                   const uint32_t *queued, GwActions *out)
 {
     GwSteer_ExpireLent(s, now_us);
--- a/lib/steer/choose.c
+++ b/lib/steer/choose.c
@@ -1,7 +1,7 @@
-/* Which backend server of the local place takes a call. */
+/* Choice of the backend server in the local place. */
 #include "steer/steer_internal.h"
 
-/* Whether the place has no server that takes new work and is not leaving. */
+/* Whether every server of the place is draining. */
 bool
 GwService_AllDraining(const GwServiceState *service, int64_t now_us)
 {
@@ -13,7 +13,7 @@
     return true;
 }
 
-/* Whether any server of the place has a slot at all. */
+/* Whether any server of the place has a slot. */
 bool
 GwService_HasSlots(const GwServiceState *service)
 {
@@ -25,12 +25,12 @@
     return false;
 }
 
-/* Whether a server of the place would take new work now. */
+/* Whether any server of the place is available for new calls now. */
 bool
-GwService_TakesWork(const GwServiceState *service, int64_t now_us)
+GwService_HasAvailable(const GwServiceState *service, int64_t now_us)
 {
     for (uint32_t i = 0; i < service->backend_count; i++) {
-        if (GwBackend_TakesWork(service->backends[i], now_us)) {
+        if (GwBackend_IsAvailable(service->backends[i], now_us)) {
             return true;
         }
     }
@@ -49,12 +49,14 @@
     return ejected * 2 > service->backend_count;
 }
 
-/* Whether ejected servers are candidates. With most of them ejected the fault
- * is more likely ours or everyone's, and the rest would break under all the
- * load. Where another region may take the calls they wait for its grant: else
- * a lost place would use up every call's attempts within milliseconds and
- * all would be refused beside idle slots. One call in a while still tries, so
- * that a place which is back is found before its ejections end. */
+/* Whether ejected servers are candidates (panic). With most servers
+ * ejected, the fault more likely lies in this entry or affects all entries,
+ * and the remaining servers would be overloaded by the whole load. If
+ * another region may take the calls, they wait for its grant instead:
+ * otherwise, after the loss of a place, every call would use up its
+ * attempts within milliseconds and be refused although slots are idle. One
+ * call per GW_PANIC_PROBE_US still tries an ejected server, so that a place
+ * that has recovered is found before its ejections end. */
 static bool
 is_panic(const GwSteer *s, int64_t now_us, GwServiceState *service,
          const GwPickAsk *ask)
@@ -65,16 +67,16 @@
     if (ask->relayed || !GwSteer_HasShift(s, ask->service)) {
         return true;
     }
-    if (now_us < service->probe_us) {
+    if (now_us < service->panic_probe_us) {
         return false;
     }
-    service->probe_us = now_us + GW_PANIC_PROBE_US;
+    service->panic_probe_us = now_us + GW_PANIC_PROBE_US;
     return true;
 }
 
-/* Whether the policy lets this entry start one more call there. */
+/* Whether the policy lets this entry start one more call on the server. */
 static bool
-has_room(const GwSteer *s, const GwBackendState *b, int64_t deadline_us)
+has_capacity(const GwSteer *s, const GwBackendState *b, int64_t deadline_us)
 {
     switch ((GwPolicyKind)s->params.policy) {
     case GW_POLICY_SLOTS:
@@ -89,8 +91,8 @@
     return false;
 }
 
-/* Expected cost of one more call: latency times queue, raised by failures in
- * a row, and by the ramp of a slow start. Lower is better. */
+/* Expected cost of one more call: latency times queue length, raised by
+ * consecutive failures and by the slow-start ramp. Lower is better. */
 static uint64_t
 cost_of(const GwServiceState *service, const GwBackendState *b, int64_t now_us)
 {
@@ -100,23 +102,23 @@
         latency_us = service->latency_us;
     }
     if (latency_us == 0) {
-        latency_us = GW_LATENCY_START_US;
+        latency_us = GW_LATENCY_INITIAL_US;
     }
-    uint64_t load = GwBackend_Load(b, now_us) + 1;
+    uint64_t load = GwBackend_EstimateLoad(b, now_us) + 1;
     uint64_t cost = (uint64_t)latency_us * load * (1 + b->failures);
-    cost = cost * GW_WEIGHT_FULL / GwBackend_Weight(b, now_us);
+    cost = cost * GW_WEIGHT_FULL / GwBackend_SlowStartWeight(b, now_us);
     return cost * 64 / (b->slot_count + 1);
 }
 
 static uint32_t
-gather(GwSteer *s, int64_t now_us, GwServiceState *service,
-       const GwPickAsk *ask, bool panic, bool avoid)
+collect_candidates(GwSteer *s, int64_t now_us, GwServiceState *service,
+                   const GwPickAsk *ask, bool panic, bool avoid)
 {
     uint32_t count = 0;
 
     for (uint32_t i = 0; i < service->backend_count; i++) {
         GwBackendState *b = service->backends[i];
-        if (!has_room(s, b, ask->deadline_us) ||
+        if (!has_capacity(s, b, ask->deadline_us) ||
             GwBackend_IsDraining(b, now_us) || b->shed_until_us > now_us) {
             continue;
         }
@@ -131,10 +133,11 @@
     return count;
 }
 
-/* The better of two random candidates. Choosing the best of all would send
- * every entry to the one server that the same late report shows idle. */
+/* The cheaper of two random candidates. If each entry chose the best of
+ * all, all entries would send to the one server that the same late report
+ * shows idle. */
 static GwBackendState *
-better_of_two(GwSteer *s, int64_t now_us, const GwServiceState *service,
+choose_of_two(GwSteer *s, int64_t now_us, const GwServiceState *service,
               uint32_t count)
 {
     if (count == 1) {
@@ -167,18 +170,18 @@
     return best;
 }
 
-/* A server with room for the call, or NULL. The server that an earlier
- * attempt used is passed over only while another has room. */
+/* A server with capacity for the call, or NULL. The server of an earlier
+ * attempt is used only when no other has capacity. */
 GwBackendState *
-GwSteer_Choose(GwSteer *s, int64_t now_us, GwServiceState *service,
-               const GwPickAsk *ask)
+GwSteer_ChooseBackend(GwSteer *s, int64_t now_us, GwServiceState *service,
+                      const GwPickAsk *ask)
 {
     bool panic = is_panic(s, now_us, service, ask);
-    uint32_t count =
-        gather(s, now_us, service, ask, panic, ask->avoid_backend != 0);
+    uint32_t count = collect_candidates(s, now_us, service, ask, panic,
+                                        ask->avoid_backend != 0);
 
     if (count == 0 && ask->avoid_backend != 0) {
-        count = gather(s, now_us, service, ask, panic, false);
+        count = collect_candidates(s, now_us, service, ask, panic, false);
     }
     if (count == 0) {
         return NULL;
@@ -186,7 +189,7 @@
     switch ((GwPolicyKind)s->params.policy) {
     case GW_POLICY_SLOTS:
     case GW_POLICY_TWO:
-        return better_of_two(s, now_us, service, count);
+        return choose_of_two(s, now_us, service, count);
     case GW_POLICY_SUBSET:
         return least_in_flight(s, service, count);
     }
@@ -194,18 +197,18 @@
 }
 
 static uint64_t
-rendezvous(uint64_t node, uint64_t backend)
+rendezvous_hash(uint64_t node, uint64_t backend)
 {
     GwRng rng = GwRng_Make(node ^ (backend * 0x9e3779b97f4a7c15ULL));
 
     return GwRng_Next(&rng);
 }
 
-/* Marks the servers this entry uses under SUBSET: twice its even share, at
- * least three, the highest by rendezvous hash, so that a change of one server
- * moves one member of the subset. */
+/* Marks the servers that this entry uses under GW_POLICY_SUBSET: twice its
+ * even share, at least three, the highest by rendezvous hash, so that a
+ * change of one server changes one member of the subset. */
 void
-GwSteer_Subset(GwSteer *s, GwServiceState *service)
+GwSteer_SelectSubset(GwSteer *s, GwServiceState *service)
 {
     uint32_t n = service->backend_count;
     uint32_t entries = s->entries == 0 ? 1 : s->entries;
@@ -219,11 +222,11 @@
     }
     for (uint32_t i = 0; i < n; i++) {
         GwBackendState *b = service->backends[i];
-        uint64_t mine = rendezvous(s->params.id.node, b->id);
+        uint64_t mine = rendezvous_hash(s->params.id.node, b->id);
         uint32_t above = 0;
         for (uint32_t j = 0; j < n; j++) {
             uint64_t id = service->backends[j]->id;
-            above += rendezvous(s->params.id.node, id) > mine;
+            above += rendezvous_hash(s->params.id.node, id) > mine;
         }
         b->in_subset = above < want;
     }
--- a/lib/steer/configure.c
+++ b/lib/steer/configure.c
@@ -1,26 +1,27 @@
-/* Takes a configuration version in and keeps what is known and running. */
+/* Applies a configuration version; state and running calls are kept. */
 #include "steer/steer_internal.h"
 
 #include <string.h>
 
 static GwBackendState *
-backend_of(GwSteer *s, int64_t now_us, const GwBackend *config, bool first)
+find_or_add_backend(GwSteer *s, int64_t now_us, const GwBackend *config,
+                    bool first)
 {
-    GwBackendState *b = GwSteer_Backend(s, config->id);
+    GwBackendState *b = GwSteer_FindBackend(s, config->id);
 
     if (b == NULL) {
         b = g_new0(GwBackendState, 1);
         b->id = config->id;
-        b->slow_from_us = first ? 0 : now_us;
+        b->slow_start_us = first ? 0 : now_us;
         g_hash_table_insert(s->by_id, &b->id, b);
     }
     else if (!b->present) {
-        b->slow_from_us = now_us;
+        b->slow_start_us = now_us;
     }
     return b;
 }
 
-/* Sets cap and seats of one server's units. */
+/* Sets the slot count of one server and the seats of its units. */
 static void
 configure_slots(GwSteer *s, int64_t now_us, GwBackendState *b, uint32_t slots)
 {
@@ -52,7 +53,7 @@
     for (uint32_t i = 0; i < n; i++) {
         const GwBackend *config =
             &s->config->backends[place->first_backend + i];
-        GwBackendState *b = backend_of(s, now_us, config, first);
+        GwBackendState *b = find_or_add_backend(s, now_us, config, first);
         b->present = true;
         b->config_drain = config->drain || place->drain;
         b->was_draining = b->was_draining || b->config_drain;
@@ -60,7 +61,7 @@
         configure_slots(s, now_us, b, config->slots);
         service->backends[i] = b;
     }
-    GwSteer_Subset(s, service);
+    GwSteer_SelectSubset(s, service);
 }
 
 static void
@@ -75,7 +76,7 @@
     memset(s->by_index, 0, sizeof(s->by_index));
     for (uint32_t i = 0; i < s->config->service_count; i++) {
         uint64_t hash = GwName_Hash64(s->config->services[i].name);
-        GwServiceState *service = GwSteer_ServiceOf(s, hash);
+        GwServiceState *service = GwSteer_FindService(s, hash);
         if (service == NULL) {
             service = g_new0(GwServiceState, 1);
             service->hash = hash;
@@ -101,12 +102,13 @@
     }
 }
 
-/* Frees what is known of servers that left the configuration, once nothing
- * of them is in use or on loan. A server that was seen draining is remembered
- * for a while: an operator who takes its service out and puts it back would
- * else bring new work to a server that is still leaving. */
+/* Whether the state of a removed server can be freed: none of its units is
+ * in use or on loan. A server that was observed draining is kept for
+ * GW_DRAIN_MEMORY_US: otherwise an operator who removes its service and
+ * adds it again would cause new calls to a server that is still shutting
+ * down. */
 static gboolean
-is_forgotten(gpointer key, gpointer value, gpointer data)
+is_removable(gpointer key, gpointer value, gpointer data)
 {
     const GwBackendState *b = value;
     int64_t now_us = *(const int64_t *)data;
@@ -114,22 +116,22 @@
     if (b->present || b->in_flight > 0) {
         return FALSE;
     }
-#if GW_MUTANT == 15 /* breaks: a drain outlives its service's removal */
+#if GW_MUTANT == 15 /* breaks: a drain outlives the removal of its service */
     now_us = INT64_MAX;
 #endif
     if (b->was_draining && now_us - b->removed_us < GW_DRAIN_MEMORY_US) {
         return FALSE;
     }
     for (uint32_t i = 0; i < b->slot_capacity; i++) {
-        if (b->slots[i].in_use || b->slots[i].lent != 0 ||
-            b->slots[i].borrowed != 0) {
+        if (b->slots[i].in_use || b->slots[i].lent_loan != 0 ||
+            b->slots[i].borrowed_loan != 0) {
             return FALSE;
         }
     }
     return TRUE;
 }
 
-/* Every unit's free bit, after what changes them all. */
+/* Recomputes the free bits of all units. */
 void
 GwSteer_RefreshAll(GwSteer *s, int64_t now_us)
 {
@@ -142,8 +144,8 @@
     }
 }
 
-/* Servers are matched by id, so that what is known of them and what runs
- * there stays over versions. */
+/* Servers are matched by id, so that their state and running calls are kept
+ * across versions. */
 void
 GwSteer_Configure(GwSteer *s, int64_t now_us, const GwConfig *config)
 {
@@ -168,8 +170,8 @@
         }
     }
     GwSteer_ConfigureCaps(s, now_us);
-    g_hash_table_foreach_remove(s->by_id, is_forgotten, &now_us);
+    g_hash_table_foreach_remove(s->by_id, is_removable, &now_us);
     GwSteer_RefreshAll(s, now_us);
     s->synced = false;
-    s->came_free = true;
+    s->has_freed_units = true;
 }
--- a/lib/steer/dump.c
+++ b/lib/steer/dump.c
@@ -13,7 +13,8 @@
     GwJson_SetText(to, key, text);
 }
 
-/* Why new work goes there or not, in the order that the choice asks. */
+/* Whether new calls are sent to the server, and if not, why; checks the
+ * conditions in the order of the choice. */
 static const char *
 work_state(const GwBackendState *b, int64_t now_us)
 {
@@ -23,11 +24,11 @@
     if (GwBackend_IsEjected(b, now_us)) {
         return "ejected";
     }
-    if (!GwBackend_TakesWork(b, now_us)) {
+    if (!GwBackend_IsAvailable(b, now_us)) {
         return "shedding";
     }
-    return GwBackend_Weight(b, now_us) < GW_WEIGHT_FULL ? "slow-start"
-                                                        : "in-work";
+    return GwBackend_SlowStartWeight(b, now_us) < GW_WEIGHT_FULL ? "slow-start"
+                                                                 : "in-work";
 }
 
 static json_object *
@@ -44,7 +45,7 @@
     GwJson_SetU64(item, "borrowed_free", b->borrowed_free_count);
     GwJson_SetU64(item, "failures", b->failures);
     GwJson_SetU64(item, "latency_us", (uint64_t)b->latency_us);
-    /* An old report is left out: it says nothing of now. */
+    /* A report older than GW_LOAD_FRESH_US is omitted as outdated. */
     if (b->has_load && now_us - b->load_at_us <= GW_LOAD_FRESH_US) {
         GwJson_SetU64(item, "reported_load", b->load);
     }
--- a/lib/steer/grants.c
+++ b/lib/steer/grants.c
@@ -1,11 +1,13 @@
-/* Shifts: traffic that runs in another region. The destination grants units
- * of the shift's cap, as much as its own idle slots bear; the source sends a
- * call only on such a unit and on a unit of the link between them. */
+/* Shifts: calls relayed to another region. The destination grants units of
+ * the shift's cap, up to the number its own idle slots allow. The source
+ * sends a call only on a granted unit and a unit of the link between the
+ * regions. */
 #include "steer/steer_internal.h"
 
 #include <string.h>
 
-/* The identity of a shift's units in every region and configuration. */
+/* The owner id of a shift's units, equal in all regions and configuration
+ * versions. */
 uint64_t
 GwShift_Owner(const GwConfig *c, const GwShift *shift)
 {
@@ -17,7 +19,7 @@
     return GwName_Hash64(text);
 }
 
-/* The identity of a link's units. */
+/* The owner id of a link's units. */
 uint64_t
 GwLink_Owner(const GwConfig *c, const GwLink *link)
 {
@@ -40,17 +42,17 @@
     return NULL;
 }
 
-/* Until when a unit stays unused because the configuration moved it to
- * another seat. An entry that has not read the new version may still run or
- * lend it by the old one; this outlasts the spread of a version, a loan and
- * the longest call. */
+/* When a unit that the configuration moved to another seat may be used
+ * again. An entry that has not yet applied the new version may still use or
+ * lend the unit by the old one; the block is longer than the distribution
+ * of a version, a loan and the longest call together. */
 int64_t
 GwSteer_RemapBlock(const GwSteer *s, int64_t now_us, const GwSlot *unit,
                    uint32_t seat)
 {
     uint32_t longest_ms = 0;
 
-    if (unit->seat == seat || unit->own) {
+    if (unit->seat == seat || unit->is_own) {
         return unit->blocked_until_us;
     }
     for (uint32_t i = 0; i < s->config->service_count; i++) {
@@ -62,7 +64,7 @@
 }
 
 static GwCapState *
-cap_of(GPtrArray *caps, uint64_t owner)
+find_or_add_cap(GPtrArray *caps, uint64_t owner)
 {
     GwCapState *cap = GwSteer_FindCap(caps, owner);
 
@@ -75,9 +77,8 @@
     return cap;
 }
 
-/* Sets the cap and the seat of each unit. Units are kept only where this
- * region has the seats: a shift's at its destination, a link's at its source.
- */
+/* Sets the cap and the seat of each unit. Only the region that has the
+ * seats keeps units: the destination of a shift, the source of a link. */
 static void
 set_cap(GwSteer *s, int64_t now_us, GwCapState *cap, uint32_t count,
         bool has_seats)
@@ -103,7 +104,8 @@
     }
 }
 
-/* The shifts and links of this region; state of kept ones is kept. */
+/* Applies the shifts and links of this region; the state of existing ones
+ * is kept. */
 void
 GwSteer_ConfigureCaps(GwSteer *s, int64_t now_us)
 {
@@ -120,7 +122,7 @@
         if (shift->from != s->region && shift->to != s->region) {
             continue;
         }
-        GwCapState *cap = cap_of(s->shifts, GwShift_Owner(c, shift));
+        GwCapState *cap = find_or_add_cap(s->shifts, GwShift_Owner(c, shift));
         cap->service = shift->service;
         cap->from = shift->from;
         cap->to = shift->to;
@@ -130,7 +132,7 @@
     for (uint32_t i = 0; i < c->link_count; i++) {
         const GwLink *link = &c->links[i];
         if (link->from == s->region) {
-            GwCapState *cap = cap_of(s->links, GwLink_Owner(c, link));
+            GwCapState *cap = find_or_add_cap(s->links, GwLink_Owner(c, link));
             cap->from = link->from;
             cap->to = link->to;
             set_cap(s, now_us, cap, link->cap, true);
@@ -139,42 +141,43 @@
 }
 
 static bool
-leaves_by(const GwSteer *s, const GwCapState *shift, uint32_t service)
+is_outbound_shift(const GwSteer *s, const GwCapState *shift, uint32_t service)
 {
     return shift->present && shift->service == service &&
            shift->from == s->region && shift->cap > 0;
 }
 
-/* Whether the configuration lets the service's calls leave this region. */
+/* Whether a shift moves calls of the service out of this region. */
 bool
 GwSteer_HasShift(const GwSteer *s, uint32_t service)
 {
     for (guint i = 0; i < s->shifts->len; i++) {
-        if (leaves_by(s, g_ptr_array_index(s->shifts, i), service)) {
+        if (is_outbound_shift(s, g_ptr_array_index(s->shifts, i), service)) {
             return true;
         }
     }
     return false;
 }
 
-/* Draws whether the operator's share moves this call. */
+/* Decides at random, by the configured percentage, whether to shift a call. */
 bool
-GwSteer_DrawsPercent(GwSteer *s, uint32_t service)
+GwSteer_DrawShift(GwSteer *s, uint32_t service)
 {
     uint32_t percent = 0;
 
     for (guint i = 0; i < s->shifts->len; i++) {
         const GwCapState *shift = g_ptr_array_index(s->shifts, i);
-        if (leaves_by(s, shift, service)) {
+        if (is_outbound_shift(s, shift, service)) {
             percent += shift->percent;
         }
     }
     return percent > 0 && GwRng_Below(&s->rng, 100) < percent;
 }
 
-/* Destination: whether a relayed call comes on a grant that this entry gave
- * to that peer, that has not run out, and that has a unit left. The source
- * keeps to it by itself; this check holds also if it does not. */
+/* At the destination: whether a relayed call may run on its grant. The
+ * grant must have been given by this entry to that peer, be unexpired and
+ * have a unit left. The source enforces the same; this check also holds if
+ * it does not. */
 bool
 GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us, const GwPickAsk *ask)
 {
@@ -211,16 +214,16 @@
 #else
         bool busy = unit->in_use;
 #endif
-        if (unit->own && !busy && unit->blocked_until_us <= now_us) {
+        if (unit->is_own && !busy && unit->blocked_until_us <= now_us) {
             return i;
         }
     }
     return GW_NONE;
 }
 
-/* The link from this region to another; NULL when it is not limited. */
+/* The link from this region to another; NULL when unlimited. */
 static GwCapState *
-link_to(const GwSteer *s, uint32_t to)
+find_link(const GwSteer *s, uint32_t to)
 {
     for (guint i = 0; i < s->links->len; i++) {
         GwCapState *link = g_ptr_array_index(s->links, i);
@@ -231,7 +234,7 @@
     return NULL;
 }
 
-/* An idle unit of a grant below the shift's cap; GW_NONE if there is none. */
+/* An idle unit of a grant below the shift's cap; GW_NONE if none. */
 static uint32_t
 free_grant_unit(const GwBorrowed *b, const GwCapState *shift)
 {
@@ -249,18 +252,18 @@
 {
     const GwCapState *shift = GwSteer_FindCap(s->shifts, b->units[0].owner);
 
-    if (shift == NULL || !leaves_by(s, shift, service->index) ||
+    if (shift == NULL || !is_outbound_shift(s, shift, service->index) ||
         !GwSteer_IsPeer(members, b->peer, s->region_hash[shift->to])) {
         return false;
     }
     uint32_t bit = free_grant_unit(b, shift);
-    GwCapState *link = link_to(s, shift->to);
+    GwCapState *link = find_link(s, shift->to);
     uint32_t link_unit = link != NULL ? free_link_unit(link, now_us) : 0;
     if (bit == GW_NONE || link_unit == GW_NONE) {
         return false;
     }
-    GwUse *use = GwSteer_Take(s, now_us, service, &out->use);
-    use->borrowed = b->id;
+    GwUse *use = GwSteer_BeginUse(s, now_us, service, &out->use);
+    use->borrowed_loan = b->id;
     use->borrowed_bit = bit;
     b->busy |= 1u << bit;
     b->used_us = now_us;
@@ -278,8 +281,9 @@
     return true;
 }
 
-/* Whether a call sent on the grant now can be answered here in time. One that
- * comes back late takes a slot over there and ends in UNKNOWN here. */
+/* Whether a call sent on the grant now can be answered before its deadline.
+ * A call answered later occupies a slot in the other region and ends as
+ * UNKNOWN here. */
 static bool
 is_in_time(const GwServiceState *service, int64_t now_us, const GwBorrowed *b,
            int64_t deadline_us)
@@ -289,10 +293,11 @@
     return deadline_us - now_us > needed_us;
 }
 
-/* Sends the call on a grant that outlasts its deadline; false when there is
- * none. The grants are tried from a random one on. A call that is too late
- * for every grant is refused where the place takes no work: it would hold
- * up those behind it until they are too late as well. */
+/* Sends the call on a grant that ends after the call's deadline; false when
+ * there is none. The search starts at a random grant. A call that is too
+ * late for every grant is refused if the local place accepts no calls:
+ * otherwise it would delay the calls behind it until they are too late as
+ * well. */
 bool
 GwSteer_PickPeer(GwSteer *s, int64_t now_us, GwServiceState *service,
                  const GwPickAsk *ask, const GwMembers *members, GwPick *out)
@@ -320,7 +325,7 @@
             return true;
         }
     }
-    if (late && !GwService_TakesWork(service, now_us)) {
+    if (late && !GwService_HasAvailable(service, now_us)) {
         out->kind = GW_PICK_REFUSE;
         out->reason = GW_REASON_DEADLINE;
         out->retry_after_ms = GW_RETRY_HINT_MS;
@@ -330,7 +335,7 @@
 }
 
 static uint32_t
-grants_busy(const GwSteer *s, uint64_t service)
+count_busy_grants(const GwSteer *s, uint64_t service)
 {
     uint32_t count = 0;
 
@@ -344,7 +349,7 @@
 }
 
 static uint32_t
-grants_free(const GwSteer *s, uint64_t service)
+count_free_grants(const GwSteer *s, uint64_t service)
 {
     uint32_t count = 0;
 
@@ -357,12 +362,12 @@
     return count;
 }
 
-/* How many more calls should leave now: all that wait when the local place takes
- * none, or has no slot and no peer of the region lends one; and the
- * operator's share. */
+/* The number of further calls to relay now: all waiting calls when the
+ * local place accepts none, or has no slot and no peer of the region lends
+ * one; otherwise the configured percentage. */
 static uint32_t
-wanted_away(const GwSteer *s, int64_t now_us, const GwServiceState *service,
-            uint32_t queued)
+count_wanted_grants(const GwSteer *s, int64_t now_us,
+                    const GwServiceState *service, uint32_t queued)
 {
     uint32_t percent = 0;
 
@@ -371,16 +376,17 @@
     }
     for (guint i = 0; i < s->shifts->len; i++) {
         const GwCapState *shift = g_ptr_array_index(s->shifts, i);
-        if (leaves_by(s, shift, service->index)) {
+        if (is_outbound_shift(s, shift, service->index)) {
             percent += shift->percent;
         }
     }
     uint32_t demand = service->in_flight + queued;
     uint32_t share = (demand * MIN(percent, 100) + 99) / 100;
-    uint32_t away = grants_busy(s, service->hash);
-    share = share > away ? share - away : 0;
-    bool dry = service->dry_us != 0 && now_us - service->dry_us < GW_DRY_US;
-    if (dry && GwSteer_FreeUnits(service, now_us) == 0) {
+    uint32_t relayed = count_busy_grants(s, service->hash);
+    share = share > relayed ? share - relayed : 0;
+    bool has_no_lender = service->no_lender_us != 0 &&
+                         now_us - service->no_lender_us < GW_NO_LENDER_US;
+    if (has_no_lender && GwSteer_CountFreeUnits(service, now_us) == 0) {
         return MAX(share, queued);
     }
     return share;
@@ -390,21 +396,21 @@
 ask_for_grants(GwSteer *s, int64_t now_us, GwServiceState *service,
                uint32_t queued, const GwMembers *members, GwActions *out)
 {
-    GwAsking *asking = &service->grants;
+    GwAskState *asking = &service->grants;
     uint32_t regions = 0;
 
     if (asking->seq != 0 && now_us - asking->asked_us < GW_ASK_TIMEOUT_US) {
         return;
     }
     asking->seq = 0;
-    uint32_t want = wanted_away(s, now_us, service, queued);
-    uint32_t have = grants_free(s, service->hash);
+    uint32_t want = count_wanted_grants(s, now_us, service, queued);
+    uint32_t have = count_free_grants(s, service->hash);
     if (want <= have || now_us < asking->next_us) {
         return;
     }
     for (guint i = 0; i < s->shifts->len; i++) {
         const GwCapState *shift = g_ptr_array_index(s->shifts, i);
-        if (leaves_by(s, shift, service->index)) {
+        if (is_outbound_shift(s, shift, service->index)) {
             regions |= 1u << shift->to;
         }
     }
@@ -418,16 +424,16 @@
     GwSteer_SendAsk(s, now_us, members, asking, regions, &ask, out);
 }
 
-/* Asks other regions for the right to send what cannot run here. */
+/* Requests grants from other regions for the calls that cannot run here. */
 void
-GwSteer_GrantsTick(GwSteer *s, int64_t now_us, const GwMembers *members,
+GwSteer_TickGrants(GwSteer *s, int64_t now_us, const GwMembers *members,
                    const uint32_t *queued, GwActions *out)
 {
     if (s->leaving || s->fenced) {
         return;
     }
     for (uint32_t i = 0; i < s->config->service_count; i++) {
-        /* Without demand nothing is wanted away, and no shift is looked at. */
+        /* Without demand no grant is needed; skips the scan of shifts. */
         bool idle = queued[i] == 0 && s->by_index[i]->in_flight == 0;
         if (!idle && GwSteer_HasShift(s, i)) {
             ask_for_grants(s, now_us, s->by_index[i], queued[i], members, out);
@@ -436,36 +442,38 @@
 }
 
 static uint32_t
-units_out(const GwCapState *shift)
+count_lent_units(const GwCapState *shift)
 {
     uint32_t out = 0;
 
     for (uint32_t i = 0; i < shift->capacity; i++) {
-        out += shift->units[i].lent != 0;
+        out += shift->units[i].lent_loan != 0;
     }
     return out;
 }
 
 static uint32_t
-units_own(const GwCapState *shift)
+count_own_units(const GwCapState *shift)
 {
     uint32_t own = 0;
 
     for (uint32_t i = 0; i < shift->cap && i < shift->capacity; i++) {
-        own += shift->units[i].own;
+        own += shift->units[i].is_own;
     }
     return own;
 }
 
-/* How many more units may go out now. Moved traffic lands on cold caches, so
- * the level rises by this entry's share of warmup_step a second and sinks as
- * fast when unused. The shares of all entries add up to warmup_step; each may
- * be ahead by an eighth of a second's growth, and by one unit at least. */
+/* The number of further units that may be granted now. Shifted calls reach
+ * cold caches, so the level rises by this entry's share of warmup_step per
+ * second and falls at the same rate when unused. The shares of all entries
+ * add up to warmup_step; the level may exceed the granted units by an
+ * eighth of a second's growth, and by at least one unit. */
 static uint32_t
 warm_allowance(const GwSteer *s, int64_t now_us, GwCapState *shift)
 {
-    int64_t out_milli = (int64_t)units_out(shift) * 1000;
-    int64_t rate = (int64_t)s->config->warmup_step * 1000 * units_own(shift);
+    int64_t out_milli = (int64_t)count_lent_units(shift) * 1000;
+    int64_t rate =
+        (int64_t)s->config->warmup_step * 1000 * count_own_units(shift);
     int64_t age_us = MIN(now_us - shift->level_at_us, GW_MS(60000));
 
     if (shift->cap == 0) {
@@ -498,13 +506,13 @@
     for (uint32_t i = 0; i < top && lent->unit_count < count; i++) {
         GwSlot *unit = &shift->units[i];
 #if GW_MUTANT == 31 /* breaks: a shift unit is out on one grant only */
-        bool idle = unit->own;
+        bool idle = unit->is_own;
 #else
-        bool idle =
-            unit->own && unit->lent == 0 && unit->blocked_until_us <= now_us;
+        bool idle = unit->is_own && unit->lent_loan == 0 &&
+                    unit->blocked_until_us <= now_us;
 #endif
         if (idle) {
-            unit->lent = lent->id;
+            unit->lent_loan = lent->id;
             lent->units[lent->unit_count++] = (GwUnit){
                 .kind = GW_UNIT_SHIFT, .owner = shift->owner, .index = i};
         }
@@ -512,7 +520,7 @@
 }
 
 static GwCapState *
-shift_asked(const GwSteer *s, const GwLoanAsk *ask)
+find_asked_shift(const GwSteer *s, const GwLoanAsk *ask)
 {
     for (guint i = 0; i < s->shifts->len; i++) {
         GwCapState *shift = g_ptr_array_index(s->shifts, i);
@@ -525,15 +533,15 @@
     return NULL;
 }
 
-/* Destination: grants units of the shift to an entry of the source region,
- * no more than own idle slots bear after own demand. */
+/* At the destination: grants units of the shift to an entry of the source
+ * region, no more than the own idle slots can serve after local demand. */
 void
-GwSteer_GrantAsked(GwSteer *s, int64_t now_us, const GwMessage *msg,
-                   const GwMembers *members, const uint32_t *queued,
-                   GwActions *out)
+GwSteer_ReceiveGrantAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
+                        const GwMembers *members, const uint32_t *queued,
+                        GwActions *out)
 {
     const GwLoanAsk *ask = &msg->u.ask;
-    GwCapState *shift = shift_asked(s, ask);
+    GwCapState *shift = find_asked_shift(s, ask);
 
     if (shift == NULL ||
         !GwSteer_IsPeer(members, msg->from, ask->from_region)) {
@@ -542,7 +550,8 @@
     GwServiceState *service = s->by_index[shift->service];
     uint32_t count = 0;
     if (GwSteer_CanServe(s, now_us, service->index)) {
-        count = GwSteer_Grantable(s, now_us, service, queued[service->index]);
+        count =
+            GwSteer_CountGrantable(s, now_us, service, queued[service->index]);
     }
     count = MIN(count, MIN(ask->count, GW_UNITS_MAX));
     count = MIN(count, warm_allowance(s, now_us, shift));
@@ -550,7 +559,7 @@
                    .kind = GW_UNIT_SHIFT,
                    .peer = msg->from,
                    .service = ask->service,
-                   .expires_us = GwSteer_LentUntil(s, now_us)};
+                   .expires_us = GwSteer_LoanExpiry(s, now_us)};
     take_shift_units(now_us, shift, count, &lent);
     if (lent.unit_count > 0) {
         g_array_append_val(s->lent, lent);
--- a/lib/steer/loans.c
+++ b/lib/steer/loans.c
@@ -1,12 +1,13 @@
-/* The lender's side of loans. The lender counts a unit out until term plus
- * margin from its give; the borrower (borrow.c) uses it until term less margin
- * from its ask. Whatever is lost, late or sent twice, the second interval lies
- * within the first. */
+/* The lender's side of loans. The lender counts a unit as lent until term
+ * plus margin after its LOAN_GIVE; the borrower (borrow.c) uses the unit
+ * until term minus margin after its LOAN_ASK. Even if messages are lost,
+ * delayed or duplicated, the second interval lies within the first. */
 #include "steer/steer_internal.h"
 
 #include <string.h>
 
-/* Whether a living member of that region is known under this very start. */
+/* Whether an alive member of the region is known by this id, including its
+ * start number. */
 bool
 GwSteer_IsPeer(const GwMembers *members, GwNodeId id, uint32_t region_hash)
 {
@@ -28,7 +29,7 @@
     return NULL;
 }
 
-/* An id that no other start of any entry gives. */
+/* A loan id that no other start of any entry uses. */
 uint64_t
 GwSteer_NextLoan(GwSteer *s)
 {
@@ -36,8 +37,8 @@
     return s->seq_base + s->loan_seq;
 }
 
-/* A message to a member, to be filled in by the caller; NULL when the member
- * is not known. */
+/* Queues a message to a member for the caller to fill in; NULL when the
+ * member is not known. */
 GwMessage *
 GwSteer_SendTo(GwSteer *s, const GwMembers *members, GwNodeId to,
                GwMessageKind kind, GwActions *out)
@@ -56,7 +57,7 @@
 }
 
 static uint32_t
-granted_idle(const GwSteer *s, uint64_t service)
+count_idle_granted(const GwSteer *s, uint64_t service)
 {
     uint32_t count = 0;
 
@@ -70,13 +71,13 @@
     return count;
 }
 
-/* Own idle units that no call here waits for and no grant has promised to
- * another region. A peer of the region gets any of them: a unit comes back in
- * one round trip, so a reserve would cost more slots beside a queue than it
- * saves waits. */
+/* The number of own idle units, minus those that local calls wait for and
+ * those granted to other regions. All of them may be lent to a peer of the
+ * region: a unit returns within one round trip, so a reserve would leave
+ * more slots idle beside a queue than it would save waits. */
 uint32_t
-GwSteer_Lendable(const GwSteer *s, int64_t now_us,
-                 const GwServiceState *service, uint32_t queued)
+GwSteer_CountLendable(const GwSteer *s, int64_t now_us,
+                      const GwServiceState *service, uint32_t queued)
 {
     uint32_t idle = 0;
 
@@ -85,26 +86,27 @@
     }
     for (uint32_t i = 0; i < service->backend_count; i++) {
         const GwBackendState *b = service->backends[i];
-        if (GwBackend_TakesWork(b, now_us)) {
+        if (GwBackend_IsAvailable(b, now_us)) {
             idle += b->own_free_count;
         }
     }
-    uint32_t keep = queued + granted_idle(s, service->hash);
+    uint32_t keep = queued + count_idle_granted(s, service->hash);
     return idle > keep ? idle - keep : 0;
 }
 
-/* What may be granted to another region: less a reserve for the next arrivals
- * here, since a shifted call is far longer under way than a loan. */
+/* The number of units that may be granted to another region: the lendable
+ * ones minus a reserve for the next local arrivals, since a grant is out
+ * far longer than a loan. */
 uint32_t
-GwSteer_Grantable(const GwSteer *s, int64_t now_us,
-                  const GwServiceState *service, uint32_t queued)
+GwSteer_CountGrantable(const GwSteer *s, int64_t now_us,
+                       const GwServiceState *service, uint32_t queued)
 {
-    return GwSteer_Lendable(s, now_us, service,
-                            queued + 1 + service->in_flight / 8);
+    return GwSteer_CountLendable(s, now_us, service,
+                                 queued + 1 + service->in_flight / 8);
 }
 
-/* Takes units one by one from a server at a time, so that a loan does not
- * empty one server. */
+/* Takes units one at a time from each server in turn, so that a loan does
+ * not use up one server. */
 static void
 take_slots(GwSteer *s, int64_t now_us, GwServiceState *service, uint32_t count,
            GwLent *lent)
@@ -117,11 +119,11 @@
         progress = false;
         for (uint32_t i = 0; i < n && lent->unit_count < count; i++) {
             GwBackendState *b = service->backends[(start + i) % n];
-            if (b->own_free_count == 0 || !GwBackend_TakesWork(b, now_us)) {
+            if (b->own_free_count == 0 || !GwBackend_IsAvailable(b, now_us)) {
                 continue;
             }
             uint32_t slot = GwBackend_FindSlot(b, now_us);
-            b->slots[slot].lent = lent->id;
+            b->slots[slot].lent_loan = lent->id;
             GwBackend_RefreshSlot(b, slot, now_us);
             lent->units[lent->unit_count++] =
                 (GwUnit){.kind = GW_UNIT_SLOT, .owner = b->id, .index = slot};
@@ -130,7 +132,7 @@
     }
 }
 
-/* Tells the borrower what was lent. */
+/* Sends the LOAN_GIVE for a loan to the borrower. */
 void
 GwSteer_SendGive(GwSteer *s, const GwMembers *members, const GwLoanAsk *ask,
                  const GwLent *lent, GwActions *out)
@@ -150,9 +152,9 @@
     memcpy(msg->u.give.units, lent->units, sizeof(lent->units));
 }
 
-/* Until when the lender counts units out that it gives now. */
+/* When the lender stops counting units as lent that it lends now. */
 int64_t
-GwSteer_LentUntil(const GwSteer *s, int64_t now_us)
+GwSteer_LoanExpiry(const GwSteer *s, int64_t now_us)
 {
     int64_t counted_ms = s->params.loan_term_ms;
 
@@ -164,28 +166,28 @@
     return now_us + GW_MS(counted_ms);
 }
 
-/* Answers an ask for slots; an empty give lets the asker go on to the next
- * peer at once. */
+/* Answers a LOAN_ASK for slots. An empty LOAN_GIVE lets the requester ask
+ * the next peer at once. */
 void
-GwSteer_LoanAsked(GwSteer *s, int64_t now_us, const GwMessage *msg,
-                  const GwMembers *members, const uint32_t *queued,
-                  GwActions *out)
+GwSteer_ReceiveLoanAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
+                       const GwMembers *members, const uint32_t *queued,
+                       GwActions *out)
 {
     const GwLoanAsk *ask = &msg->u.ask;
-    GwServiceState *service = GwSteer_ServiceOf(s, ask->service);
+    GwServiceState *service = GwSteer_FindService(s, ask->service);
 
     if (service == NULL || service->index == GW_NONE ||
         !GwSteer_IsPeer(members, msg->from, s->region_hash[s->region])) {
         return;
     }
     uint32_t count =
-        GwSteer_Lendable(s, now_us, service, queued[service->index]);
+        GwSteer_CountLendable(s, now_us, service, queued[service->index]);
     count = MIN(count, MIN(ask->count, GW_UNITS_MAX));
     GwLent lent = {.id = GwSteer_NextLoan(s),
                    .kind = GW_UNIT_SLOT,
                    .peer = msg->from,
                    .service = ask->service,
-                   .expires_us = GwSteer_LentUntil(s, now_us)};
+                   .expires_us = GwSteer_LoanExpiry(s, now_us)};
     take_slots(s, now_us, service, count, &lent);
     if (lent.unit_count > 0) {
         g_array_append_val(s->lent, lent);
@@ -200,14 +202,14 @@
 
     for (uint32_t i = 0; i < lent->unit_count; i++) {
         const GwUnit *u = &lent->units[i];
-        GwBackendState *b = GwSteer_Backend(s, u->owner);
+        GwBackendState *b = GwSteer_FindBackend(s, u->owner);
         GwCapState *cap = GwSteer_FindCap(s->shifts, u->owner);
         if (lent->kind == GW_UNIT_SLOT && b != NULL) {
-            b->slots[u->index].lent = 0;
+            b->slots[u->index].lent_loan = 0;
             GwBackend_RefreshSlot(b, u->index, now_us);
         }
         if (lent->kind == GW_UNIT_SHIFT && cap != NULL) {
-            cap->units[u->index].lent = 0;
+            cap->units[u->index].lent_loan = 0;
         }
     }
     g_array_remove_index_fast(s->lent, index);
@@ -230,11 +232,11 @@
     return true;
 }
 
-/* Takes a loan back before its end: only from its borrower, and only with
- * exactly the units lent. Relayed calls that still run here keep their units
- * counted. */
+/* Ends a loan before its term: only on a return from its borrower, and only
+ * with exactly the units lent. Relayed calls that still run here keep their
+ * units counted. True when units became free. */
 bool
-GwSteer_LoanReturned(GwSteer *s, int64_t now_us, const GwMessage *msg)
+GwSteer_ReceiveLoanReturn(GwSteer *s, int64_t now_us, const GwMessage *msg)
 {
     const GwLoanReturn *back = &msg->u.giveback;
 
@@ -257,8 +259,8 @@
     return false;
 }
 
-/* Ends loans that have run out. A grant's units stay counted while a call
- * that came on it runs. */
+/* Ends expired loans. The units of a grant stay counted while a call that
+ * arrived on it runs. */
 void
 GwSteer_ExpireLent(GwSteer *s, int64_t now_us)
 {
@@ -269,7 +271,7 @@
         over = over && lent->in_flight == 0;
 #endif
         if (over) {
-            s->came_free = true;
+            s->has_freed_units = true;
             end_lent(s, now_us, i);
         }
     }
--- a/lib/steer/steer.c
+++ b/lib/steer/steer.c
@@ -1,15 +1,15 @@
-/* The facade of the steering package: configuration, the seats' say on every
- * unit, and one entry point for each event. */
+/* Public interface of the steering package: ownership of units by seat, and
+ * one function per event. */
 #include "common/log_events.h"
 #include "steer/steer_internal.h"
 
 #include <inttypes.h>
 #include <string.h>
 
-/* The policies other than SLOTS are kept for comparison only: they have no
- * hard shares, and a server's connections are then bounded by `slots` per
- * entry. Under SLOTS a server has at most `slots` calls over all entries,
- * which bounds its connections too. */
+/* The policies other than GW_POLICY_SLOTS are kept for comparison only.
+ * They have no hard shares: a server's connections are then bounded by
+ * `slots` per entry. Under GW_POLICY_SLOTS a server has at most `slots`
+ * calls over all entries, which bounds its connections as well. */
 
 static void
 free_backend(gpointer data)
@@ -39,8 +39,9 @@
     g_free(service);
 }
 
-/* Sequence and loan numbers start from a value made of node and start, so
- * that a message to an earlier start of this entry matches nothing here. */
+/* Sequence and loan numbers start from a value derived from node and start
+ * number, so that a message addressed to an earlier start of this entry
+ * matches nothing here. */
 static uint64_t
 seq_base_of(GwNodeId id)
 {
@@ -90,7 +91,7 @@
 sync_units(const GwSeats *seats, GwSlot *units, uint32_t cap, uint32_t count)
 {
     for (uint32_t i = 0; i < count; i++) {
-        units[i].own = i < cap && GwSeats_Usable(seats, units[i].seat);
+        units[i].is_own = i < cap && GwSeats_Usable(seats, units[i].seat);
     }
 }
 
@@ -103,9 +104,9 @@
     }
 }
 
-/* Brings the units in line with the seats before any decision. A paused
- * process wakes believing that its units are its own; the fence says no here,
- * before the first call is started on them. */
+/* Updates unit ownership from the seats before any decision. A process that
+ * resumes after a pause still has its old state; the fence removes its
+ * units before the first call is started on them. */
 static void
 sync_seats(GwSteer *s, int64_t now_us, const GwSeats *seats)
 {
@@ -118,7 +119,7 @@
         (s->synced && epoch == s->epoch && fenced == s->fenced)) {
         return;
     }
-#if GW_MUTANT == 32 /* breaks: a fenced or lost seat's units are not used */
+#if GW_MUTANT == 32 /* breaks: units of a fenced or lost seat are not used */
     if (s->synced) {
         return;
     }
@@ -126,9 +127,9 @@
     s->synced = true;
     s->epoch = epoch;
     s->fenced = fenced;
-    s->came_free = true;
+    s->has_freed_units = true;
     if (fenced) {
-        GwSteer_DropBorrowed(s, now_us);
+        GwSteer_DropAllLoans(s, now_us);
     }
     g_hash_table_iter_init(&iter, s->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -144,14 +145,14 @@
 mark_busy(const GwSlot *units, uint32_t count, bool *busy)
 {
     for (uint32_t i = 0; i < count; i++) {
-        if ((units[i].in_use || units[i].lent != 0) &&
+        if ((units[i].in_use || units[i].lent_loan != 0) &&
             units[i].seat < GW_SEATS_MAX) {
             busy[units[i].seat] = true;
         }
     }
 }
 
-/* Which seats have a unit in use or out on loan. */
+/* Marks the seats that have a unit in use or lent. */
 static void
 find_busy(const GwSteer *s, bool busy[GW_SEATS_MAX])
 {
@@ -174,8 +175,9 @@
     }
 }
 
-/* Lets a seat that is being given away go once nothing of it is in use: else
- * its next holder would start a call on a unit that still runs one here. */
+/* Releases each seat that is being handed over once none of its units is
+ * busy; otherwise the next holder could start a call on a unit that still
+ * runs one here. */
 static void
 release_parting(GwSteer *s, int64_t now_us, GwSeats *seats,
                 const GwMembers *members, GwActions *out)
@@ -191,7 +193,7 @@
             find_busy(s, busy);
             found = true;
         }
-#if GW_MUTANT == 33 /* breaks: a seat goes only when its units are idle */
+#if GW_MUTANT == 33 /* breaks: a seat is released only once it is idle */
         busy[seat] = false;
 #endif
         if (!busy[seat]) {
@@ -200,13 +202,13 @@
     }
 }
 
-/* One line per change of a server's state, not one per failure. */
+/* Logs one line per change of a server's state, not per failure. */
 static void
 log_changes(GwBackendState *b, int64_t now_us, GwActions *out)
 {
     bool ejected = GwBackend_IsEjected(b, now_us);
     bool draining = GwBackend_IsDraining(b, now_us);
-    bool was_away = b->logged_ejected || b->logged_draining;
+    bool was_unavailable = b->logged_ejected || b->logged_draining;
 
     if (ejected && !b->logged_ejected) {
         GwActions_Log(out, GW_LOG_BACKEND_EJECTED,
@@ -216,7 +218,7 @@
     if (draining && !b->logged_draining) {
         GwActions_Log(out, GW_LOG_BACKEND_DRAINING, "address=%s", b->address);
     }
-    if (was_away && !ejected && !draining) {
+    if (was_unavailable && !ejected && !draining) {
         GwActions_Log(out, GW_LOG_BACKEND_BACK, "address=%s", b->address);
     }
     b->logged_ejected = ejected;
@@ -232,7 +234,7 @@
         uint32_t known = 0;
         for (uint32_t j = 0; j < service->backend_count; j++) {
             GwBackendState *b = service->backends[j];
-            s->came_free |= GwBackend_Tick(b, now_us);
+            s->has_freed_units |= GwBackend_Tick(b, now_us);
             log_changes(b, now_us, out);
             sum_us += b->latency_us;
             known += b->latency_us != 0;
@@ -257,7 +259,7 @@
     }
     s->entries = count;
     for (uint32_t i = 0; i < s->config->service_count; i++) {
-        GwSteer_Subset(s, s->by_index[i]);
+        GwSteer_SelectSubset(s, s->by_index[i]);
     }
 }
 
@@ -269,23 +271,23 @@
         return false;
     }
     sync_seats(s, now_us, seats);
-    s->came_free |= GwSteer_ReleaseHeld(s, now_us);
+    s->has_freed_units |= GwSteer_EndHeldUses(s, now_us);
     if (s->unblock_us != 0 && s->unblock_us <= now_us) {
         s->unblock_us = 0;
-        s->came_free = true;
+        s->has_freed_units = true;
         GwSteer_RefreshAll(s, now_us);
     }
     tick_backends(s, now_us, out);
     count_entries(s, members);
-    GwSteer_LoansTick(s, now_us, members, queued, out);
-    GwSteer_GrantsTick(s, now_us, members, queued, out);
+    GwSteer_TickLoans(s, now_us, members, queued, out);
+    GwSteer_TickGrants(s, now_us, members, queued, out);
     for (uint32_t i = 0; i < s->config->service_count; i++) {
-        s->by_index[i]->wait_seen = false;
+        s->by_index[i]->has_waiting = false;
     }
     release_parting(s, now_us, seats, members, out);
-    bool came_free = s->came_free;
-    s->came_free = false;
-    return came_free;
+    bool has_freed_units = s->has_freed_units;
+    s->has_freed_units = false;
+    return has_freed_units;
 }
 
 void
@@ -311,16 +313,16 @@
     switch (msg->kind) {
     case GW_MSG_LOAN_ASK:
         if (msg->u.ask.kind == GW_UNIT_SHIFT) {
-            GwSteer_GrantAsked(s, now_us, msg, members, queued, out);
+            GwSteer_ReceiveGrantAsk(s, now_us, msg, members, queued, out);
         }
         else if (msg->u.ask.kind == GW_UNIT_SLOT) {
-            GwSteer_LoanAsked(s, now_us, msg, members, queued, out);
+            GwSteer_ReceiveLoanAsk(s, now_us, msg, members, queued, out);
         }
         return false;
     case GW_MSG_LOAN_GIVE:
-        return GwSteer_LoanGiven(s, now_us, msg, members, out);
+        return GwSteer_ReceiveLoanGive(s, now_us, msg, members, out);
     case GW_MSG_LOAN_RETURN:
-        return GwSteer_LoanReturned(s, now_us, msg);
+        return GwSteer_ReceiveLoanReturn(s, now_us, msg);
     default:
         return false;
     }
@@ -335,10 +337,10 @@
 }
 
 static void
-start_here(GwSteer *s, int64_t now_us, GwServiceState *service,
-           GwBackendState *b, const GwPickAsk *ask, GwPick *out)
+start_local(GwSteer *s, int64_t now_us, GwServiceState *service,
+            GwBackendState *b, const GwPickAsk *ask, GwPick *out)
 {
-    GwUse *use = GwSteer_Take(s, now_us, service, &out->use);
+    GwUse *use = GwSteer_BeginUse(s, now_us, service, &out->use);
 
     use->backend = b;
     b->in_flight++;
@@ -349,7 +351,7 @@
     }
     GwLent *lent = ask->grant != 0 ? GwSteer_FindLent(s, ask->grant) : NULL;
     if (ask->relayed && lent != NULL) {
-        use->lent = lent->id;
+        use->lent_loan = lent->id;
         lent->in_flight++;
     }
     out->kind = GW_PICK_BACKEND;
@@ -357,7 +359,8 @@
     memcpy(out->address, b->address, sizeof(out->address));
 }
 
-/* No unit is free now: wait where one can come free, else say why not. */
+/* No unit is free: leaves GW_PICK_WAIT where one can become free, else
+ * refuses with the reason. */
 static void
 wait_or_refuse(const GwSteer *s, int64_t now_us, const GwServiceState *service,
                const GwPickAsk *ask, GwPick *out)
@@ -376,8 +379,9 @@
     }
 }
 
-/* Chooses for one call and takes the unit. A relayed call runs here or not at
- * all: a second relay could go in circles while its unit is counted twice. */
+/* Chooses for one call and takes the unit. A relayed call runs here or is
+ * refused: a second relay could form a loop while its unit is counted
+ * twice. */
 void
 GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *ask,
              const GwMembers *members, GwSeats *seats, GwPick *out)
@@ -396,16 +400,16 @@
         refuse(out, GW_REASON_NO_GRANT);
         return;
     }
-    if (!ask->relayed && GwSteer_DrawsPercent(s, ask->service) &&
+    if (!ask->relayed && GwSteer_DrawShift(s, ask->service) &&
         GwSteer_PickPeer(s, now_us, service, ask, members, out)) {
         return;
     }
     GwBackendState *b = NULL;
     if (service->has_place && !service->place_drain) {
-        b = GwSteer_Choose(s, now_us, service, ask);
+        b = GwSteer_ChooseBackend(s, now_us, service, ask);
     }
     if (b != NULL) {
-        start_here(s, now_us, service, b, ask, out);
+        start_local(s, now_us, service, b, ask, out);
         return;
     }
     if (!ask->relayed &&
@@ -416,12 +420,12 @@
     GwService_NoteWait(service, ask, out);
 }
 
-/* What the end of a relayed call says of its grant. */
+/* Updates the grant from the end of a call relayed on it. */
 static void
-learn_of_peer(GwSteer *s, int64_t now_us, const GwUse *use,
-              const GwAttemptEvent *end)
+update_grant(GwSteer *s, int64_t now_us, const GwUse *use,
+             const GwAttemptEvent *end)
 {
-    GwBorrowed *b = GwSteer_FindBorrowed(s, use->borrowed);
+    GwBorrowed *b = GwSteer_FindBorrowed(s, use->borrowed_loan);
 
     if (b == NULL) {
         return;
@@ -451,11 +455,11 @@
         return;
     }
     if (end != NULL && ended->backend != NULL) {
-        GwBackend_Ended(ended->backend, now_us, now_us - ended->started_us,
-                        end, GW_MS(s->params.drain_hint_ttl_ms), &s->rng);
+        GwBackend_RecordEnd(ended->backend, now_us, now_us - ended->started_us,
+                            end, GW_MS(s->params.drain_hint_ttl_ms), &s->rng);
     }
-    if (end != NULL && ended->borrowed != 0) {
-        learn_of_peer(s, now_us, ended, end);
+    if (end != NULL && ended->borrowed_loan != 0) {
+        update_grant(s, now_us, ended, end);
     }
 #if GW_MUTANT == 34 /* breaks: an UNKNOWN end keeps its unit in use */
     hold_until_us = now_us;
@@ -466,42 +470,44 @@
         ended->service->in_flight--;
         return;
     }
-    GwSteer_Release(s, now_us, ended);
+    GwSteer_EndUse(s, now_us, ended);
 }
 
-/* The endpoint lags and may mislead: a server that cannot be reached there
- * counts as failing only if it has not answered a call lately. */
+/* Applies a health report. The endpoint may lag or be wrong: an unreachable
+ * endpoint counts as a failure only if the server has not answered a call
+ * for GW_LOAD_FRESH_US. */
 void
 GwSteer_Health(GwSteer *s, int64_t now_us, const GwHealthEvent *health)
 {
-    GwBackendState *b = GwSteer_Backend(s, health->backend);
+    GwBackendState *b = GwSteer_FindBackend(s, health->backend);
 
     if (b == NULL) {
         return;
     }
     if (!health->reachable) {
         if (now_us - b->success_at_us > GW_LOAD_FRESH_US) {
-            GwBackend_Failed(b, now_us, &s->rng);
+            GwBackend_RecordFailure(b, now_us, &s->rng);
         }
         return;
     }
     if (health->has_load) {
-        GwBackend_Reported(b, now_us, health->reported_load);
+        GwBackend_RecordLoad(b, now_us, health->reported_load);
     }
     if (!health->draining) {
-        b->open_at_us = now_us;
+        b->reported_open_us = now_us;
     }
     else {
-        GwBackend_Drained(b, now_us + GW_MS(s->params.drain_hint_ttl_ms));
+        GwBackend_RecordDrain(b, now_us + GW_MS(s->params.drain_hint_ttl_ms));
     }
 }
 
-/* A peer's observation. It is not passed on, so that hints die out. */
+/* Applies a peer's drain hint. Hints are not forwarded, so that they
+ * expire. */
 void
 GwSteer_DrainHint(GwSteer *s, int64_t now_us, uint64_t backend,
                   uint32_t ttl_ms)
 {
-    GwBackendState *b = GwSteer_Backend(s, backend);
+    GwBackendState *b = GwSteer_FindBackend(s, backend);
 
     if (b == NULL || ttl_ms == 0) {
         return;
@@ -547,7 +553,7 @@
         }
         uint32_t idle = 0;
         if (!fenced) {
-            idle = GwSteer_Lendable(s, now_us, service, queued[i]);
+            idle = GwSteer_CountLendable(s, now_us, service, queued[i]);
         }
         cargo->digests[cargo->digest_count++] =
             (GwDigest){.id = self,
@@ -565,7 +571,7 @@
               GwActions *out)
 {
     s->leaving = true;
-    GwSteer_ReleaseHeld(s, now_us);
+    GwSteer_EndHeldUses(s, now_us);
     GwSteer_ReturnIdle(s, now_us, members, NULL, out);
     return s->use_active == 0 && s->lent->len == 0 && s->borrowed->len == 0;
 }
--- a/lib/steer/steer.h
+++ b/lib/steer/steer.h
@@ -1,10 +1,12 @@
-/* Where a call runs: choice of backend server in this region, or of a peer
- * entry in another one, within slots, shift caps and link limits.
+/* Steering: chooses where each call runs, on a backend server of this
+ * region or through a peer entry of another region, within slots, shift
+ * caps and link limits.
  *
- * The request machine (entry/calls.h) asks GwSteer_Pick for a call that is
- * due, starts the attempt it names, and reports the end with GwSteer_Done.
- * A unit is in use from Pick to Done, and after an UNKNOWN end until the
- * call's deadline: the backend server may still be running it. */
+ * The request machine (entry/calls.h) calls GwSteer_Pick() for each call
+ * that is due, starts the returned attempt, and reports its end with
+ * GwSteer_Done(). A unit is in use from Pick to Done, and after an UNKNOWN
+ * end until the call's deadline, since the backend server may still run the
+ * call. */
 #ifndef GW_STEER_STEER_H
 #define GW_STEER_STEER_H
 
@@ -15,15 +17,15 @@
 
 typedef enum {
     GW_POLICY_SLOTS = 0, /* hard slot shares by seat, lent when idle */
-    GW_POLICY_TWO = 1,   /* power of two choices on in-flight plus reports */
-    GW_POLICY_SUBSET = 2 /* a subset of the servers per entry, least busy */
+    GW_POLICY_TWO = 1,   /* power of two choices by calls and reports */
+    GW_POLICY_SUBSET = 2 /* subset of the servers, fewest calls first */
 } GwPolicyKind;
 
 typedef enum {
-    GW_PICK_WAIT = 0, /* nothing free now; ask again after the next change */
+    GW_PICK_WAIT = 0, /* no unit is free; retry after the next change */
     GW_PICK_BACKEND = 1,
-    GW_PICK_PEER = 2,  /* an entry of another region, on a grant */
-    GW_PICK_REFUSE = 3 /* nothing can carry it: no place, all down */
+    GW_PICK_PEER = 2,  /* a peer entry of another region, on a grant */
+    GW_PICK_REFUSE = 3 /* no unit can become free for the call; see reason */
 } GwPickKind;
 
 typedef struct {
@@ -37,53 +39,58 @@
     uint64_t grant;
 } GwPick;
 
-/* One call as the choice sees it. */
+/* The properties of a call that the choice depends on. */
 typedef struct {
     uint32_t service; /* index in the configuration */
     bool idempotent;
-    bool relayed;   /* must run here or be refused */
-    uint64_t grant; /* when it came on a grant */
+    bool relayed;   /* relayed by a peer: runs here or is refused */
+    uint64_t grant; /* grant that the call was relayed on; 0 none */
     GwNodeId relay_from;
     int64_t deadline_us;
-    uint64_t avoid_backend; /* a server an earlier attempt used; 0 none */
+    uint64_t avoid_backend; /* server of an earlier attempt; 0 none */
 } GwPickAsk;
 
 GwSteer *GwSteer_Create(const GwNodeParams *params);
 void GwSteer_Free(GwSteer *s);
-/* A new configuration: units whose cap or server went are dropped as they
- * come free. `config` stays valid until the next call. */
+/* Applies a new configuration. Units whose cap shrank or whose server was
+ * removed are dropped when they become idle. `config` must stay valid until
+ * the next call. */
 void GwSteer_Configure(GwSteer *s, int64_t now_us, const GwConfig *config);
 
-/* Ageing, loans, grants, slow start. `queued[service]` is how many calls of
- * each service wait: what is to be borrowed. Returns true when something
- * came free that a waiting call could use. */
+/* Periodic work: expiry, loans, grants, slow start. `queued[service]` is
+ * the number of waiting calls of each service, which determines how much is
+ * borrowed. Returns true when units became free that a waiting call may
+ * use. */
 bool GwSteer_Tick(GwSteer *s, int64_t now_us, const GwMembers *members,
                   GwSeats *seats, const uint32_t *queued, GwActions *out);
-/* Between ticks: asks for slots where calls wait. */
+/* Requests slots from peers for the waiting calls, between ticks. */
 void GwSteer_Borrow(GwSteer *s, int64_t now_us, const GwMembers *members,
                     GwSeats *seats, const uint32_t *queued, GwActions *out);
-/* LOAN_ASK, LOAN_GIVE, LOAN_RETURN. Returns true when units came in. */
+/* Handles LOAN_ASK, LOAN_GIVE and LOAN_RETURN. Returns true when units
+ * became free here. */
 bool GwSteer_Receive(GwSteer *s, int64_t now_us, const GwMessage *msg,
                      const GwMembers *members, GwSeats *seats,
                      const uint32_t *queued, GwActions *out);
 
 void GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *ask,
                   const GwMembers *members, GwSeats *seats, GwPick *out);
-/* The end of what Pick gave. `hold_until_us` is when the backend server has
- * surely stopped (the deadline) after an UNKNOWN end; else now_us. */
+/* Reports the end of an attempt that GwSteer_Pick() returned.
+ * `hold_until_us` is when the backend server has certainly stopped running
+ * the call: the call's deadline after an UNKNOWN end, else now_us. */
 void GwSteer_Done(GwSteer *s, int64_t now_us, uint32_t use,
                   const GwAttemptEvent *end, int64_t hold_until_us);
 void GwSteer_Health(GwSteer *s, int64_t now_us, const GwHealthEvent *health);
 void GwSteer_DrainHint(GwSteer *s, int64_t now_us, uint64_t backend,
                        uint32_t ttl_ms);
 
-/* Fills digests and drain hints of the heartbeat. */
+/* Fills in the digests and drain hints of a heartbeat. */
 void GwSteer_Cargo(const GwSteer *s, int64_t now_us, GwNodeId self,
                    GwSeats *seats, const uint32_t *queued, GwCargo *cargo);
-/* Gives loans back; true once nothing is in flight, lent or borrowed. */
+/* Returns all loans; true once nothing is in flight, lent or borrowed. */
 bool GwSteer_Leave(GwSteer *s, int64_t now_us, const GwMembers *members,
                    GwActions *out);
-/* A service whose local place carries no calls now: no place, drained. */
+/* False when the service has no place in this region, or the place or all
+ * of its servers are draining. */
 bool GwSteer_CanServe(const GwSteer *s, int64_t now_us, uint32_t service);
 uint32_t GwSteer_InFlight(const GwSteer *s, uint32_t service);
 
--- a/lib/steer/steer_internal.h
+++ b/lib/steer/steer_internal.h
@@ -1,9 +1,10 @@
-/* State shared by the files of the steering package; private to it.
+/* State shared by the files of lib/steer; private to it.
  *
- * backends.c keeps what is known of each backend server; units.c the slot
- * units and the uses; choose.c picks a server; loans.c lends and borrow.c
- * borrows units; grants.c moves calls between regions; configure.c takes a
- * version in; steer.c joins them and is the only file that asks the seats. */
+ * backends.c: state of each backend server. units.c: slot units and uses.
+ * choose.c: choice of a server. loans.c: the lender's side of loans;
+ * borrow.c: the borrower's side. grants.c: calls relayed between regions.
+ * configure.c: applies a configuration version. steer.c: the public
+ * interface, and the only file that reads the seats. */
 #ifndef GW_STEER_STEER_INTERNAL_H
 #define GW_STEER_STEER_INTERNAL_H
 
@@ -25,31 +26,31 @@
 #define GW_WEIGHT_FULL    1000
 #define GW_WEIGHT_MIN     100
 #define GW_LOAD_FRESH_US  GW_MS(2000)
-/* How long a server that left the configuration while draining is kept in
- * mind: longer than a server takes to leave. */
-#define GW_DRAIN_MEMORY_US  GW_MS(600000)
-#define GW_SHED_DEFAULT_MS  100
-#define GW_SHED_MAX_MS      5000
-#define GW_LATENCY_START_US GW_MS(10)
-#define GW_ASK_TIMEOUT_US   GW_MS(300)
-#define GW_ASK_PAUSE_US     GW_MS(2)
-#define GW_ASK_SLOTS_MAX    1 /* a larger loan is held by its one busy unit */
-#define GW_LOAN_IDLE_US     0
-#define GW_GRANT_PAUSE_US   GW_MS(100)
-#define GW_GRANT_IDLE_US    GW_MS(500)
-#define GW_TRIED_MAX        16
-#define GW_DRY_US           GW_MS(1000)
-#define GW_PEER_PAUSE_US    GW_MS(1000)
-#define GW_REMAP_SLACK_US   GW_MS(5000)
-#define GW_RETRY_HINT_MS    1000
+/* How long a server that was removed from the configuration while draining
+ * is remembered: longer than a server takes to shut down. */
+#define GW_DRAIN_MEMORY_US    GW_MS(600000)
+#define GW_SHED_DEFAULT_MS    100
+#define GW_SHED_MAX_MS        5000
+#define GW_LATENCY_INITIAL_US GW_MS(10)
+#define GW_ASK_TIMEOUT_US     GW_MS(300)
+#define GW_ASK_PAUSE_US       GW_MS(2)
+#define GW_ASK_SLOTS_MAX      1 /* one busy unit keeps a larger loan out */
+#define GW_LOAN_IDLE_US       0
+#define GW_GRANT_PAUSE_US     GW_MS(100)
+#define GW_GRANT_IDLE_US      GW_MS(500)
+#define GW_TRIED_MAX          16
+#define GW_NO_LENDER_US       GW_MS(1000)
+#define GW_PEER_PAUSE_US      GW_MS(1000)
+#define GW_REMAP_SLACK_US     GW_MS(5000)
+#define GW_RETRY_HINT_MS      1000
 
-/* One slot unit as this entry sees it. */
+/* A slot unit, or a unit of a cap, as seen by this entry. */
 typedef struct {
     uint32_t seat;
-    bool own;          /* its seat may be used here */
-    bool in_use;       /* from Pick to Done, or to the end of the hold */
-    uint64_t lent;     /* loan that it is out on; 0 none */
-    uint64_t borrowed; /* loan that it is here on; 0 none */
+    bool is_own;            /* this entry may use its seat */
+    bool in_use;            /* from Pick to Done, or to the end of the hold */
+    uint64_t lent_loan;     /* loan that it is lent on; 0 none */
+    uint64_t borrowed_loan; /* loan that it is borrowed on; 0 none */
     int64_t borrowed_until_us;
     int64_t blocked_until_us; /* its seat changed with the configuration */
 } GwSlot;
@@ -57,25 +58,25 @@
 typedef struct {
     uint64_t id;
     char address[GW_ADDR_MAX];
-    bool present; /* in the configuration in force */
+    bool present; /* in the current configuration */
     bool config_drain;
     bool in_subset;
-    uint32_t slot_count;    /* of the configuration in force */
-    uint32_t slot_capacity; /* records kept: the largest count seen */
+    uint32_t slot_count;    /* of the current configuration */
+    uint32_t slot_capacity; /* records kept: the largest count so far */
     GwSlot *slots;
     uint64_t own_free[GW_SLOT_WORDS];
     uint64_t borrowed_free[GW_SLOT_WORDS];
     uint32_t own_free_count;
     uint32_t borrowed_free_count;
-    uint32_t in_flight; /* of this entry, held ones included */
+    uint32_t in_flight; /* calls of this entry, held uses included */
     /* Health. */
     uint32_t failures; /* consecutive */
     uint32_t ejections;
     int64_t ejected_until_us; /* 0: not ejected */
     int64_t shed_until_us;
-    int64_t slow_from_us; /* 0: warm */
+    int64_t slow_start_us; /* 0: slow start is over */
     int64_t own_drain_until_us;
-    int64_t open_at_us; /* its health endpoint last said: not draining */
+    int64_t reported_open_us; /* last health report without draining */
     int64_t hint_drain_until_us;
     bool was_draining;
     bool logged_ejected;
@@ -85,10 +86,10 @@
     int64_t load_at_us;
     int64_t success_at_us;
     int64_t latency_us; /* moving average; 0 unknown */
-    int64_t removed_us; /* when it left the configuration, if it did */
+    int64_t removed_us; /* when it was removed from the configuration */
 } GwBackendState;
 
-/* An ask that waits for its answer, and whom this round has tried. */
+/* An outstanding LOAN_ASK, and the peers asked in this round. */
 typedef struct {
     uint64_t seq; /* 0: none outstanding */
     GwNodeId peer;
@@ -96,67 +97,70 @@
     int64_t next_us;
     uint32_t tried_count;
     uint64_t tried[GW_TRIED_MAX];
-} GwAsking;
+} GwAskState;
 
 typedef struct {
     uint64_t hash;
-    uint32_t index; /* in the configuration; GW_NONE when gone */
+    uint32_t index; /* in the configuration; GW_NONE when removed */
     bool has_place;
     bool place_drain;
     uint32_t backend_count;
     GwBackendState **backends;
     GwBackendState **scratch; /* candidates of one choice */
-    uint32_t in_flight;       /* not held */
-    int64_t latency_us;       /* mean over the place */
-    GwAsking slots;
-    GwAsking grants;
-    int64_t wait_deadline_us; /* earliest of the calls that had to wait */
-    bool wait_seen;           /* set since the last tick */
-    int64_t probe_us;         /* when a call may next try an ejected server */
-    int64_t dry_us; /* when no peer of the region had a slot to lend */
+    uint32_t in_flight;       /* without held uses */
+    int64_t latency_us;       /* mean over the place's servers */
+    GwAskState slots;
+    GwAskState grants;
+    int64_t wait_deadline_us; /* earliest deadline of the waiting calls */
+    bool has_waiting;       /* wait_deadline_us was set since the last tick */
+    int64_t panic_probe_us; /* when a call may next try an ejected server */
+    int64_t no_lender_us;   /* when no peer of the region had a slot to lend */
 } GwServiceState;
 
-/* Units that this entry gave, slots or a shift's, counted out to expiry. */
+/* Units that this entry lent, slots or units of a shift; counted as lent
+ * until they expire. */
 typedef struct {
     uint64_t id;
     GwUnitKind kind;
     GwNodeId peer;
     uint64_t service;
     int64_t expires_us;
-    uint32_t in_flight; /* SHIFT: relayed calls running here on it */
+    uint32_t in_flight; /* SHIFT: relayed calls running here on the grant */
     uint32_t unit_count;
     GwUnit units[GW_UNITS_MAX];
 } GwLent;
 
-/* Units that this entry was given. */
+/* Units that this entry borrowed. */
 typedef struct {
     uint64_t id;
     GwUnitKind kind;
     GwNodeId peer;
     uint64_t service;
     int64_t use_until_us;
-    int64_t round_trip_us; /* from the ask to the give */
-    int64_t used_us;       /* last use, for the return when idle */
+    int64_t round_trip_us; /* from LOAN_ASK to LOAN_GIVE */
+    int64_t used_us;       /* last use; idle loans are returned */
     int64_t pause_until_us;
-    bool dropped;  /* not for new work; kept so that a copy of its GIVE is
-                    * not answered with a return while calls run out */
+    /* No new calls. Kept while calls run, so that a duplicate of its
+     * LOAN_GIVE is not answered with a return. */
+    bool dropped;
     uint32_t busy; /* SHIFT: units in use, one bit each */
     uint32_t unit_count;
     GwUnit units[GW_UNITS_MAX];
 } GwBorrowed;
 
-/* A shift's cap (destination side) or a link's (source side). */
+/* The cap of a shift (kept at its destination) or of a link (kept at its
+ * source). */
 typedef struct {
     uint64_t owner;
     bool present;
-    uint32_t service; /* index; shifts */
+    uint32_t service; /* index in the configuration; shifts only */
     uint32_t from;
     uint32_t to;
     uint32_t percent;
     uint32_t cap;
     uint32_t capacity;
     GwSlot *units;
-    int64_t level_milli; /* warm-up: units that may be out now */
+    int64_t level_milli; /* warm-up: thousandths of units that may be out */
     int64_t level_at_us;
 } GwCapState;
 
@@ -167,9 +171,9 @@
     uint32_t next_free;
     GwServiceState *service;
     GwBackendState *backend;
-    uint32_t slot;     /* GW_NONE under the policies without shares */
-    uint64_t lent;     /* SHIFT loan it came on */
-    uint64_t borrowed; /* SHIFT loan it went out on */
+    uint32_t slot;          /* GW_NONE under policies without slot shares */
+    uint64_t lent_loan;     /* SHIFT loan the call was relayed on; 0 none */
+    uint64_t borrowed_loan; /* SHIFT loan the call was sent on; 0 none */
     uint32_t borrowed_bit;
     uint64_t link; /* owner of the link unit; 0 none */
     uint32_t link_unit;
@@ -188,14 +192,14 @@
     bool synced;
     bool fenced;
     bool leaving;
-    bool came_free;
-    int64_t unblock_us; /* next end of a block; 0 none */
+    bool has_freed_units;
+    int64_t unblock_us; /* last end of a blocked unit; 0 none */
     uint64_t seq_base;
     uint64_t seq;
     uint64_t loan_seq;
-    uint32_t entries;    /* alive in the region, this one included */
+    uint32_t entries;    /* live entries of the region, including this one */
     GHashTable *by_id;   /* uint64 id -> GwBackendState */
-    GPtrArray *services; /* GwServiceState, never freed before the end */
+    GPtrArray *services; /* GwServiceState, kept until GwSteer_Free() */
     GwServiceState *by_index[GW_MAX_SERVICES];
     GArray *lent;      /* GwLent */
     GArray *borrowed;  /* GwBorrowed */
@@ -203,7 +207,7 @@
     GPtrArray *links;  /* GwCapState */
     uint32_t use_count;
     uint32_t use_capacity;
-    uint32_t use_free; /* head of the list of free ones */
+    uint32_t use_free; /* head of the free list */
     uint32_t use_active;
     GwUse *uses;
 };
@@ -211,20 +215,20 @@
 /* backends.c */
 bool GwBackend_IsDraining(const GwBackendState *b, int64_t now_us);
 bool GwBackend_IsEjected(const GwBackendState *b, int64_t now_us);
-bool GwBackend_TakesWork(const GwBackendState *b, int64_t now_us);
-uint32_t GwBackend_Weight(const GwBackendState *b, int64_t now_us);
-uint64_t GwBackend_Load(const GwBackendState *b, int64_t now_us);
-void GwBackend_Succeeded(GwBackendState *b, int64_t now_us,
-                         int64_t latency_us);
-void GwBackend_Failed(GwBackendState *b, int64_t now_us, GwRng *rng);
-void GwBackend_Reported(GwBackendState *b, int64_t now_us, uint32_t load);
-void GwBackend_Drained(GwBackendState *b, int64_t until_us);
-void GwBackend_Shed(GwBackendState *b, int64_t now_us,
-                    uint32_t retry_after_ms);
+bool GwBackend_IsAvailable(const GwBackendState *b, int64_t now_us);
+uint32_t GwBackend_SlowStartWeight(const GwBackendState *b, int64_t now_us);
+uint64_t GwBackend_EstimateLoad(const GwBackendState *b, int64_t now_us);
+void GwBackend_RecordSuccess(GwBackendState *b, int64_t now_us,
+                             int64_t latency_us);
+void GwBackend_RecordFailure(GwBackendState *b, int64_t now_us, GwRng *rng);
+void GwBackend_RecordLoad(GwBackendState *b, int64_t now_us, uint32_t load);
+void GwBackend_RecordDrain(GwBackendState *b, int64_t until_us);
+void GwBackend_RecordShed(GwBackendState *b, int64_t now_us,
+                          uint32_t retry_after_ms);
 bool GwBackend_Tick(GwBackendState *b, int64_t now_us);
-void GwBackend_Ended(GwBackendState *b, int64_t now_us, int64_t latency_us,
-                     const GwAttemptEvent *end, int64_t drain_ttl_us,
-                     GwRng *rng);
+void GwBackend_RecordEnd(GwBackendState *b, int64_t now_us, int64_t latency_us,
+                         const GwAttemptEvent *end, int64_t drain_ttl_us,
+                         GwRng *rng);
 
 /* configure.c */
 void GwSteer_RefreshAll(GwSteer *s, int64_t now_us);
@@ -234,51 +238,54 @@
 void GwBackend_RefreshSlot(GwBackendState *b, uint32_t slot, int64_t now_us);
 void GwBackend_RefreshAll(GwBackendState *b, int64_t now_us);
 uint32_t GwBackend_FindSlot(const GwBackendState *b, int64_t deadline_us);
-GwBackendState *GwSteer_Backend(const GwSteer *s, uint64_t id);
-GwServiceState *GwSteer_ServiceOf(const GwSteer *s, uint64_t hash);
-GwUse *GwSteer_Take(GwSteer *s, int64_t now_us, GwServiceState *service,
-                    uint32_t *handle);
+GwBackendState *GwSteer_FindBackend(const GwSteer *s, uint64_t id);
+GwServiceState *GwSteer_FindService(const GwSteer *s, uint64_t hash);
+GwUse *GwSteer_BeginUse(GwSteer *s, int64_t now_us, GwServiceState *service,
+                        uint32_t *handle);
 GwUse *GwSteer_FindUse(GwSteer *s, uint32_t handle);
-void GwSteer_Release(GwSteer *s, int64_t now_us, GwUse *use);
-bool GwSteer_ReleaseHeld(GwSteer *s, int64_t now_us);
+void GwSteer_EndUse(GwSteer *s, int64_t now_us, GwUse *use);
+bool GwSteer_EndHeldUses(GwSteer *s, int64_t now_us);
 
 /* choose.c */
-GwBackendState *GwSteer_Choose(GwSteer *s, int64_t now_us,
-                               GwServiceState *service, const GwPickAsk *ask);
-void GwSteer_Subset(GwSteer *s, GwServiceState *service);
+GwBackendState *GwSteer_ChooseBackend(GwSteer *s, int64_t now_us,
+                                      GwServiceState *service,
+                                      const GwPickAsk *ask);
+void GwSteer_SelectSubset(GwSteer *s, GwServiceState *service);
 bool GwService_AllDraining(const GwServiceState *service, int64_t now_us);
 bool GwService_HasSlots(const GwServiceState *service);
-bool GwService_TakesWork(const GwServiceState *service, int64_t now_us);
+bool GwService_HasAvailable(const GwServiceState *service, int64_t now_us);
 
 /* loans.c */
-uint32_t GwSteer_Lendable(const GwSteer *s, int64_t now_us,
-                          const GwServiceState *service, uint32_t queued);
-uint32_t GwSteer_Grantable(const GwSteer *s, int64_t now_us,
-                           const GwServiceState *service, uint32_t queued);
+uint32_t GwSteer_CountLendable(const GwSteer *s, int64_t now_us,
+                               const GwServiceState *service, uint32_t queued);
+uint32_t GwSteer_CountGrantable(const GwSteer *s, int64_t now_us,
+                                const GwServiceState *service,
+                                uint32_t queued);
 GwLent *GwSteer_FindLent(const GwSteer *s, uint64_t loan);
 GwBorrowed *GwSteer_FindBorrowed(const GwSteer *s, uint64_t loan);
 bool GwSteer_SendAsk(GwSteer *s, int64_t now_us, const GwMembers *members,
-                     GwAsking *asking, uint32_t regions, GwLoanAsk *ask,
+                     GwAskState *asking, uint32_t regions, GwLoanAsk *ask,
                      GwActions *out);
 GwMessage *GwSteer_SendTo(GwSteer *s, const GwMembers *members, GwNodeId to,
                           GwMessageKind kind, GwActions *out);
 void GwSteer_SendGive(GwSteer *s, const GwMembers *members,
                       const GwLoanAsk *ask, const GwLent *lent,
                       GwActions *out);
-int64_t GwSteer_LentUntil(const GwSteer *s, int64_t now_us);
+int64_t GwSteer_LoanExpiry(const GwSteer *s, int64_t now_us);
 uint64_t GwSteer_NextLoan(GwSteer *s);
 void GwSteer_ExpireLent(GwSteer *s, int64_t now_us);
-void GwSteer_LoansTick(GwSteer *s, int64_t now_us, const GwMembers *members,
+void GwSteer_TickLoans(GwSteer *s, int64_t now_us, const GwMembers *members,
                        const uint32_t *queued, GwActions *out);
 void GwSteer_AskForSlots(GwSteer *s, int64_t now_us, const GwMembers *members,
                          const uint32_t *queued, GwActions *out);
-void GwSteer_LoanAsked(GwSteer *s, int64_t now_us, const GwMessage *msg,
-                       const GwMembers *members, const uint32_t *queued,
-                       GwActions *out);
-bool GwSteer_LoanGiven(GwSteer *s, int64_t now_us, const GwMessage *msg,
-                       const GwMembers *members, GwActions *out);
-bool GwSteer_LoanReturned(GwSteer *s, int64_t now_us, const GwMessage *msg);
-void GwSteer_DropBorrowed(GwSteer *s, int64_t now_us);
+void GwSteer_ReceiveLoanAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
+                            const GwMembers *members, const uint32_t *queued,
+                            GwActions *out);
+bool GwSteer_ReceiveLoanGive(GwSteer *s, int64_t now_us, const GwMessage *msg,
+                             const GwMembers *members, GwActions *out);
+bool GwSteer_ReceiveLoanReturn(GwSteer *s, int64_t now_us,
+                               const GwMessage *msg);
+void GwSteer_DropAllLoans(GwSteer *s, int64_t now_us);
 void GwSteer_DropLoan(GwSteer *s, int64_t now_us, uint64_t loan);
 void GwSteer_ReturnIdle(GwSteer *s, int64_t now_us, const GwMembers *members,
                         const uint32_t *queued, GwActions *out);
@@ -286,7 +293,7 @@
                     uint32_t region_hash);
 void GwService_NoteWait(GwServiceState *service, const GwPickAsk *ask,
                         const GwPick *out);
-uint32_t GwSteer_FreeUnits(const GwServiceState *service, int64_t now_us);
+uint32_t GwSteer_CountFreeUnits(const GwServiceState *service, int64_t now_us);
 
 /* grants.c */
 uint64_t GwShift_Owner(const GwConfig *c, const GwShift *shift);
@@ -301,11 +308,11 @@
 bool GwSteer_PickPeer(GwSteer *s, int64_t now_us, GwServiceState *service,
                       const GwPickAsk *ask, const GwMembers *members,
                       GwPick *out);
-bool GwSteer_DrawsPercent(GwSteer *s, uint32_t service);
-void GwSteer_GrantsTick(GwSteer *s, int64_t now_us, const GwMembers *members,
+bool GwSteer_DrawShift(GwSteer *s, uint32_t service);
+void GwSteer_TickGrants(GwSteer *s, int64_t now_us, const GwMembers *members,
                         const uint32_t *queued, GwActions *out);
-void GwSteer_GrantAsked(GwSteer *s, int64_t now_us, const GwMessage *msg,
-                        const GwMembers *members, const uint32_t *queued,
-                        GwActions *out);
+void GwSteer_ReceiveGrantAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
+                             const GwMembers *members, const uint32_t *queued,
+                             GwActions *out);
 
 #endif
--- a/lib/steer/units.c
+++ b/lib/steer/units.c
@@ -1,6 +1,6 @@
-/* Slot units and uses: who may use a unit, and from when to when it is in
- * use. Each server keeps a bitmap of its free units, so that a choice reads a
- * counter per server and never scans units. */
+/* Slot units and uses: which entry may use a unit, and when it is in use.
+ * Each server keeps a bitmap of its free units, so that a choice reads one
+ * counter per server instead of scanning units. */
 #include "steer/steer_internal.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 #define USE_INDEX_MASK ((1u << USE_INDEX_BITS) - 1)
 
 /* Grows the records to `slots`. Records beyond a lowered count are kept:
- * calls on them run out, and loans of them are counted to their end. */
+ * calls on them finish, and loans of them are counted until they expire. */
 void
 GwBackend_Resize(GwBackendState *b, uint32_t slots)
 {
@@ -38,8 +38,8 @@
     }
 }
 
-/* Brings the free bits of one unit in line with its record. A unit is free
- * only when it runs no call, is not out on loan and lies below the cap. */
+/* Recomputes the free bits of one unit. A unit is free only when it runs no
+ * call, is not lent and its index is below the slot count. */
 void
 GwBackend_RefreshSlot(GwBackendState *b, uint32_t slot, int64_t now_us)
 {
@@ -48,18 +48,19 @@
 
 #if GW_MUTANT == 20 /* breaks: a lent unit is not used by its lender */
 #else
-    idle = idle && u->lent == 0;
+    idle = idle && u->lent_loan == 0;
 #endif
 #if GW_MUTANT == 21 /* breaks: units above a lowered cap take no new work */
-    idle = !u->in_use && u->lent == 0;
+    idle = !u->in_use && u->lent_loan == 0;
 #endif
-    bool own = idle && u->own && u->blocked_until_us <= now_us;
+    bool own = idle && u->is_own && u->blocked_until_us <= now_us;
     set_bit(b->own_free, slot, own, &b->own_free_count);
-    set_bit(b->borrowed_free, slot, idle && !own && u->borrowed != 0,
+    set_bit(b->borrowed_free, slot, idle && !own && u->borrowed_loan != 0,
             &b->borrowed_free_count);
 }
 
-/* After a change of holding, of the configuration or of blocks. */
+/* Recomputes the free bits of all units, after a change of seat holders, of
+ * the configuration or of blocks. */
 void
 GwBackend_RefreshAll(GwBackendState *b, int64_t now_us)
 {
@@ -68,9 +69,10 @@
     }
 }
 
-/* A free unit for a call of that deadline, or GW_NONE. Own units go first, so
- * that borrowed ones fall idle and are returned. A borrowed unit carries a
- * call only if the call is over before the loan is. */
+/* A free unit for a call with that deadline, or GW_NONE. Own units are used
+ * first, so that borrowed ones become idle and are returned. A borrowed
+ * unit is used only for a call whose deadline is before the end of the
+ * loan. */
 uint32_t
 GwBackend_FindSlot(const GwBackendState *b, int64_t deadline_us)
 {
@@ -97,16 +99,16 @@
     return GW_NONE;
 }
 
-/* The state of a server known by id, also of one that left the
- * configuration while something of it runs; or NULL. */
+/* The state of a server by id, or NULL. A removed server is found until its
+ * state is freed. */
 GwBackendState *
-GwSteer_Backend(const GwSteer *s, uint64_t id)
+GwSteer_FindBackend(const GwSteer *s, uint64_t id)
 {
     return g_hash_table_lookup(s->by_id, &id);
 }
 
 GwServiceState *
-GwSteer_ServiceOf(const GwSteer *s, uint64_t hash)
+GwSteer_FindService(const GwSteer *s, uint64_t hash)
 {
     for (guint i = 0; i < s->services->len; i++) {
         GwServiceState *service = g_ptr_array_index(s->services, i);
@@ -131,11 +133,12 @@
     }
 }
 
-/* A new use with its handle, never 0. The handle carries a generation, so
- * that a second Done of one use finds nothing. */
+/* Starts a use and returns it with its handle, never 0. The handle contains
+ * a generation, so that a second GwSteer_Done() for the same use has no
+ * effect. */
 GwUse *
-GwSteer_Take(GwSteer *s, int64_t now_us, GwServiceState *service,
-             uint32_t *handle)
+GwSteer_BeginUse(GwSteer *s, int64_t now_us, GwServiceState *service,
+                 uint32_t *handle)
 {
     if (s->use_free == GW_NONE) {
         grow_uses(s);
@@ -159,7 +162,7 @@
     return use;
 }
 
-/* The use in flight under a handle; NULL when it ended or is held. */
+/* The active use of a handle; NULL when it has ended or is held. */
 GwUse *
 GwSteer_FindUse(GwSteer *s, uint32_t handle)
 {
@@ -193,8 +196,8 @@
     GwSlot *unit = &use->backend->slots[use->slot];
 
     unit->in_use = false;
-    if (unit->borrowed != 0) {
-        GwBorrowed *b = GwSteer_FindBorrowed(s, unit->borrowed);
+    if (unit->borrowed_loan != 0) {
+        GwBorrowed *b = GwSteer_FindBorrowed(s, unit->borrowed_loan);
         if (b != NULL) {
             b->used_us = now_us;
         }
@@ -202,20 +205,22 @@
     GwBackend_RefreshSlot(use->backend, use->slot, now_us);
 }
 
-/* Gives back all that a use holds. */
+/* Frees everything that a use occupies. */
 void
-GwSteer_Release(GwSteer *s, int64_t now_us, GwUse *use)
+GwSteer_EndUse(GwSteer *s, int64_t now_us, GwUse *use)
 {
     if (use->backend != NULL) {
         use->backend->in_flight--;
         release_slot(s, now_us, use);
     }
-    GwLent *lent = use->lent != 0 ? GwSteer_FindLent(s, use->lent) : NULL;
+    GwLent *lent =
+        use->lent_loan != 0 ? GwSteer_FindLent(s, use->lent_loan) : NULL;
     if (lent != NULL) {
         lent->in_flight--;
     }
-    GwBorrowed *borrowed =
-        use->borrowed != 0 ? GwSteer_FindBorrowed(s, use->borrowed) : NULL;
+    GwBorrowed *borrowed = use->borrowed_loan != 0
+                               ? GwSteer_FindBorrowed(s, use->borrowed_loan)
+                               : NULL;
     if (borrowed != NULL) {
         borrowed->busy &= ~(1u << use->borrowed_bit);
         borrowed->used_us = now_us;
@@ -232,16 +237,16 @@
     s->use_active--;
 }
 
-/* Ends the holds that have run out; true when any did. */
+/* Ends the held uses whose time is over; true if any did. */
 bool
-GwSteer_ReleaseHeld(GwSteer *s, int64_t now_us)
+GwSteer_EndHeldUses(GwSteer *s, int64_t now_us)
 {
     bool any = false;
 
     for (uint32_t i = 0; s->use_active > 0 && i < s->use_capacity; i++) {
         GwUse *use = &s->uses[i];
         if (use->active && use->held && use->hold_until_us <= now_us) {
-            GwSteer_Release(s, now_us, use);
+            GwSteer_EndUse(s, now_us, use);
             any = true;
         }
     }
--- a/tests/property/steer_cases.cpp
+++ b/tests/property/steer_cases.cpp
@@ -266,10 +266,10 @@
     for (const auto &c : cases) {
         Entry e(World_config(3, 0, 0, false, 2));
         for (uint32_t i = 0; i < 2; i++) {
-            GwBackendState *b = GwSteer_Backend(e.steer, 1000 + i);
-            GwBackend_Succeeded(b, e.now_us, GW_MS(c.latency_ms[i]));
+            GwBackendState *b = GwSteer_FindBackend(e.steer, 1000 + i);
+            GwBackend_RecordSuccess(b, e.now_us, GW_MS(c.latency_ms[i]));
             if (c.report[i] >= 0) {
-                GwBackend_Reported(b, e.now_us, (uint32_t)c.report[i]);
+                GwBackend_RecordLoad(b, e.now_us, (uint32_t)c.report[i]);
             }
         }
         e.tick(GW_MS(c.age_ms));
--- a/tests/property/steer_units.cpp
+++ b/tests/property/steer_units.cpp
@@ -58,7 +58,7 @@
     GwSeats_s seats;
     bool paused = false;
     int64_t paused_us = 0;
-    int64_t beat_us = 0;
+    int64_t last_event_us = 0;
     uint32_t version = 0;
     int64_t unfence_us = 0;
     std::vector<int64_t> waiting; /* deadlines */
@@ -157,7 +157,7 @@
         n.seats.fenced = false;
         n.seats.parting = {};
         n.seats.epoch++;
-        n.beat_us = now_us;
+        n.last_event_us = now_us;
         GwSteer_Configure(n.steer, now_us, &configs[n.version].config);
         members.all.clear();
         for (uint32_t j = 0; j < NODES; j++) {
@@ -179,12 +179,12 @@
     beat(uint32_t i)
     {
         Node &n = nodes[i];
-        if (now_us - n.beat_us > GW_MS(500) && !n.seats.fenced) {
+        if (now_us - n.last_event_us > GW_MS(500) && !n.seats.fenced) {
             n.seats.fenced = true;
             n.seats.epoch++;
             n.unfence_us = now_us + GW_MS(200);
         }
-        n.beat_us = now_us;
+        n.last_event_us = now_us;
     }
 
     bool
@@ -223,7 +223,7 @@
     {
         GwSteer *s = nodes[i].steer;
         const GwUse *use = GwSteer_FindUse(s, out.use);
-        const GwBorrowed *loan = GwSteer_FindBorrowed(s, use->borrowed);
+        const GwBorrowed *loan = GwSteer_FindBorrowed(s, use->borrowed_loan);
         const GwUnit &unit = loan->units[use->borrowed_bit];
         uint32_t to = (uint32_t)out.peer.node - 1;
         RC_ASSERT(unit.index < configs[nodes[i].version].shifts[0].cap);
--- a/tests/unit/test_steer_backends.c
+++ b/tests/unit/test_steer_backends.c
@@ -25,8 +25,8 @@
                             .in_flight = cases[i].in_flight,
                             .has_load = cases[i].has_load,
                             .load = cases[i].load};
-        cr_expect_eq(GwBackend_Load(&b, cases[i].age_us), cases[i].expected,
-                     "%s", cases[i].name);
+        cr_expect_eq(GwBackend_EstimateLoad(&b, cases[i].age_us),
+                     cases[i].expected, "%s", cases[i].name);
     }
 }
 
@@ -39,7 +39,7 @@
 
     for (uint32_t round = 0; round < 8; round++) {
         while (!GwBackend_IsEjected(&b, now_us)) {
-            GwBackend_Failed(&b, now_us, &rng);
+            GwBackend_RecordFailure(&b, now_us, &rng);
         }
         int64_t span_us = b.ejected_until_us - now_us;
         cr_expect(span_us <= GW_EJECT_MAX_US * 5 / 4);
@@ -47,11 +47,11 @@
         last_us = span_us;
         now_us = b.ejected_until_us;
         cr_expect(GwBackend_Tick(&b, now_us));
-        cr_expect_eq(GwBackend_Weight(&b, now_us), GW_WEIGHT_MIN);
+        cr_expect_eq(GwBackend_SlowStartWeight(&b, now_us), GW_WEIGHT_MIN);
     }
-    GwBackend_Succeeded(&b, now_us, 1000);
+    GwBackend_RecordSuccess(&b, now_us, 1000);
     cr_expect_eq(b.failures, 0);
-    cr_expect_eq(GwBackend_Weight(&b, now_us + GW_SLOW_START_US),
+    cr_expect_eq(GwBackend_SlowStartWeight(&b, now_us + GW_SLOW_START_US),
                  GW_WEIGHT_FULL);
 }
 
@@ -91,12 +91,12 @@
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         GwBackendState b = {.slot_count = 4};
         GwRng rng = GwRng_Make(1);
-        GwBackend_Ended(&b, 1000, 500, &cases[i].end, GW_MS(2000), &rng);
+        GwBackend_RecordEnd(&b, 1000, 500, &cases[i].end, GW_MS(2000), &rng);
         cr_expect_eq(b.failures, cases[i].failures, "%s", cases[i].name);
-        cr_expect_eq(GwBackend_TakesWork(&b, 1000), cases[i].takes_work, "%s",
-                     cases[i].name);
+        cr_expect_eq(GwBackend_IsAvailable(&b, 1000), cases[i].takes_work,
+                     "%s", cases[i].name);
         /* A drain that was seen does not lapse by itself; all else does. */
-        cr_expect_eq(GwBackend_TakesWork(&b, 1000 + GW_MS(2000)),
+        cr_expect_eq(GwBackend_IsAvailable(&b, 1000 + GW_MS(2000)),
                      !cases[i].end.draining, "%s", cases[i].name);
     }
 }
@@ -116,9 +116,9 @@
 
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         GwBackendState b = {.slot_count = 4};
-        GwBackend_Drained(&b, GW_MS(2000));
-        b.open_at_us = GW_MS(cases[i].open_at_ms);
-        cr_expect_eq(GwBackend_TakesWork(&b, GW_MS(cases[i].now_ms)),
+        GwBackend_RecordDrain(&b, GW_MS(2000));
+        b.reported_open_us = GW_MS(cases[i].open_at_ms);
+        cr_expect_eq(GwBackend_IsAvailable(&b, GW_MS(cases[i].now_ms)),
                      cases[i].takes_work, "case %zu", i);
     }
 }
