--- a/tests/property/seats.cpp
+++ b/tests/property/seats.cpp
@@ -1,9 +1,10 @@
-// Seats under faults: several processes of one region, one table. Answers get
-// lost and come late, writes take effect long after they were given up,
-// processes are paused for longer than the hold-off, die, restart and leave;
-// the list lacks live ones and peers are silent; offers of seats are lost,
-// doubled and late. Never may two processes that take steps find the same seat
-// usable. A paused process takes no steps; on waking it ticks first.
+// Seats under faults: several processes of one region share a table. Replies
+// are lost or late, writes take effect long after their timeout, processes are
+// paused for longer than the hold-off, crash, restart and stop; the instance
+// list lacks live processes and peers are unreachable; offers of seats are
+// lost, duplicated and late. At no time may two running processes find the
+// same seat usable. A paused process does nothing; when it resumes, it ticks
+// first.
 #include "c_api.hpp"
 
 #include <rapidcheck.h>
@@ -20,19 +21,20 @@
 constexpr int64_t kMs = 1000;
 constexpr int64_t kSecond = 1000 * kMs;
 
-// One of three faults that only together may overtake a live holder is left
-// out, in turn: see docs/DESIGN.md.
-enum class Spared { kList, kTable };
+// A live holder may lose its seat only if the instance list is wrong, peers do
+// not reach it, and it does not reach the table, all at once. Each plan
+// excludes one of these: a wrong list, or a table out of reach.
+enum class Excluded { kList, kTable };
 
 struct Plan {
     uint64_t seed;
     uint32_t processes;
     uint32_t seats;
     uint32_t loss_percent;
-    uint32_t pauses_percent; // chance of a pause, per process and second
-    uint32_t churn_percent;  // chance of death, restart or leaving
+    uint32_t pauses_percent; // chance of a pause per process and second
+    uint32_t churn_percent;  // chance of a crash, restart or stop
     uint32_t late_percent;
-    Spared spared;
+    Excluded excluded;
 };
 
 void
@@ -42,7 +44,7 @@
        << " seats=" << p.seats << " loss=" << p.loss_percent
        << " pauses=" << p.pauses_percent << " churn=" << p.churn_percent
        << " late=" << p.late_percent
-       << " spared=" << (p.spared == Spared::kList ? "list" : "table");
+       << " excluded=" << (p.excluded == Excluded::kList ? "list" : "table");
 }
 
 struct Process {
@@ -54,7 +56,7 @@
     bool leaving = false;
     bool table_cut = false;
     int64_t wake_us = 0;
-    int64_t read_us = 0; // last reading answered
+    int64_t read_us = 0; // last read that was answered
     std::map<uint32_t, int64_t> release_us;
 };
 
@@ -63,7 +65,7 @@
     uint64_t order;
     uint32_t process;
     uint64_t start;
-    std::shared_ptr<GwTableRequest> request; // to be carried out
+    std::shared_ptr<GwTableRequest> request; // to be executed
     std::shared_ptr<GwTableReply> reply;     // to be delivered
     std::shared_ptr<GwMessage> message;
     bool
@@ -84,7 +86,7 @@
             start(i, 1);
         }
         for (auto &p : processes_) {
-            see(p);
+            setView(p);
         }
     }
     ~Model()
@@ -99,7 +101,8 @@
     Model(const Model &) = delete;
     Model &operator=(const Model &) = delete;
 
-    // Runs under faults; false at the first seat that two may use.
+    // Runs for a time, with or without faults; false once two processes may
+    // use one seat.
     bool
     run(int64_t for_us, bool faults)
     {
@@ -112,16 +115,16 @@
                 step(i);
             }
             if (now_us_ % kSecond == 0) {
-                disturb();
+                injectFaults();
             }
         }
         return ok_;
     }
 
-    // Ends all faults: who is paused wakes, who died stays dead and is out of
-    // the list.
+    // Ends all faults: paused processes resume, crashed ones stay down and
+    // are not in the list.
     void
-    calm()
+    endFaults()
     {
         faults_ = false;
         for (auto &p : processes_) {
@@ -129,20 +132,20 @@
             p.wake_us = 0;
         }
         for (auto &p : processes_) {
-            see(p);
+            setView(p);
         }
     }
 
-    // Each seat has exactly one user.
+    // Whether each seat has exactly one user.
     bool
-    allUsed() const
+    everySeatHasOneUser() const
     {
         uint32_t live = 0;
         for (const auto &p : processes_) {
             live += p.up && !p.leaving ? 1 : 0;
         }
         for (uint32_t seat = 0; seat < plan_.seats && live > 0; seat++) {
-            if (users(seat) != 1) {
+            if (countUsers(seat) != 1) {
                 return false;
             }
         }
@@ -150,9 +153,9 @@
     }
 
     std::string
-    told() const
+    failure() const
     {
-        return told_;
+        return failure_;
     }
 
   private:
@@ -185,14 +188,15 @@
         GwSeats_Configure(p.seats, plan_.seats);
     }
 
-    // Gives a process a view of the members and of the list. Under faults, and
-    // when the list may be wrong, live ones are left out of both.
+    // Sets the members and the list as seen by a process. Under faults, live
+    // processes may be missing from the members, and from the list where the
+    // plan allows a wrong list.
     void
-    see(Process &viewer)
+    setView(Process &viewer)
     {
         GwCargo cargo{};
         std::vector<GwListed> listed;
-        bool wrong = faults_ && plan_.spared == Spared::kTable;
+        bool wrong = faults_ && plan_.excluded == Excluded::kTable;
         GwMembers_Free(viewer.members);
         viewer.members = GwMembers_Create(&viewer.params);
         for (auto &p : processes_) {
@@ -205,7 +209,7 @@
                 listed.push_back(item);
             }
             if (&p != &viewer && !(faults_ && chance(40))) {
-                introduce(viewer, p, cargo);
+                addMember(viewer, p, cargo);
             }
         }
         GwListEvent list{static_cast<uint32_t>(listed.size()), listed.data()};
@@ -214,7 +218,7 @@
     }
 
     void
-    introduce(Process &viewer, const Process &p, const GwCargo &cargo)
+    addMember(Process &viewer, const Process &p, const GwCargo &cargo)
     {
         GwMessage *msg = GwMessage_Create(GW_MSG_ACK, p.params.id);
         GwMemberInfo info{};
@@ -245,9 +249,9 @@
                    : base;
     }
 
-    // Pauses, deaths, restarts, leaves, cut-offs and changes of view.
+    // Pauses, crashes, restarts, stops, table outages and changes of view.
     void
-    disturb()
+    injectFaults()
     {
         for (uint32_t i = 0; i < processes_.size(); i++) {
             Process &p = processes_[i];
@@ -258,7 +262,7 @@
                 continue;
             }
             if (chance(30)) {
-                see(p);
+                setView(p);
             }
             if (!faults_) {
                 continue;
@@ -276,7 +280,7 @@
                 p.leaving = true;
                 GwSeats_Leave(p.seats, now_us_);
             }
-            if (plan_.spared == Spared::kList && chance(10)) {
+            if (plan_.excluded == Excluded::kList && chance(10)) {
                 p.table_cut = !p.table_cut;
             }
         }
@@ -293,7 +297,7 @@
             return;
         }
         GwSeats_Tick(p.seats, now_us_, p.members, &out_);
-        carryOut(i);
+        runActions(i);
         for (uint32_t seat = 0; seat < plan_.seats; seat++) {
             if (!GwSeats_IsParting(p.seats, seat)) {
                 p.release_us.erase(seat);
@@ -303,7 +307,7 @@
                 seat, now_us_ + GwRng_Jitter(&rng_, 0, 3 * kSecond));
             if (!added && now_us_ >= it->second) {
                 GwSeats_Release(p.seats, now_us_, seat, p.members, &out_);
-                carryOut(i);
+                runActions(i);
             }
         }
         if (p.leaving && GwSeats_HeldCount(p.seats) == 0) {
@@ -312,7 +316,7 @@
     }
 
     uint32_t
-    users(uint32_t seat) const
+    countUsers(uint32_t seat) const
     {
         uint32_t count = 0;
         for (const auto &p : processes_) {
@@ -325,12 +329,12 @@
     check(uint32_t i)
     {
         for (uint32_t seat = 0; seat < plan_.seats; seat++) {
-            if (users(seat) > 1) {
+            if (countUsers(seat) > 1) {
                 ok_ = false;
-                told_ = "seat " + std::to_string(seat) +
-                        " has two users after a step of process " +
-                        std::to_string(i) + " at " +
-                        std::to_string(now_us_ / kMs) + " ms";
+                failure_ = "seat " + std::to_string(seat) +
+                           " has two users after a step of process " +
+                           std::to_string(i) + " at " +
+                           std::to_string(now_us_ / kMs) + " ms";
             }
         }
     }
@@ -343,11 +347,11 @@
     }
 
     bool
-    loses(const Process &p, GwTableOp op)
+    isLost(const Process &p, GwTableOp op)
     {
-        // The holder reads its rows within the hold-off, unless the list is
-        // the fault that is spared.
-        bool must_read = plan_.spared == Spared::kTable &&
+        // Where the table stays reachable, a holder reads its rows within
+        // the hold-off.
+        bool must_read = plan_.excluded == Excluded::kTable &&
                          op == GW_TABLE_LIST &&
                          now_us_ - p.read_us > 5 * kSecond;
         return faults_ && !must_read &&
@@ -355,7 +359,7 @@
     }
 
     void
-    carryOut(uint32_t i)
+    runActions(uint32_t i)
     {
         for (uint32_t k = 0; k < out_.count; k++) {
             GwAction *action = &out_.items[k];
@@ -396,16 +400,16 @@
         g_free(request);
     }
 
-    // A lost request never arrives; one that is late arrives long after it
-    // was given up.
+    // A lost request never arrives, or takes effect without a reply; a late
+    // one may arrive long after its timeout.
     void
     sendRequest(Event event)
     {
         Process &p = processes_[event.process];
-        bool must = plan_.spared == Spared::kTable &&
-                    event.request->op == GW_TABLE_LIST &&
-                    now_us_ - p.read_us > 5 * kSecond;
-        if (loses(p, event.request->op)) {
+        bool must_read = plan_.excluded == Excluded::kTable &&
+                         event.request->op == GW_TABLE_LIST &&
+                         now_us_ - p.read_us > 5 * kSecond;
+        if (isLost(p, event.request->op)) {
             Event lost = event;
             lost.reply.reset(GwFakeTable_Lost(event.request.get()),
                              GwFakeTable_FreeReply);
@@ -415,9 +419,9 @@
             if (chance(50)) {
                 return;
             }
-            event.start = UINT64_MAX; // takes effect, its answer is lost
+            event.start = UINT64_MAX; // takes effect, its reply is lost
         }
-        event.at_us = now_us_ + (must ? 5 * kMs : delay());
+        event.at_us = now_us_ + (must_read ? 5 * kMs : delay());
         push(event);
     }
 
@@ -428,7 +432,7 @@
             Event event = events_.top();
             events_.pop();
             if (event.request) {
-                apply(event);
+                execute(event);
                 continue;
             }
             Process &p = processes_[event.process];
@@ -453,12 +457,12 @@
                 GwSeats_Receive(p.seats, now_us_, event.message.get(),
                                 p.members, &out_);
             }
-            carryOut(event.process);
+            runActions(event.process);
         }
     }
 
     void
-    apply(Event event)
+    execute(Event event)
     {
         GwTableReply *reply = GwFakeTable_Do(table_, event.request.get());
         event.reply.reset(reply, GwFakeTable_FreeReply);
@@ -469,7 +473,7 @@
         event.request.reset();
         event.at_us =
             now_us_ +
-            (list && plan_.spared == Spared::kTable ? 5 * kMs : delay());
+            (list && plan_.excluded == Excluded::kTable ? 5 * kMs : delay());
         push(event);
     }
 
@@ -483,7 +487,7 @@
     uint64_t order_ = 0;
     bool faults_ = false;
     bool ok_ = true;
-    std::string told_;
+    std::string failure_;
 };
 
 rc::Gen<Plan>
@@ -497,8 +501,8 @@
         rc::gen::set(&Plan::pauses_percent, rc::gen::inRange<uint32_t>(0, 8)),
         rc::gen::set(&Plan::churn_percent, rc::gen::inRange<uint32_t>(0, 3)),
         rc::gen::set(&Plan::late_percent, rc::gen::inRange<uint32_t>(0, 30)),
-        rc::gen::set(&Plan::spared,
-                     rc::gen::element(Spared::kList, Spared::kTable)));
+        rc::gen::set(&Plan::excluded,
+                     rc::gen::element(Excluded::kList, Excluded::kTable)));
 }
 
 } // namespace
@@ -508,13 +512,14 @@
 {
     bool ok = rc::check("no seat has two users", [] {
         Plan plan = *rc::gen::noShrink(genPlan());
-        RC_TAG(plan.spared == Spared::kList ? "list right" : "table reached");
+        RC_TAG(plan.excluded == Excluded::kList ? "list correct"
+                                                : "table reachable");
         for (int run = 0; run < 8; run++) {
             plan.seed++;
             Model model(plan);
             model.run(8 * kSecond, false);
             if (!model.run(240 * kSecond, true)) {
-                RC_FAIL(model.told());
+                RC_FAIL(model.failure());
             }
         }
     });
@@ -522,12 +527,12 @@
         Plan plan = *rc::gen::noShrink(genPlan());
         Model model(plan);
         RC_ASSERT(model.run(100 * kSecond, true));
-        model.calm();
+        model.endFaults();
         bool safe = model.run(120 * kSecond, false);
         if (!safe) {
-            RC_FAIL(model.told());
+            RC_FAIL(model.failure());
         }
-        RC_ASSERT(model.allUsed());
+        RC_ASSERT(model.everySeatHasOneUser());
     });
     ok &= rc::check("units are spread evenly over the seats", [] {
         auto owner = *rc::gen::arbitrary<uint64_t>();
--- a/tests/property/seats_explore.cpp
+++ b/tests/property/seats_explore.cpp
@@ -1,14 +1,14 @@
-// Every course of events, up to a depth, of two processes and one seat: the
-// real GwSeats, all choices of the world enumerated. A unit of time is one
-// second. In each unit a process runs or is paused; a request is carried out
-// and answered, carried out with the answer held or lost, never carried out,
-// or kept on its way; an offer of the seat is delivered, lost or kept; process
-// 0 may leave. All but running and prompt answers counts as a fault, and all
-// courses of up to so many faults are gone through. Each process may hold the
-// other gone and unlisted, or there.
+// Explores every sequence of events, up to a depth, of two processes and one
+// seat. The code under test is the real GwSeats; its environment is
+// enumerated. A step of time is one second. In each step a process runs or is
+// paused; a request is executed and answered, executed with a delayed or lost
+// reply, never executed, or delayed; an offer of the seat is delivered, lost
+// or delayed; process 0 may stop. Everything but running and prompt replies
+// counts as a fault, and all sequences up to a number of faults are explored.
+// Each process sees the other as present, or as dead and unlisted.
 //
-// As in the design, the list, silence and the table don't all fail for a
-// running holder: one that runs reads its rows at least every other unit.
+// A wrong list, an unreachable holder and an unreachable table never coincide
+// for a running holder: it reads its rows at least every other step.
 #include "c_api.hpp"
 
 extern "C" {
@@ -25,8 +25,8 @@
 
 namespace {
 
-constexpr int64_t kUnit = 1000000;
-constexpr int64_t kCap = 12 * kUnit; // older is alike
+constexpr int64_t kStep = 1000000;
+constexpr int64_t kAgeMax = 12 * kStep; // greater ages are equivalent
 constexpr size_t kSize = offsetof(GwSeats, seats) + sizeof(GwSeat);
 constexpr int kWaitMax = 2;
 
@@ -37,12 +37,12 @@
     bool list;
     int waited;
     uint64_t token;
-    std::string value;    // written, or read
-    uint64_t version = 0; // expected, or read; or the new one
+    std::string value;    // written or read
+    uint64_t version = 0; // expected, read, or new
     GwTableStatus status = GW_TABLE_LOST;
 };
 
-struct Mail {
+struct Delivery {
     GwMessageKind kind;
     GwSeatHandover seat;
     int waited;
@@ -51,23 +51,23 @@
 struct State {
     std::vector<char> seats[2];
     std::vector<Item> items[2];
-    std::vector<Mail> mail[2]; // to that process
+    std::vector<Delivery> inbox[2]; // to this process
     bool paused[2] = {false, false};
     int64_t read_us[2] = {0, 0};
     bool leaving = false; // process 0
     std::string value;
     uint64_t version = 0;
-    int64_t now_us = kUnit;
+    int64_t now_us = kStep;
     int faults = 0; // so far
-    std::string trail;
+    std::string events;
 };
 
 class Explorer {
   public:
-    Explorer(bool gone0, bool gone1, int depth, int faults)
+    Explorer(bool dead0, bool dead1, int depth, int faults)
         : depth_(depth), faults_(faults)
     {
-        const bool gone[2] = {gone0, gone1};
+        const bool dead[2] = {dead0, dead1};
         for (int i = 0; i < 2; i++) {
             GwNodeParams &p = params_[i];
             p = GwNodeParams{};
@@ -82,7 +82,7 @@
             GwSeats_Configure(seats_[i], 1);
         }
         for (int i = 0; i < 2; i++) {
-            members_[i] = makeMembers(i, gone[i]);
+            members_[i] = makeMembers(i, dead[i]);
         }
     }
     ~Explorer()
@@ -96,8 +96,8 @@
     Explorer(const Explorer &) = delete;
     Explorer &operator=(const Explorer &) = delete;
 
-    // Goes on from where process 0 holds the seat, a unit at a time, until the
-    // depth, or two users.
+    // Explores from the state in which process 0 holds the seat, one step at
+    // a time, up to the depth or the first state with two users.
     void
     run()
     {
@@ -106,20 +106,20 @@
             const char *bytes = reinterpret_cast<const char *>(seats_[i]);
             s.seats[i].assign(bytes, bytes + kSize);
         }
-        while (s.now_us < 5 * kUnit) {
-            s.now_us += kUnit;
-            for (int i = 0; i < (s.now_us < 5 * kUnit ? 1 : 2); i++) {
+        while (s.now_us < 5 * kStep) {
+            s.now_us += kStep;
+            for (int i = 0; i < (s.now_us < 5 * kStep ? 1 : 2); i++) {
                 GwSeats_Tick(load(s, i), s.now_us, members_[i], &out_);
                 store(s, i);
                 while (!s.items[i].empty()) {
                     Item item = s.items[i].front();
                     s.items[i].erase(s.items[i].begin());
-                    apply(s, item);
+                    execute(s, item);
                     deliver(s, i, item);
                 }
             }
         }
-        reach(s);
+        addState(s);
         for (; done_ < depth_ && ok_ && !frontier_.empty(); done_++) {
             std::vector<State> level;
             level.swap(frontier_);
@@ -127,7 +127,7 @@
                 if (!ok_) {
                     return;
                 }
-                unit(state);
+                step(state);
             }
         }
     }
@@ -147,28 +147,28 @@
         return ok_;
     }
     std::string
-    trail() const
+    events() const
     {
-        return trail_;
+        return events_;
     }
     bool
-    used() const
+    hasUser() const
     {
-        return used_;
+        return has_user_;
     }
 
   private:
     GwMembers *
-    makeMembers(int i, bool gone)
+    makeMembers(int i, bool dead)
     {
         const GwNodeParams &other = params_[1 - i];
         GwMembers *m = GwMembers_Create(&params_[i]);
         GwCargo cargo{};
         GwListed item{};
         g_strlcpy(item.name, other.name, GW_NAME_MAX);
-        GwListEvent list{gone ? 0U : 1U, &item};
-        GwMembers_Listed(m, kUnit, &list, &out_);
-        if (!gone) {
+        GwListEvent list{dead ? 0U : 1U, &item};
+        GwMembers_Listed(m, kStep, &list, &out_);
+        if (!dead) {
             GwMessage *msg = GwMessage_Create(GW_MSG_ACK, other.id);
             GwMemberInfo &info = msg->u.heartbeat.updates[0];
             msg->u.heartbeat.update_count = 1;
@@ -176,7 +176,7 @@
             info.state = i == 1 ? GW_MEMBER_LEAVING : GW_MEMBER_ALIVE;
             info.region = GwName_Hash32("ogre");
             g_strlcpy(info.name, other.name, GW_NAME_MAX);
-            GwMembers_Receive(m, kUnit, msg, &cargo, &out_);
+            GwMembers_Receive(m, kStep, msg, &cargo, &out_);
             GwMessage_Free(msg);
         }
         GwActions_Clear(&out_);
@@ -191,7 +191,7 @@
         return seats_[i];
     }
 
-    // Copies the process back and takes over what it sent.
+    // Copies the process back into the state, with the messages it sent.
     void
     store(State &s, int i)
     {
@@ -210,8 +210,8 @@
             }
             else if (action.kind == GW_ACTION_SEND) {
                 const GwMessage *msg = action.u.send.message;
-                if (s.mail[1 - i].size() < 2) {
-                    s.mail[1 - i].push_back({msg->kind, msg->u.seat, 0});
+                if (s.inbox[1 - i].size() < 2) {
+                    s.inbox[1 - i].push_back({msg->kind, msg->u.seat, 0});
                 }
             }
         }
@@ -227,23 +227,23 @@
                 reinterpret_cast<const GwSeats *>(s.seats[i].data());
             users += !s.paused[i] && GwSeats_Usable(seats, 0);
         }
-        used_ = used_ || users > 0;
+        has_user_ = has_user_ || users > 0;
         if (users > 1) {
             ok_ = false;
-            trail_ = s.trail;
+            events_ = s.events;
         }
     }
 
     static int64_t
     age(const State &s, int64_t at_us)
     {
-        return at_us == 0 ? -1 : std::min(s.now_us - at_us, kCap);
+        return at_us == 0 ? -1 : std::min(s.now_us - at_us, kAgeMax);
     }
 
-    // The state without what makes no difference: times as ages, versions and
-    // claims as distances, tokens as what they match.
+    // A key of the state that is equal for equivalent states: times as ages,
+    // versions and claims as differences, tokens as the request they match.
     std::string
-    digest(const State &s) const
+    stateKey(const State &s) const
     {
         std::string d;
         auto add = [&d](int64_t v) {
@@ -315,21 +315,22 @@
                                                   : 3);
                 add(static_cast<int64_t>(item.version - s.version));
                 add(static_cast<int64_t>(std::hash<std::string>()(
-                    relative(item.value, table.claim))));
+                    relativeClaim(item.value, table.claim))));
             }
-            add(static_cast<int64_t>(s.mail[i].size()));
-            for (const Mail &mail : s.mail[i]) {
-                add(mail.kind | mail.waited << 8);
-                add(static_cast<int64_t>(mail.seat.claim - table.claim));
-                add(static_cast<int64_t>(mail.seat.row_version - s.version));
+            add(static_cast<int64_t>(s.inbox[i].size()));
+            for (const Delivery &delivery : s.inbox[i]) {
+                add(delivery.kind | delivery.waited << 8);
+                add(static_cast<int64_t>(delivery.seat.claim - table.claim));
+                add(static_cast<int64_t>(delivery.seat.row_version -
+                                         s.version));
             }
         }
         return d;
     }
 
-    // A row's text with its claim as a distance.
+    // A row's text with its claim as a difference.
     static std::string
-    relative(const std::string &value, uint64_t claim)
+    relativeClaim(const std::string &value, uint64_t claim)
     {
         if (value.empty()) {
             return value;
@@ -342,51 +343,51 @@
     }
 
     void
-    reach(const State &s)
+    addState(const State &s)
     {
-        if (seen_.insert(digest(s)).second) {
+        if (seen_.insert(stateKey(s)).second) {
             frontier_.push_back(s);
         }
     }
 
-    // One unit of time: first who runs, then each request, then each mail.
+    // One step of time: the ticks, then each request, then each message.
     void
-    unit(const State &s)
+    step(const State &s)
     {
         for (int choice = 0; choice < 4 && ok_; choice++) {
-            for (int leave = 0;
-                 leave < (s.leaving || (choice & 1) != 0 ? 1 : 2); leave++) {
+            for (int stops = 0;
+                 stops < (s.leaving || (choice & 1) != 0 ? 1 : 2); stops++) {
                 State next = s;
-                next.now_us += kUnit;
+                next.now_us += kStep;
                 for (int i = 0; i < 2; i++) {
                     next.paused[i] = (choice >> i & 1) != 0;
                     next.faults += next.paused[i] && !s.paused[i];
                 }
-                next.faults += leave;
-                next.trail += "\n" + std::to_string(next.now_us / kUnit) +
-                              (next.paused[0] ? " 0 paused" : "") +
-                              (next.paused[1] ? " 1 paused" : "") +
-                              (leave != 0 ? " 0 leaves" : "");
+                next.faults += stops;
+                next.events += "\n" + std::to_string(next.now_us / kStep) +
+                               (next.paused[0] ? " 0 paused" : "") +
+                               (next.paused[1] ? " 1 paused" : "") +
+                               (stops != 0 ? " 0 stops" : "");
                 if (next.faults > faults_) {
                     continue;
                 }
-                ticks(next, leave != 0);
-                requests(next, 0, 0);
+                tickAll(next, stops != 0);
+                processRequests(next, 0, 0);
             }
         }
     }
 
-    // Whoever wakes ticks before it does anything else, so both have ticked
-    // before anybody is asked what it may use.
+    // A process that resumes ticks before anything else, so both tick before
+    // the check of usable seats.
     void
-    ticks(State &s, bool leave)
+    tickAll(State &s, bool stops)
     {
         for (int i = 0; i < 2; i++) {
             if (s.paused[i]) {
                 continue;
             }
             GwSeats_Tick(load(s, i), s.now_us, members_[i], &out_);
-            if (i == 0 && leave) {
+            if (i == 0 && stops) {
                 GwSeats_Leave(seats_[i], s.now_us);
                 s.leaving = true;
             }
@@ -397,10 +398,10 @@
     }
 
     static void
-    apply(State &s, Item &item)
+    execute(State &s, Item &item)
     {
         item.stage = Stage::kAnswered;
-        s.trail += item.list ? "; read done" : "; write done";
+        s.events += item.list ? "; read done" : "; write done";
         item.waited = 0;
         item.status = GW_TABLE_DONE;
         if (item.list) {
@@ -433,18 +434,18 @@
         if (item.list && item.status == GW_TABLE_DONE) {
             s.read_us[i] = s.now_us;
         }
-        s.trail += "; " + std::to_string(i) +
-                   (item.list ? " reads " : " answered ") +
-                   std::to_string(item.status) + " v" +
-                   std::to_string(item.version) + " " + item.value;
+        s.events += "; " + std::to_string(i) +
+                    (item.list ? " reads " : " answered ") +
+                    std::to_string(item.status) + " v" +
+                    std::to_string(item.version) + " " + item.value;
         GwSeats_TableReply(load(s, i), s.now_us, &reply, members_[i], &out_);
         store(s, i);
         check(s);
     }
 
-    // A process that runs is told by its host that no answer came.
+    // The host of a running process reports that no reply came.
     void
-    lose(State &s, int i, Item item)
+    loseReply(State &s, int i, Item item)
     {
         item.status = GW_TABLE_LOST;
         if (!s.paused[i]) {
@@ -452,41 +453,41 @@
         }
     }
 
-    // A process that runs reads its rows at least every other unit.
+    // A running process reads its rows at least every other step.
     bool
     mustRead(const State &s, int i, const Item &item) const
     {
         return item.list && !s.paused[i] &&
-               s.now_us - s.read_us[i] >= 2 * kUnit;
+               s.now_us - s.read_us[i] >= 2 * kStep;
     }
 
-    // Item k of process i, and those after it.
+    // Request k of process i and the ones after it.
     void
-    requests(const State &s, int i, size_t k)
+    processRequests(const State &s, int i, size_t k)
     {
         if (!ok_) {
             return;
         }
         if (i == 2) {
-            mails(s, 0);
+            deliverMessages(s, 0);
             return;
         }
         if (k >= s.items[i].size()) {
-            requests(s, i + 1, 0);
+            processRequests(s, i + 1, 0);
             return;
         }
         const Item &item = s.items[i][k];
         bool must = mustRead(s, i, item);
         bool asked = item.stage == Stage::kAsked;
-        if (!s.paused[i]) { // carried out if need be, and answered
+        if (!s.paused[i]) { // executed unless done, and answered
             State next = s;
             Item done = item;
             next.items[i].erase(next.items[i].begin() + static_cast<long>(k));
             if (asked) {
-                apply(next, done);
+                execute(next, done);
             }
             deliver(next, i, done);
-            requests(next, i, k);
+            processRequests(next, i, k);
         }
         if (must) {
             return;
@@ -494,69 +495,70 @@
         bool faulty = s.faults < faults_;
         bool free = s.paused[i] || item.waited > 0;
         if (asked && (faulty || s.paused[i])) {
-            State next = s; // carried out, the answer held
+            State next = s; // executed, the reply delayed
             next.faults += s.paused[i] ? 0 : 1;
-            apply(next, next.items[i][k]);
-            requests(next, i, k + 1);
+            execute(next, next.items[i][k]);
+            processRequests(next, i, k + 1);
         }
-        if (asked && !item.list && faulty) { // never carried out
+        if (asked && !item.list && faulty) { // never executed
             State next = s;
             next.faults++;
             next.items[i].erase(next.items[i].begin() + static_cast<long>(k));
-            lose(next, i, item);
-            requests(next, i, k);
+            loseReply(next, i, item);
+            processRequests(next, i, k);
         }
         if ((item.waited < kWaitMax || s.paused[i]) && (faulty || free)) {
-            State next = s; // on its way
+            State next = s; // delayed
             next.faults += free ? 0 : 1;
             next.items[i][k].waited = std::min(item.waited + 1, kWaitMax);
-            requests(next, i, k + 1);
+            processRequests(next, i, k + 1);
         }
-        if (!asked && faulty) { // the answer is lost
+        if (!asked && faulty) { // the reply is lost
             State next = s;
             next.faults++;
             next.items[i].erase(next.items[i].begin() + static_cast<long>(k));
-            lose(next, i, item);
-            requests(next, i, k);
+            loseReply(next, i, item);
+            processRequests(next, i, k);
         }
     }
 
     void
-    mails(const State &s, int i)
+    deliverMessages(const State &s, int i)
     {
         if (i == 2) {
-            reach(s);
+            addState(s);
             return;
         }
-        if (s.mail[i].empty()) {
-            mails(s, i + 1);
+        if (s.inbox[i].empty()) {
+            deliverMessages(s, i + 1);
             return;
         }
         State rest = s;
-        Mail mail = rest.mail[i].front();
-        rest.mail[i].erase(rest.mail[i].begin());
+        Delivery delivery = rest.inbox[i].front();
+        rest.inbox[i].erase(rest.inbox[i].begin());
         if (s.faults < faults_) { // lost
             State next = rest;
             next.faults++;
-            mails(next, i + 1);
+            deliverMessages(next, i + 1);
         }
         if (!s.paused[i]) {
             State next = rest;
-            GwMessage *msg = GwMessage_Create(mail.kind, params_[1 - i].id);
-            msg->u.seat = mail.seat;
+            GwMessage *msg =
+                GwMessage_Create(delivery.kind, params_[1 - i].id);
+            msg->u.seat = delivery.seat;
             GwSeats_Receive(load(next, i), next.now_us, msg, members_[i],
                             &out_);
             GwMessage_Free(msg);
             store(next, i);
             check(next);
-            mails(next, i + 1);
+            deliverMessages(next, i + 1);
         }
-        bool free = s.paused[i] || mail.waited > 0;
-        if (mail.waited < kWaitMax && (free || s.faults < faults_)) {
+        bool free = s.paused[i] || delivery.waited > 0;
+        if (delivery.waited < kWaitMax && (free || s.faults < faults_)) {
             State next = s;
             next.faults += free ? 0 : 1;
-            next.mail[i].front().waited++;
-            mails(next, i + 1);
+            next.inbox[i].front().waited++;
+            deliverMessages(next, i + 1);
         }
     }
 
@@ -564,8 +566,8 @@
     int faults_;
     int done_ = 0;
     bool ok_ = true;
-    bool used_ = false;
-    std::string trail_; // how two users came about
+    bool has_user_ = false;
+    std::string events_; // events that led to two users
     GwNodeParams params_[2];
     GwSeats *seats_[2];
     GwMembers *members_[2];
@@ -588,16 +590,16 @@
     for (int view = 0; view < 4; view++) {
         Explorer explorer((view & 1) != 0, (view & 2) != 0, depth, faults);
         explorer.run();
-        std::printf("0 finds 1 %s, 1 finds 0 %s: all courses of %d units, "
+        std::printf("0 sees 1 %s, 1 sees 0 %s: all sequences of %d steps, "
                     "up to %d faults, %zu states: %s\n",
-                    (view & 1) != 0 ? "gone" : "there",
-                    (view & 2) != 0 ? "gone" : "leaving", explorer.done(),
+                    (view & 1) != 0 ? "dead" : "present",
+                    (view & 2) != 0 ? "dead" : "leaving", explorer.done(),
                     faults, explorer.states(),
-                    explorer.ok() ? "one user at most" : "TWO USERS");
+                    explorer.ok() ? "at most one user" : "TWO USERS");
         if (!explorer.ok()) {
-            std::printf("%s\n", explorer.trail().c_str());
+            std::printf("%s\n", explorer.events().c_str());
         }
-        all = all && explorer.ok() && explorer.used();
+        all = all && explorer.ok() && explorer.hasUser();
     }
     return all ? 0 : 1;
 }
--- a/tests/property/steer_cases.cpp
+++ b/tests/property/steer_cases.cpp
@@ -1,4 +1,4 @@
-/* Tables of cases for the steering rules, with fake seats and members. */
+/* Table-driven tests of the steering rules, with fake seats and members. */
 #include "steer_fake.hpp"
 
 #include <cstdio>
@@ -16,9 +16,9 @@
     }
 }
 
-/* One entry that holds all seats of its region, with time and actions. */
+/* An entry that holds all seats of its region, with its clock and actions. */
 struct Entry {
-    World_config config;
+    TestConfig config;
     std::array<uint64_t, SEATS> holder;
     GwSeats_s seats;
     GwMembers_s members;
@@ -27,7 +27,7 @@
     int64_t now_us = 1000000000;
     std::array<uint32_t, GW_MAX_SERVICES> queued{};
 
-    Entry(const World_config &c, const char *region = "here",
+    Entry(const TestConfig &c, const char *region = "here",
           uint32_t policy = GW_POLICY_SLOTS)
         : config(c)
     {
@@ -90,7 +90,7 @@
         GwMessage_Free(msg);
     }
 
-    /* The last message of a kind that was sent, or NULL. */
+    /* The last sent message of a kind, or NULL. */
     const GwMessage *
     sent(GwMessageKind kind) const
     {
@@ -144,20 +144,20 @@
          GW_REASON_DRAINING},
         {"unknown grant", 3, 4, false, 2, true, true, 99, GW_PICK_REFUSE,
          GW_REASON_NO_GRANT},
-        {"no slots at all", 0, 0, false, 2, true, false, 0, GW_PICK_REFUSE,
+        {"no slots", 0, 0, false, 2, true, false, 0, GW_PICK_REFUSE,
          GW_REASON_NO_SLOT},
         {"no seats", 3, 0, false, 2, false, false, 0, GW_PICK_WAIT,
          GW_REASON_NONE},
     };
 
     for (const auto &c : cases) {
-        Entry e(World_config(c.slots, c.shift_cap, 0, c.drain, c.servers));
+        Entry e(TestConfig(c.slots, c.shift_cap, 0, c.drain, c.servers));
         GwPickAsk ask{};
         ask.deadline_us = e.now_us + GW_MS(1000);
         ask.relayed = c.relayed;
         ask.grant = c.grant;
         if (!c.holds_seats) {
-            e.holder.fill(NOBODY);
+            e.holder.fill(NO_NODE);
             e.seats.epoch++;
         }
         GwPick got = e.pick(ask);
@@ -168,16 +168,16 @@
     }
 }
 
-/* A server fails: callers see late or lost answers from it, in a row. It is
- * passed over; but when more than half of the place fails at once, the rest
- * would break under all the load, so all stay candidates. */
+/* A server fails repeatedly and is ejected. If more than half of the place
+ * fails at once, the remaining servers would be overloaded, so all stay
+ * candidates. */
 void
 ejection()
 {
     struct {
         const char *name;
         uint32_t failing, failures_each;
-        bool passed_over;
+        bool is_skipped;
     } cases[] = {
         {"four failures", 1, 4, false},
         {"five failures", 1, 5, true},
@@ -186,7 +186,7 @@
     };
 
     for (const auto &c : cases) {
-        Entry e(World_config(3, 0, 0, false, 4));
+        Entry e(TestConfig(3, 0, 0, false, 4));
         for (uint32_t i = 0; i < c.failing * c.failures_each; i++) {
             GwHealthEvent h{};
             h.backend = 1000 + i % c.failing;
@@ -198,7 +198,7 @@
             seen = seen || (got.kind == GW_PICK_BACKEND &&
                             got.backend < 1000 + c.failing);
         }
-        expect(seen != c.passed_over, c.name, "candidates");
+        expect(seen != c.is_skipped, c.name, "candidates");
     }
 }
 
@@ -206,19 +206,19 @@
 draining()
 {
     const char *name = "draining server";
-    Entry e(World_config(3, 0, 0, false, 2));
+    Entry e(TestConfig(3, 0, 0, false, 2));
     GwCargo cargo{};
 
     GwSteer_DrainHint(e.steer, e.now_us, 1000, 5000);
     GwSteer_Cargo(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats, e.queued.data(),
                   &cargo);
-    expect(cargo.drain_count == 0, name, "a peer's hint is not passed on");
+    expect(cargo.drain_count == 0, name, "a peer's hint is not forwarded");
     for (uint32_t i = 0; i < 3; i++) {
-        expect(e.pick().backend == 1001, name, "no new work");
+        expect(e.pick().backend == 1001, name, "no new calls");
     }
     expect(e.pick().kind == GW_PICK_WAIT, name, "waits for the other");
     e.tick(GW_MS(2001)); /* drain_hint_ttl_ms bounds the hint */
-    expect(e.pick().backend == 1000, name, "the hint has run out");
+    expect(e.pick().backend == 1000, name, "the hint has expired");
     GwHealthEvent h{};
     h.backend = 1001;
     h.reachable = true;
@@ -227,14 +227,14 @@
     GwSteer_Cargo(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats, e.queued.data(),
                   &cargo);
     expect(cargo.drain_count == 1 && cargo.drains[0].backend == 1001, name,
-           "own sight is passed on");
+           "an own observation is forwarded");
 }
 
 void
-avoiding()
+avoided_server()
 {
     const char *name = "avoid_backend";
-    Entry e(World_config(2, 0, 0, false, 2));
+    Entry e(TestConfig(2, 0, 0, false, 2));
     GwPickAsk ask{};
 
     ask.deadline_us = e.now_us + GW_MS(1000);
@@ -244,8 +244,9 @@
     expect(e.pick(ask).backend == 1000, name, "the same when full");
 }
 
-/* A server whose load report is late and says idle, or that answers slowly,
- * must not draw the calls: own sight outranks the report. */
+/* A server that answers slowly, or whose late load report shows it idle,
+ * must not attract the calls: the entry's own measurements outrank the
+ * report. */
 void
 choice()
 {
@@ -258,13 +259,13 @@
     } cases[] = {
         {"slower", {50, 10}, {0, 0}, 0, 1001},
         {"fuller by report", {10, 10}, {2, 0}, 0, 1001},
-        {"slow but says idle", {90, 10}, {0, 2}, 0, 1001},
-        {"unknown is not idle", {10, 10}, {-1, 0}, 0, 1001},
-        {"late report is not idle", {10, 10}, {3, 1}, 3000, 1001},
+        {"slow but reports idle", {90, 10}, {0, 2}, 0, 1001},
+        {"an unknown load is not idle", {10, 10}, {-1, 0}, 0, 1001},
+        {"a late report is not idle", {10, 10}, {3, 1}, 3000, 1001},
     };
 
     for (const auto &c : cases) {
-        Entry e(World_config(3, 0, 0, false, 2));
+        Entry e(TestConfig(3, 0, 0, false, 2));
         for (uint32_t i = 0; i < 2; i++) {
             GwBackendState *b = GwSteer_FindBackend(e.steer, 1000 + i);
             GwBackend_RecordSuccess(b, e.now_us, GW_MS(c.latency_ms[i]));
@@ -281,7 +282,7 @@
 policies()
 {
     for (uint32_t policy : {GW_POLICY_TWO, GW_POLICY_SUBSET}) {
-        Entry e(World_config(2, 0, 0, false, 3), "here", policy);
+        Entry e(TestConfig(2, 0, 0, false, 3), "here", policy);
         uint32_t started = 0;
         while (e.pick().kind == GW_PICK_BACKEND && started < 100) {
             started++;
@@ -291,12 +292,12 @@
     }
 }
 
-/* Moved traffic lands on cold caches. Asks come twenty times a second; the
- * units out grow by no more than warmup_step (4) a second, one ahead. */
+/* Shifted calls reach cold caches. Requests arrive twenty times a second;
+ * the granted units grow by at most warmup_step (4) a second, plus one. */
 void
 warm_up()
 {
-    Entry e(World_config(40, 60, 0, false, 2), "there");
+    Entry e(TestConfig(40, 60, 0, false, 2), "there");
     uint32_t granted = 0;
 
     for (int64_t ms = 0; ms <= 3000; ms += 50) {
@@ -306,21 +307,21 @@
         GwActions_Clear(&e.out);
         e.tick(GW_MS(50));
     }
-    expect(granted >= 8, "warm-up", "it does grow");
+    expect(granted >= 8, "warm-up", "grows");
     e.receive(ask_message(GwNodeId{4, 1}, GW_UNIT_SHIFT, 32));
     expect(e.sent(GW_MSG_LOAN_GIVE) == nullptr, "warm-up",
-           "only an entry of the source region is granted");
+           "only entries of the source region get grants");
 }
 
-/* A source sends one call twice on a grant of one unit, late in the grant.
- * The first runs; the copy gets a true "not run". The grant ends while the
- * first runs: its unit goes out again only after that call's end, or two
- * calls would be under a cap of one. */
+/* A source sends one call twice on a grant of one unit, late in the grant's
+ * term. The first copy runs; the second is refused as not run. The grant
+ * expires while the first runs: its unit may be granted again only after
+ * that call has ended, or two calls would run under a cap of one. */
 void
 grants()
 {
     const char *name = "grants";
-    Entry e(World_config(3, 1, 0, false, 2), "there");
+    Entry e(TestConfig(3, 1, 0, false, 2), "there");
     GwPickAsk ask{};
 
     e.receive(ask_message(GwNodeId{3, 1}, GW_UNIT_SHIFT, 4));
@@ -330,30 +331,30 @@
     ask.relay_from = GwNodeId{2, 1};
     e.tick(GW_MS(3000));
     ask.deadline_us = e.now_us + GW_MS(2500);
-    expect(e.pick(ask).reason == GW_REASON_NO_GRANT, name, "not its peer");
+    expect(e.pick(ask).reason == GW_REASON_NO_GRANT, name, "another peer");
     ask.relay_from = GwNodeId{3, 1};
     GwPick first = e.pick(ask);
     expect(first.kind == GW_PICK_BACKEND, name, "admitted");
-    expect(e.pick(ask).reason == GW_REASON_NO_GRANT, name, "units in use");
+    expect(e.pick(ask).reason == GW_REASON_NO_GRANT, name, "all units in use");
     e.tick(GW_MS(1400));
-    expect(e.pick(ask).reason == GW_REASON_NO_GRANT, name, "run out");
+    expect(e.pick(ask).reason == GW_REASON_NO_GRANT, name, "expired");
     e.receive(ask_message(GwNodeId{3, 1}, GW_UNIT_SHIFT, 4));
     expect(e.sent(GW_MSG_LOAN_GIVE)->u.give.unit_count == 0, name,
-           "still counted out");
+           "still counted as granted");
     e.done(first.use, GW_OUTCOME_ANSWERED, GW_REASON_NONE);
     e.tick(GW_MS(500));
     e.receive(ask_message(GwNodeId{3, 1}, GW_UNIT_SHIFT, 4));
     expect(e.sent(GW_MSG_LOAN_GIVE)->u.give.unit_count == 1, name,
-           "free again");
+           "can be granted again");
 }
 
-/* The borrower's answer is late or doubled. What it sees: a GIVE nobody
- * waits for. Its units are given back, unless they are here already. */
+/* A LOAN_GIVE is late or duplicated, so no request waits for it. Its units
+ * are returned, unless the loan is held already. */
 void
-late_gives()
+late_and_duplicate_gives()
 {
     const char *name = "late gives";
-    Entry e(World_config(3, 0, 0, false, 2));
+    Entry e(TestConfig(3, 0, 0, false, 2));
 
     e.holder.fill(2);
     e.seats.epoch++;
@@ -375,7 +376,8 @@
     GwActions_Clear(&e.out);
     e.receive(GwMessage_Copy(give));
     e.receive(GwMessage_Copy(give));
-    expect(e.sent(GW_MSG_LOAN_RETURN) == nullptr, name, "a copy is ignored");
+    expect(e.sent(GW_MSG_LOAN_RETURN) == nullptr, name,
+           "a duplicate is ignored");
     GwPickAsk pick{};
     pick.deadline_us = e.now_us + GW_MS(3800);
     expect(e.pick(pick).kind == GW_PICK_WAIT, name, "outlives the loan");
@@ -385,19 +387,19 @@
     e.receive(give);
     const GwMessage *back = e.sent(GW_MSG_LOAN_RETURN);
     expect(back != nullptr && back->u.giveback.loan == 56, name,
-           "a late one goes back");
+           "a late one is returned");
     e.seats.fenced = true;
     e.seats.epoch++;
     expect(e.pick().kind == GW_PICK_WAIT, name, "fenced");
 }
 
-/* Callers wait while borrowed units stand idle: the loan ends before the
- * calls' deadlines. It goes back at once, and others are asked for. */
+/* Calls wait beside idle borrowed units, because the loan ends before their
+ * deadlines. The loan is returned at once, and other units are requested. */
 void
-spent_loans()
+short_loans()
 {
-    const char *name = "spent loans";
-    Entry e(World_config(3, 0, 0, false, 2));
+    const char *name = "short loans";
+    Entry e(TestConfig(3, 0, 0, false, 2));
     GwPickAsk pick{};
 
     e.holder.fill(2);
@@ -422,13 +424,13 @@
     pick.deadline_us = e.now_us + GW_MS(3800);
     expect(e.pick(pick).kind == GW_PICK_WAIT, name, "outlives the loan");
     e.tick(GW_MS(40));
-    expect(e.sent(GW_MSG_LOAN_RETURN) != nullptr, name, "goes back");
+    expect(e.sent(GW_MSG_LOAN_RETURN) != nullptr, name, "is returned");
     e.tick(GW_MS(10));
     expect(e.sent(GW_MSG_LOAN_ASK) != nullptr, name, "asks again");
 }
 
 void
-lending()
+loan_returns()
 {
     struct {
         const char *name;
@@ -446,7 +448,7 @@
     };
 
     for (const auto &c : cases) {
-        Entry e(World_config(3, 0, 0, false, 2));
+        Entry e(TestConfig(3, 0, 0, false, 2));
         e.receive(ask_message(GwNodeId{2, 1}, GW_UNIT_SLOT, 32));
         const GwLoanGive give = e.sent(GW_MSG_LOAN_GIVE)->u.give;
         expect(give.unit_count == 6, c.name, "lends all that is idle");
@@ -459,21 +461,23 @@
         e.receive(back);
         expect((e.pick().kind == GW_PICK_BACKEND) == c.freed, c.name, "freed");
         expect(!GwSteer_Leave(e.steer, e.now_us, &e.members, &e.out), c.name,
-               "not idle yet");
+               "a loan is still out");
         e.tick(GW_MS(4301));
-        expect(e.pick().kind == GW_PICK_BACKEND, c.name, "freed at the end");
+        expect(e.pick().kind == GW_PICK_BACKEND, c.name,
+               "freed at its expiry");
     }
 }
 
-/* Versions: a call runs on while its server's cap is lowered; the unit above
- * the cap takes no new work; an unit that moved to a seat of ours from
- * another's is left alone until the old holder surely stopped. */
+/* Configuration versions. A running call continues while its server's slot
+ * count is lowered; the unit above the count accepts no new call. A unit
+ * that moved to a seat of this entry from another's is not used until the
+ * old holder has certainly stopped using it. */
 void
-versions()
+config_versions()
 {
     const char *name = "versions";
-    Entry e(World_config(2, 0, 0, false, 1));
-    World_config lower(1, 0, 0, false, 1);
+    Entry e(TestConfig(2, 0, 0, false, 1));
+    TestConfig lower(1, 0, 0, false, 1);
 
     GwPick first = e.pick();
     GwPick second = e.pick();
@@ -485,8 +489,8 @@
     expect(e.pick().kind == GW_PICK_BACKEND, name, "below the cap");
     expect(e.pick().kind == GW_PICK_WAIT, name, "above the cap");
 
-    Entry moved(World_config(1, 0, 0, false, 1));
-    World_config fewer(1, 0, 0, false, 1);
+    Entry moved(TestConfig(1, 0, 0, false, 1));
+    TestConfig fewer(1, 0, 0, false, 1);
     moved.holder.fill(2);
     moved.holder[0] = 1; /* 1000 % 6 is seat 4; of 5 seats it is seat 0 */
     moved.seats.epoch++;
@@ -495,9 +499,9 @@
     fewer.regions[0].seats = 5;
     fewer.fill();
     GwSteer_Configure(moved.steer, moved.now_us, &fewer.config);
-    expect(moved.pick().kind == GW_PICK_WAIT, name, "too early");
+    expect(moved.pick().kind == GW_PICK_WAIT, name, "within the block");
     moved.tick(GW_MS(4300 + 2500 + 5000));
-    expect(moved.pick().kind == GW_PICK_BACKEND, name, "safe now");
+    expect(moved.pick().kind == GW_PICK_BACKEND, name, "after the block");
 }
 
 } // namespace
@@ -508,15 +512,15 @@
     refusals();
     ejection();
     draining();
-    avoiding();
+    avoided_server();
     choice();
     policies();
     warm_up();
     grants();
-    late_gives();
-    spent_loans();
-    lending();
-    versions();
+    late_and_duplicate_gives();
+    short_loans();
+    loan_returns();
+    config_versions();
     printf("%d failures\n", failures);
     return failures == 0 ? 0 : 1;
 }
--- a/tests/property/steer_fake.hpp
+++ b/tests/property/steer_fake.hpp
@@ -1,6 +1,6 @@
-/* Stand-ins for the seats and the member table, for tests of the steering
- * code alone. A program that includes this defines these symbols itself, so
- * the library's own are not linked into it. */
+/* Fakes of the seats and the member table, for tests of the steering code
+ * alone. A program that includes this file defines these symbols itself, so
+ * the library's own are not linked. */
 #ifndef GW_TESTS_PROPERTY_STEER_FAKE_HPP
 #define GW_TESTS_PROPERTY_STEER_FAKE_HPP
 
@@ -17,15 +17,15 @@
 }
 
 constexpr uint32_t SEATS = 6;
-constexpr uint64_t NOBODY = 0;
+constexpr uint64_t NO_NODE = 0;
 
-/* One node's view of its region's seats. `holder` is shared by the nodes of
- * the region: the truth of the table's rows. */
+/* The seats as one node sees them. `holder` is shared by the nodes of a
+ * region and stands for the rows of the table. */
 struct GwSeats_s {
     uint64_t node = 0;
     std::array<uint64_t, SEATS> *holder = nullptr;
     std::array<bool, SEATS> parting{};
-    std::array<uint64_t, SEATS> heir{};
+    std::array<uint64_t, SEATS> next_holder{};
     bool fenced = false;
     uint64_t epoch = 1;
 };
@@ -53,7 +53,7 @@
 GwSeats_Release(GwSeats *s, int64_t, uint32_t seat, const GwMembers *,
                 GwActions *)
 {
-    (*s->holder)[seat] = s->heir[seat];
+    (*s->holder)[seat] = s->next_holder[seat];
     s->parting[seat] = false;
     s->epoch++;
 }
@@ -91,9 +91,9 @@
 const GwMember *
 GwMembers_Find(const GwMembers *m, uint64_t node)
 {
-    for (const auto &one : m->all) {
-        if (one.info.id.node == node) {
-            return &one;
+    for (const auto &item : m->all) {
+        if (item.info.id.node == node) {
+            return &item;
         }
     }
     return nullptr;
@@ -102,18 +102,18 @@
 const GwDigest *
 GwMembers_Digest(const GwMembers *m, uint64_t node, uint64_t service)
 {
-    for (const auto &one : m->digests) {
-        if (one.id.node == node && one.service == service) {
-            return &one;
+    for (const auto &item : m->digests) {
+        if (item.id.node == node && item.service == service) {
+            return &item;
         }
     }
     return nullptr;
 }
 }
 
-/* A configuration of two regions, one service and two servers in each; the
- * owner of the arrays that a GwConfig points to. */
-struct World_config {
+/* A configuration of two regions with one service and two servers each;
+ * owns the arrays that its GwConfig points to. */
+struct TestConfig {
     GwConfig config{};
     std::vector<GwRegion> regions;
     std::vector<GwService> services;
@@ -122,8 +122,8 @@
     std::vector<GwShift> shifts;
     std::vector<GwLink> links;
 
-    World_config(uint32_t slots, uint32_t shift_cap, uint32_t link_cap,
-                 bool drain_source, uint32_t servers = 2)
+    TestConfig(uint32_t slots, uint32_t shift_cap, uint32_t link_cap,
+               bool drain_source, uint32_t servers = 2)
     {
         for (const char *name : {"here", "there"}) {
             GwRegion r{};
--- a/tests/property/steer_units.cpp
+++ b/tests/property/steer_units.cpp
@@ -1,8 +1,8 @@
-/* Several entries of two regions under random calls, ends, loans, grants,
- * lost, late and doubled messages, pauses, fences, crashes, seats that move
- * and changes of the configuration. What must hold, at every moment and by
- * what the backend servers really run: no two calls on one slot unit, one
- * unit of a shift or one of a link, and nothing new above a cap. */
+/* Several entries of two regions under random calls, loans, grants, lost,
+ * late and duplicated messages, pauses, fences, crashes, moving seats and
+ * configuration changes. At every moment, measured by the calls that the
+ * backend servers run, no two calls use one slot unit, one unit of a shift
+ * or one of a link, and no new call uses a unit above a cap. */
 #include "steer_fake.hpp"
 
 #include <rapidcheck.h>
@@ -23,7 +23,7 @@
 constexpr int64_t HOLDOFF_US = GW_MS(500 + 2500 + 4300 + 700);
 constexpr uint32_t VERSIONS = 4;
 
-/* A call that some backend server or link really carries. */
+/* A call that a backend server or link is carrying. */
 struct Running {
     uint32_t node;
     uint64_t start;
@@ -32,7 +32,7 @@
     uint64_t owner;
     uint32_t index;
     int64_t ends_us;
-    uint64_t grant; /* SLOT: the loan it came on at the destination */
+    uint64_t grant; /* SLOT: the grant it was relayed on, at the destination */
     uint64_t relay; /* the relay it belongs to; 0 none */
 };
 
@@ -46,7 +46,7 @@
     int64_t deadline_us;
 };
 
-struct Flying {
+struct Transit {
     int64_t due_us;
     uint32_t to;
     std::shared_ptr<GwMessage> msg;
@@ -103,11 +103,11 @@
         case 0 ... 6:
             for (uint32_t i = 0; i < 1 + arg % 6; i++) {
                 int64_t span_ms = 100 + (arg >> (i + 3)) % 2400;
-                arrive(node, now_us + GW_MS(span_ms));
+                add_call(node, now_us + GW_MS(span_ms));
             }
             break;
         case 7 ... 10:
-            finish(arg);
+            finish_call(arg);
             break;
         case 11 ... 13:
             advance(STEP_US * (1 + arg % 4));
@@ -129,10 +129,10 @@
             }
             break;
         case 18:
-            arg % 5 == 0 ? crash(node) : wake_all();
+            arg % 5 == 0 ? crash(node) : resume_all();
             break;
         case 19:
-            rogue_relay(arg);
+            send_excess_relay(arg);
             break;
         }
         check();
@@ -174,9 +174,9 @@
         return queue_lengths.data();
     }
 
-    /* What a woken process does before anything else: see its own gap. */
+    /* Detects a pause, as a process does before any other work. */
     void
-    beat(uint32_t i)
+    check_pause(uint32_t i)
     {
         Node &n = nodes[i];
         if (now_us - n.last_event_us > GW_MS(500) && !n.seats.fenced) {
@@ -192,22 +192,22 @@
     {
         Node &n = nodes[i];
         GwPick out{};
-        beat(i);
+        check_pause(i);
         GwSteer_Pick(n.steer, now_us, &ask, &members, &n.seats, &out);
         if (out.kind == GW_PICK_BACKEND) {
             RC_ASSERT(!n.seats.fenced);
-            started_here(i, ask, out, relay);
+            record_local(i, ask, out, relay);
         }
         if (out.kind == GW_PICK_PEER) {
             RC_ASSERT(relay == nullptr);
             RC_ASSERT(!n.seats.fenced);
-            started_away(i, ask, out);
+            record_relay(i, ask, out);
         }
         return out.kind != GW_PICK_WAIT;
     }
 
     void
-    started_here(uint32_t i, const GwPickAsk &ask, const GwPick &out,
+    record_local(uint32_t i, const GwPickAsk &ask, const GwPick &out,
                  const Relay *relay)
     {
         const GwUse *use = GwSteer_FindUse(nodes[i].steer, out.use);
@@ -219,7 +219,7 @@
     }
 
     void
-    started_away(uint32_t i, const GwPickAsk &ask, const GwPick &out)
+    record_relay(uint32_t i, const GwPickAsk &ask, const GwPick &out)
     {
         GwSteer *s = nodes[i].steer;
         const GwUse *use = GwSteer_FindUse(s, out.use);
@@ -233,13 +233,14 @@
                            relay_seq});
         running.push_back({i, nodes[i].start, out.use, GW_UNIT_LINK, use->link,
                            use->link_unit, ask.deadline_us, 0, relay_seq});
-        relays.push_back({relay_seq, now_us + GW_MS(10 + chance(200)), i, to,
-                          out.grant, members.all[i].info.id, ask.deadline_us});
+        relays.push_back({relay_seq, now_us + GW_MS(10 + random_below(200)), i,
+                          to, out.grant, members.all[i].info.id,
+                          ask.deadline_us});
         seen_relays++;
     }
 
     void
-    arrive(uint32_t i, int64_t deadline_us)
+    add_call(uint32_t i, int64_t deadline_us)
     {
         Node &n = nodes[i];
         GwPickAsk ask{};
@@ -253,8 +254,8 @@
         }
     }
 
-    /* Ends the call of one record and of its link or shift twin. The server
-     * goes on until the deadline after an unknown end. */
+    /* Ends the call of one record, with its link and shift records. After
+     * an unknown end the server runs the call until the deadline. */
     void
     end(size_t at, GwOutcome outcome)
     {
@@ -268,7 +269,7 @@
         ev.reason = outcome == GW_OUTCOME_ANSWERED ? GW_REASON_NONE
                                                    : GW_REASON_DEADLINE;
         bool unknown = outcome == GW_OUTCOME_UNKNOWN;
-        beat(r.node);
+        check_pause(r.node);
         GwSteer_Done(n.steer, now_us, r.use, &ev,
                      unknown ? r.ends_us : now_us);
         if (unknown) {
@@ -295,7 +296,7 @@
     }
 
     void
-    finish(uint32_t arg)
+    finish_call(uint32_t arg)
     {
         std::vector<size_t> here;
         for (size_t i = 0; i < running.size(); i++) {
@@ -318,10 +319,10 @@
         }
     }
 
-    /* A source that does not keep to its grant: one more call on it, with the
-     * longest deadline a service takes, beyond the end of the loan. */
+    /* A source that exceeds its grant: one more call on it, with the
+     * longest deadline that a service accepts, beyond the end of the loan. */
     void
-    rogue_relay(uint32_t arg)
+    send_excess_relay(uint32_t arg)
     {
         if (relays.empty()) {
             return;
@@ -342,23 +343,23 @@
     }
 
     void
-    wake_all()
+    resume_all()
     {
         for (Node &n : nodes) {
             n.paused = false;
         }
     }
 
-    /* The process dies; the next start under its name holds no seat until the
-     * calls and loans of the first are over. */
+    /* The process crashes; its next start holds no seat until the calls and
+     * loans of the previous one are over. */
     void
     crash(uint32_t i)
     {
         Node &n = nodes[i];
         for (uint32_t seat = 0; seat < SEATS; seat++) {
             if ((*n.seats.holder)[seat] == i + 1) {
-                (*n.seats.holder)[seat] = NOBODY;
-                orphans[region(i)][seat] = now_us + HOLDOFF_US;
+                (*n.seats.holder)[seat] = NO_NODE;
+                claimable_us[region(i)][seat] = now_us + HOLDOFF_US;
             }
         }
         n.start++;
@@ -374,23 +375,23 @@
         uint64_t holder = holders[r][seat];
         uint32_t first = r == 0 ? 0 : NODES_HERE;
         uint32_t count = r == 0 ? NODES_HERE : NODES - NODES_HERE;
-        uint64_t heir = first + (arg >> 5) % count + 1;
-        if (holder == NOBODY) {
-            if (orphans[r][seat] <= now_us) {
-                holders[r][seat] = heir;
-                nodes[heir - 1].seats.epoch++;
+        uint64_t next_holder = first + (arg >> 5) % count + 1;
+        if (holder == NO_NODE) {
+            if (claimable_us[r][seat] <= now_us) {
+                holders[r][seat] = next_holder;
+                nodes[next_holder - 1].seats.epoch++;
             }
             return;
         }
         Node &n = nodes[holder - 1];
         if (n.paused && now_us - n.paused_us > HOLDOFF_US) {
             n.seats.parting[seat] = false;
-            holders[r][seat] = heir;
-            nodes[heir - 1].seats.epoch++;
+            holders[r][seat] = next_holder;
+            nodes[next_holder - 1].seats.epoch++;
         }
-        else if (!n.paused && heir != holder && !n.seats.fenced) {
+        else if (!n.paused && next_holder != holder && !n.seats.fenced) {
             n.seats.parting[seat] = true;
-            n.seats.heir[seat] = heir;
+            n.seats.next_holder[seat] = next_holder;
             n.seats.epoch++;
         }
     }
@@ -407,27 +408,28 @@
     }
 
     uint64_t
-    chance(uint32_t bound)
+    random_below(uint32_t bound)
     {
         return GwRng_Below(&rng, bound);
     }
 
     void
-    post()
+    send()
     {
         for (uint32_t i = 0; i < actions.count; i++) {
             GwAction *a = &actions.items[i];
-            if (a->kind != GW_ACTION_SEND || chance(10) == 0) {
+            if (a->kind != GW_ACTION_SEND || random_below(10) == 0) {
                 continue;
             }
             std::shared_ptr<GwMessage> msg(GwMessage_Copy(a->u.send.message),
                                            GwMessage_Free);
             uint32_t to = (uint32_t)a->u.send.to.node - 1;
-            uint32_t copies = chance(5) == 0 ? 2 : 1;
+            uint32_t copies = random_below(5) == 0 ? 2 : 1;
             for (uint32_t c = 0; c < copies; c++) {
-                int64_t delay_ms =
-                    chance(8) == 0 ? 200 + chance(4000) : 1 + chance(100);
-                flying.push_back({now_us + GW_MS(delay_ms), to, msg});
+                int64_t delay_ms = random_below(8) == 0
+                                       ? 200 + random_below(4000)
+                                       : 1 + random_below(100);
+                in_transit.push_back({now_us + GW_MS(delay_ms), to, msg});
             }
             seen_messages++;
         }
@@ -437,11 +439,12 @@
     void
     deliver()
     {
-        std::vector<Flying> due;
-        for (size_t i = 0; i < flying.size();) {
-            if (flying[i].due_us <= now_us && !nodes[flying[i].to].paused) {
-                due.push_back(flying[i]);
-                flying.erase(flying.begin() + (long)i);
+        std::vector<Transit> due;
+        for (size_t i = 0; i < in_transit.size();) {
+            if (in_transit[i].due_us <= now_us &&
+                !nodes[in_transit[i].to].paused) {
+                due.push_back(in_transit[i]);
+                in_transit.erase(in_transit.begin() + (long)i);
             }
             else {
                 i++;
@@ -449,12 +452,12 @@
         }
         for (auto &f : due) {
             Node &n = nodes[f.to];
-            beat(f.to);
+            check_pause(f.to);
             seen_loans += f.msg->kind == GW_MSG_LOAN_GIVE &&
                           f.msg->u.give.unit_count > 0;
             GwSteer_Receive(n.steer, now_us, f.msg.get(), &members, &n.seats,
                             queued(f.to), &actions);
-            post();
+            send();
         }
     }
 
@@ -488,8 +491,8 @@
         }
     }
 
-    /* A server stops a call at its deadline; its entry learns so if it can.
-     */
+    /* A server stops a call at its deadline; the entry receives the end if
+     * it runs. */
     void
     expire_calls()
     {
@@ -504,7 +507,7 @@
                 GwAttemptEvent ev{};
                 ev.outcome = GW_OUTCOME_UNKNOWN;
                 ev.reason = GW_REASON_DEADLINE;
-                beat(r.node);
+                check_pause(r.node);
                 GwSteer_Done(nodes[r.node].steer, now_us, r.use, &ev,
                              r.ends_us);
             }
@@ -546,31 +549,31 @@
     tick(uint32_t i)
     {
         Node &n = nodes[i];
-        beat(i);
+        check_pause(i);
         if (n.seats.fenced && n.unfence_us <= now_us) {
             n.seats.fenced = false;
             n.seats.epoch++;
         }
         GwSteer_Tick(n.steer, now_us, &members, &n.seats, queued(i), &actions);
-        post();
+        send();
         publish(i);
         retry_waiting(i);
         for (uint32_t j = 0; j < NODES; j++) {
-            nodes[j].seats.epoch += j != i && handed(j);
+            nodes[j].seats.epoch += j != i && have_rows_changed(j);
         }
     }
 
-    /* Whether rows now name a node that did not know of it. */
+    /* Whether the rows of node `j` changed since the last call. */
     bool
-    handed(uint32_t j)
+    have_rows_changed(uint32_t j)
     {
-        uint64_t mine = 0;
+        uint64_t seats_held = 0;
         for (uint32_t seat = 0; seat < SEATS; seat++) {
-            mine |= (uint64_t)((*nodes[j].seats.holder)[seat] == j + 1)
-                    << seat;
+            seats_held |= (uint64_t)((*nodes[j].seats.holder)[seat] == j + 1)
+                          << seat;
         }
-        bool changed = mine != known[j];
-        known[j] = mine;
+        bool changed = seats_held != known_seats[j];
+        known_seats[j] = seats_held;
         return changed;
     }
 
@@ -624,8 +627,8 @@
         return text;
     }
 
-    /* Calls that came on a grant: no more than its units, and the units are
-     * counted out while one runs. */
+    /* A grant carries no more calls than its units, and its units stay
+     * counted as lent while a call runs. */
     void
     check_grants()
     {
@@ -645,8 +648,8 @@
         check_lent();
     }
 
-    /* No unit is out on two loans. A record that is over binds nothing: a
-     * process that woke up has not swept it out yet. */
+    /* No unit is lent on two loans. An expired record does not count: a
+     * process that was paused has not removed it yet. */
     void
     check_lent()
     {
@@ -670,16 +673,16 @@
 
   private:
     int64_t now_us = 1000000000;
-    std::vector<World_config> configs;
+    std::vector<TestConfig> configs;
     std::array<std::array<uint64_t, SEATS>, 2> holders{};
-    std::array<std::array<int64_t, SEATS>, 2> orphans{};
+    std::array<std::array<int64_t, SEATS>, 2> claimable_us{};
     std::array<Node, NODES> nodes;
-    std::array<uint64_t, NODES> known{};
+    std::array<uint64_t, NODES> known_seats{};
     std::array<uint32_t, GW_MAX_SERVICES> queue_lengths{};
     GwMembers_s members;
     std::vector<Running> running;
     std::vector<Relay> relays;
-    std::vector<Flying> flying;
+    std::vector<Transit> in_transit;
     uint64_t relay_seq = 0;
     GwActions actions{};
     GwRng rng = GwRng_Make(20261202);
--- a/tests/unit/test_seats.c
+++ b/tests/unit/test_seats.c
@@ -1,3 +1,5 @@
+/* Seats of two entries: claims, lost replies, outages, pauses, reclaims,
+ * restarts and handover. */
 #include "common/log_events.h"
 #include "fakes/table.h"
 #include "steer/seats.h"
@@ -8,28 +10,28 @@
 #define SECOND 1000000LL
 #define SEATS  4
 
-/* Two entries of one region at one table that answers at once. */
+/* Two entries of one region that share a table which replies at once. */
 typedef struct {
     GwNodeParams params;
     GwSeats *seats;
     GwMembers *members;
-    bool paused;
-    bool store_away;
+    bool is_paused;
+    bool is_store_down;
 } Entry;
 
 typedef struct {
     GwFakeTable *table;
     Entry entries[2];
-    bool lose_answers; /* writes take effect, their answers are lost */
-    bool links_away;
+    bool is_losing_replies; /* writes take effect, their replies are lost */
+    bool are_links_down;
     int64_t now_us;
     uint32_t reads;
     uint32_t writes;
     GwActions out;
-} Bench;
+} Fixture;
 
 static void
-see(Bench *b, uint32_t i, GwMemberState other_state, bool other_listed)
+set_view(Fixture *b, uint32_t i, GwMemberState other_state, bool other_listed)
 {
     Entry *e = &b->entries[i];
     const GwNodeParams *other = &b->entries[1 - i].params;
@@ -55,7 +57,7 @@
 }
 
 static void
-start(Bench *b, uint32_t i, uint64_t nonce)
+start_entry(Fixture *b, uint32_t i, uint64_t nonce)
 {
     Entry *e = &b->entries[i];
     GwNodeParams *p = &e->params;
@@ -72,20 +74,20 @@
     GwSeats_Configure(e->seats, SEATS);
 }
 
-static Bench
-make_bench(void)
+static Fixture
+make_fixture(void)
 {
-    Bench b = {.table = GwFakeTable_Create(), .now_us = SECOND};
+    Fixture b = {.table = GwFakeTable_Create(), .now_us = SECOND};
 
-    start(&b, 0, 1);
-    start(&b, 1, 1);
-    see(&b, 0, GW_MEMBER_ALIVE, true);
-    see(&b, 1, GW_MEMBER_ALIVE, true);
+    start_entry(&b, 0, 1);
+    start_entry(&b, 1, 1);
+    set_view(&b, 0, GW_MEMBER_ALIVE, true);
+    set_view(&b, 1, GW_MEMBER_ALIVE, true);
     return b;
 }
 
 static void
-end_bench(Bench *b)
+free_fixture(Fixture *b)
 {
     for (uint32_t i = 0; i < 2; i++) {
         GwSeats_Free(b->entries[i].seats);
@@ -96,15 +98,15 @@
 }
 
 static void
-answer(Bench *b, Entry *e, const GwTableRequest *request)
+reply_to(Fixture *b, Entry *e, const GwTableRequest *request)
 {
     bool write = request->op == GW_TABLE_TXN;
-    GwTableReply *reply = e->store_away ? GwFakeTable_Lost(request)
-                                        : GwFakeTable_Do(b->table, request);
+    GwTableReply *reply = e->is_store_down ? GwFakeTable_Lost(request)
+                                           : GwFakeTable_Do(b->table, request);
 
     b->writes += write;
     b->reads += !write;
-    if (write && b->lose_answers) {
+    if (write && b->is_losing_replies) {
         reply->status = GW_TABLE_LOST;
     }
     GwSeats_TableReply(e->seats, b->now_us, reply, e->members, &b->out);
@@ -112,22 +114,22 @@
 }
 
 static void
-carry_out(Bench *b, uint32_t i)
+run_actions(Fixture *b, uint32_t i)
 {
     for (uint32_t k = 0; k < b->out.count; k++) {
         const GwAction *action = &b->out.items[k];
         uint32_t other = 1 - i;
         if (action->kind == GW_ACTION_TABLE) {
-            answer(b, &b->entries[i], action->u.table);
+            reply_to(b, &b->entries[i], action->u.table);
         }
-        else if (action->kind == GW_ACTION_SEND && !b->links_away &&
-                 !b->entries[other].paused) {
+        else if (action->kind == GW_ACTION_SEND && !b->are_links_down &&
+                 !b->entries[other].is_paused) {
             GwActions own = b->out;
             b->out = (GwActions){0};
             GwSeats_Receive(b->entries[other].seats, b->now_us,
                             own.items[k].u.send.message,
                             b->entries[other].members, &b->out);
-            carry_out(b, other);
+            run_actions(b, other);
             GwActions_Free(&b->out);
             b->out = own;
         }
@@ -136,28 +138,28 @@
 }
 
 static void
-run(Bench *b, int64_t for_us)
+run_for(Fixture *b, int64_t for_us)
 {
     for (int64_t end_us = b->now_us + for_us; b->now_us < end_us;) {
         b->now_us += 10 * GW_TICK_US;
         for (uint32_t i = 0; i < 2; i++) {
             Entry *e = &b->entries[i];
-            if (e->paused || e->seats == NULL) {
+            if (e->is_paused || e->seats == NULL) {
                 continue;
             }
             GwSeats_Tick(e->seats, b->now_us, e->members, &b->out);
-            carry_out(b, i);
+            run_actions(b, i);
             for (uint32_t seat = 0; seat < SEATS; seat++) {
                 GwSeats_Release(e->seats, b->now_us, seat, e->members,
                                 &b->out);
-                carry_out(b, i);
+                run_actions(b, i);
             }
         }
     }
 }
 
 static uint32_t
-used(const Bench *b, uint32_t i)
+count_usable(const Fixture *b, uint32_t i)
 {
     uint32_t count = 0;
 
@@ -167,130 +169,133 @@
     return count;
 }
 
-Test(seats, each_gets_its_share)
+Test(seats, each_entry_claims_its_share)
 {
-    Bench b = make_bench();
+    Fixture b = make_fixture();
 
-    run(&b, 10 * SECOND);
-    cr_assert_eq(used(&b, 0), 2);
-    cr_assert_eq(used(&b, 1), 2);
-    end_bench(&b);
+    run_for(&b, 10 * SECOND);
+    cr_assert_eq(count_usable(&b, 0), 2);
+    cr_assert_eq(count_usable(&b, 1), 2);
+    free_fixture(&b);
 }
 
-/* The answers to all writes are lost, after they took effect. The entries find
- * by reading what they hold. */
-Test(seats, lost_answers_are_found_out)
+/* The replies to all writes are lost after the writes took effect. The
+ * entries find out which seats they hold by reading. */
+Test(seats, lost_write_replies_are_resolved_by_reading)
 {
-    Bench b = make_bench();
+    Fixture b = make_fixture();
 
-    b.lose_answers = true;
-    run(&b, 10 * SECOND);
-    cr_assert_eq(used(&b, 0), 2);
-    cr_assert_eq(used(&b, 1), 2);
-    end_bench(&b);
+    b.is_losing_replies = true;
+    run_for(&b, 10 * SECOND);
+    cr_assert_eq(count_usable(&b, 0), 2);
+    cr_assert_eq(count_usable(&b, 1), 2);
+    free_fixture(&b);
 }
 
-/* The table is away for long: whoever holds a seat goes on using it. */
-Test(seats, outage_leaves_seats_usable)
+/* A long outage of the table: each holder keeps using its seats. */
+Test(seats, seats_stay_usable_in_a_table_outage)
 {
-    Bench b = make_bench();
+    Fixture b = make_fixture();
 
-    run(&b, 10 * SECOND);
-    b.entries[0].store_away = b.entries[1].store_away = true;
-    run(&b, 600 * SECOND);
-    cr_assert_eq(used(&b, 0) + used(&b, 1), SEATS);
-    end_bench(&b);
+    run_for(&b, 10 * SECOND);
+    b.entries[0].is_store_down = b.entries[1].is_store_down = true;
+    run_for(&b, 600 * SECOND);
+    cr_assert_eq(count_usable(&b, 0) + count_usable(&b, 1), SEATS);
+    free_fixture(&b);
 }
 
-/* A holder is paused. The list lacks it and it is silent, so its seats are
- * reclaimed after the hold-off. It wakes, believes it still holds them, and
- * must not use them, table or no table. */
-Test(seats, paused_holder_wakes_without_seats)
+/* A holder is paused, missing from the instance list and unreachable, so
+ * its seats are reclaimed after the hold-off. After the pause its state
+ * still shows the seats as held; it must not use them, whether the table is
+ * reachable or not. */
+Test(seats, paused_holder_resumes_without_its_seats)
 {
-    Bench b = make_bench();
-
-    run(&b, 10 * SECOND);
-    b.entries[0].paused = true;
-    see(&b, 1, GW_MEMBER_DEAD, false);
-    run(&b, 12 * SECOND);
-    cr_assert_eq(used(&b, 1), 2);
-    run(&b, 20 * SECOND);
-    cr_assert_eq(used(&b, 1), SEATS);
-    b.entries[0].paused = false;
-    b.entries[0].store_away = true;
-    run(&b, 30 * SECOND);
+    Fixture b = make_fixture();
+
+    run_for(&b, 10 * SECOND);
+    b.entries[0].is_paused = true;
+    set_view(&b, 1, GW_MEMBER_DEAD, false);
+    run_for(&b, 12 * SECOND);
+    cr_assert_eq(count_usable(&b, 1), 2);
+    run_for(&b, 20 * SECOND);
+    cr_assert_eq(count_usable(&b, 1), SEATS);
+    b.entries[0].is_paused = false;
+    b.entries[0].is_store_down = true;
+    run_for(&b, 30 * SECOND);
     cr_assert(GwSeats_IsFenced(b.entries[0].seats));
-    cr_assert_eq(used(&b, 0), 0);
-    b.entries[0].store_away = false;
-    run(&b, 10 * SECOND);
+    cr_assert_eq(count_usable(&b, 0), 0);
+    b.entries[0].is_store_down = false;
+    run_for(&b, 10 * SECOND);
     cr_assert(!GwSeats_IsFenced(b.entries[0].seats));
-    cr_assert_eq(used(&b, 0), 0);
-    end_bench(&b);
+    cr_assert_eq(count_usable(&b, 0), 0);
+    free_fixture(&b);
 }
 
-/* The list wrongly lacks a live holder that peers don't hear. It sees the
- * notice on its row, stops for a moment, objects, and keeps its seats. */
-Test(seats, live_holder_objects)
+/* A live holder is missing from the instance list and unreachable for its
+ * peer. It reads the notice in its row, stops using the seat until its
+ * objection is confirmed, and keeps its seats. */
+Test(seats, live_holder_objects_to_a_reclaim)
 {
-    Bench b = make_bench();
-
-    run(&b, 10 * SECOND);
-    see(&b, 1, GW_MEMBER_DEAD, false);
-    run(&b, 100 * SECOND);
-    cr_assert_eq(used(&b, 0), 2);
-    cr_assert_eq(used(&b, 1), 2);
-    end_bench(&b);
+    Fixture b = make_fixture();
+
+    run_for(&b, 10 * SECOND);
+    set_view(&b, 1, GW_MEMBER_DEAD, false);
+    run_for(&b, 100 * SECOND);
+    cr_assert_eq(count_usable(&b, 0), 2);
+    cr_assert_eq(count_usable(&b, 1), 2);
+    free_fixture(&b);
 }
 
-/* An instance is replaced under its name. Its old rows wait until what the
- * old process sent has ended, then the new one claims them. */
+/* An instance restarts under the same name. The rows of the old start are
+ * claimed only after the calls that it sent have ended. */
 Test(seats, restart_claims_after_the_hold_off)
 {
-    Bench b = make_bench();
-
-    run(&b, 10 * SECOND);
-    start(&b, 0, 2);
-    see(&b, 1, GW_MEMBER_ALIVE, true);
-    run(&b, 14 * SECOND);
-    cr_assert_eq(used(&b, 0), 0);
-    run(&b, 10 * SECOND);
-    cr_assert_eq(used(&b, 0), 2);
-    end_bench(&b);
+    Fixture b = make_fixture();
+
+    run_for(&b, 10 * SECOND);
+    start_entry(&b, 0, 2);
+    set_view(&b, 1, GW_MEMBER_ALIVE, true);
+    run_for(&b, 14 * SECOND);
+    cr_assert_eq(count_usable(&b, 0), 0);
+    run_for(&b, 10 * SECOND);
+    cr_assert_eq(count_usable(&b, 0), 2);
+    free_fixture(&b);
 }
 
-/* An entry leaves. Its seats go to the peer at once; with the peer out of
- * reach they are freed in the table, and claimed from there. */
-Test(seats, leaving_gives_all_away)
+/* An entry stops. Its seats go to the peer at once; if the peer is
+ * unreachable, they are freed in the table and claimed from there. */
+Test(seats, stopping_entry_hands_over_all_seats)
 {
     struct {
-        bool links_away;
+        bool are_links_down;
         int64_t given_us;
         int64_t used_us;
     } cases[] = {{false, SECOND / 2, 0}, {true, 12 * SECOND, 4 * SECOND}};
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        Bench b = make_bench();
-        run(&b, 10 * SECOND);
-        b.links_away = cases[i].links_away;
-        see(&b, 1, GW_MEMBER_LEAVING, true);
+        Fixture b = make_fixture();
+        run_for(&b, 10 * SECOND);
+        b.are_links_down = cases[i].are_links_down;
+        set_view(&b, 1, GW_MEMBER_LEAVING, true);
         GwSeats_Leave(b.entries[0].seats, b.now_us);
-        run(&b, cases[i].given_us);
+        run_for(&b, cases[i].given_us);
         cr_assert_eq(GwSeats_HeldCount(b.entries[0].seats), 0, "case %zu", i);
-        run(&b, cases[i].used_us);
-        cr_assert_eq(used(&b, 1), SEATS, "case %zu", i);
-        end_bench(&b);
+        run_for(&b, cases[i].used_us);
+        cr_assert_eq(count_usable(&b, 1), SEATS, "case %zu", i);
+        free_fixture(&b);
     }
 }
 
-/* Reads and writes at rest: one reading of all rows a poll, no writes. */
-Test(seats, cost_at_rest)
+/* Without changes an entry reads all rows once per poll period and writes
+ * nothing. */
+Test(seats, no_writes_without_changes)
 {
-    Bench b = make_bench();
+    Fixture b = make_fixture();
 
-    run(&b, 30 * SECOND);
+    run_for(&b, 30 * SECOND);
     b.reads = b.writes = 0;
-    run(&b, 300 * SECOND);
+    run_for(&b, 300 * SECOND);
     cr_assert_eq(b.writes, 0);
     cr_assert(b.reads > 180 && b.reads < 230, "%u", b.reads);
-    end_bench(&b);
+    free_fixture(&b);
 }
--- a/tests/unit/test_steer_backends.c
+++ b/tests/unit/test_steer_backends.c
@@ -1,9 +1,9 @@
-/* What an entry knows of one backend server, and how it ages. */
+/* State of one backend server: load reports, ejection, drains. */
 #include "steer/steer_internal.h"
 
 #include <criterion/criterion.h>
 
-Test(steer_backends, reports_age_to_unknown_never_to_idle)
+Test(steer_backends, stale_reports_count_as_unknown_never_idle)
 {
     struct {
         const char *name;
@@ -13,11 +13,13 @@
         uint64_t expected;
     } cases[] = {
         {"fresh", true, 1, 0, 0, 1},
-        {"own sight outranks a lower report", true, 0, 3, 0, 3},
-        {"never reported: half the slots", false, 0, 0, 0, 2},
-        {"late idle is unknown", true, 0, 0, GW_LOAD_FRESH_US + 1, 2},
-        {"late and full stays full", true, 4, 0, GW_LOAD_FRESH_US + 1, 4},
-        {"at the bound", true, 0, 0, GW_LOAD_FRESH_US, 0},
+        {"own count outranks a lower report", true, 0, 3, 0, 3},
+        {"no report: half the slots", false, 0, 0, 0, 2},
+        {"a stale idle report is unknown", true, 0, 0, GW_LOAD_FRESH_US + 1,
+         2},
+        {"a stale full report stays full", true, 4, 0, GW_LOAD_FRESH_US + 1,
+         4},
+        {"at the age limit", true, 0, 0, GW_LOAD_FRESH_US, 0},
     };
 
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
@@ -30,7 +32,7 @@
     }
 }
 
-Test(steer_backends, ejection_backs_off_and_returns_slowly)
+Test(steer_backends, ejection_backs_off_and_ends_in_slow_start)
 {
     GwBackendState b = {.slot_count = 4};
     GwRng rng = GwRng_Make(1);
@@ -55,13 +57,13 @@
                  GW_WEIGHT_FULL);
 }
 
-Test(steer_backends, ends_teach)
+Test(steer_backends, attempt_ends_update_the_state)
 {
     struct {
         const char *name;
         GwAttemptEvent end;
         uint32_t failures;
-        bool takes_work;
+        bool is_available;
     } cases[] = {
         {"answered", {.outcome = GW_OUTCOME_ANSWERED}, 0, true},
         {"no connection",
@@ -78,11 +80,11 @@
           .retry_after_ms = 50},
          0,
          false},
-        {"the answer says draining",
+        {"the answer reports draining",
          {.outcome = GW_OUTCOME_ANSWERED, .draining = true},
          0,
          false},
-        {"the caller hung up",
+        {"the caller disconnected",
          {.outcome = GW_OUTCOME_UNKNOWN, .reason = GW_REASON_CALLER_GONE},
          0,
          true},
@@ -93,23 +95,24 @@
         GwRng rng = GwRng_Make(1);
         GwBackend_RecordEnd(&b, 1000, 500, &cases[i].end, GW_MS(2000), &rng);
         cr_expect_eq(b.failures, cases[i].failures, "%s", cases[i].name);
-        cr_expect_eq(GwBackend_IsAvailable(&b, 1000), cases[i].takes_work,
+        cr_expect_eq(GwBackend_IsAvailable(&b, 1000), cases[i].is_available,
                      "%s", cases[i].name);
-        /* A drain that was seen does not lapse by itself; all else does. */
+        /* An observed drain does not expire by itself; the other states do. */
         cr_expect_eq(GwBackend_IsAvailable(&b, 1000 + GW_MS(2000)),
                      !cases[i].end.draining, "%s", cases[i].name);
     }
 }
 
-/* A server says in an answer that it drains; its health endpoint lags and says
- * "open" for a while. New work would reach a server that is leaving, so the
- * reading counts only when it is later than the observation's time. */
-Test(steer_backends, a_drain_ends_by_a_later_health_reading_only)
+/* A server reports in an answer that it is draining, while its health
+ * endpoint lags and reports it as open. New calls must not reach a server
+ * that is shutting down, so a health report ends the drain only if it is
+ * later than the observation's time. */
+Test(steer_backends, only_a_later_health_report_ends_an_observed_drain)
 {
     const struct {
-        int64_t open_at_ms; /* 0: the endpoint never said open */
+        int64_t open_at_ms; /* 0: the endpoint never reported it open */
         int64_t now_ms;
-        bool takes_work;
+        bool is_available;
     } cases[] = {{0, 1999, false},    {0, 2001, false},   {0, 900000, false},
                  {1999, 2500, false}, {2000, 2001, true}, {2500, 2600, true},
                  {2500, 900000, true}};
@@ -119,6 +122,6 @@
         GwBackend_RecordDrain(&b, GW_MS(2000));
         b.reported_open_us = GW_MS(cases[i].open_at_ms);
         cr_expect_eq(GwBackend_IsAvailable(&b, GW_MS(cases[i].now_ms)),
-                     cases[i].takes_work, "case %zu", i);
+                     cases[i].is_available, "case %zu", i);
     }
 }
