--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -18,15 +18,15 @@
 /* Records the earliest deadline among the waiting calls, as of the last
  * pass over the queue. A loan that ends before it cannot be used. */
 void
-GwService_NoteWait(GwServiceState *service, const GwPickAsk *ask,
+GwService_NoteWait(GwServiceState *service, const GwPickAsk *request,
                    const GwPick *out)
 {
     if (out->kind != GW_PICK_WAIT) {
         return;
     }
     if (!service->has_waiting ||
-        ask->deadline_us < service->wait_deadline_us) {
-        service->wait_deadline_us = ask->deadline_us;
+        request->deadline_us < service->wait_deadline_us) {
+        service->wait_deadline_us = request->deadline_us;
     }
     service->has_waiting = true;
 }
--- a/lib/steer/choose.c
+++ b/lib/steer/choose.c
@@ -59,12 +59,12 @@
  * that has recovered is found before its ejections end. */
 static bool
 is_panic(const GwSteer *s, int64_t now_us, GwServiceState *service,
-         const GwPickAsk *ask)
+         const GwPickAsk *request)
 {
     if (!mostly_ejected(service, now_us)) {
         return false;
     }
-    if (ask->relayed || !GwSteer_HasShift(s, ask->service)) {
+    if (request->relayed || !GwSteer_HasShift(s, request->service)) {
         return true;
     }
     if (now_us < service->panic_probe_us) {
@@ -83,7 +83,7 @@
         return b->own_free_count > 0 ||
                (b->borrowed_free_count > 0 &&
                 GwBackend_FindSlot(b, deadline_us) != GW_NONE);
-    case GW_POLICY_TWO:
+    case GW_POLICY_TWO_CHOICES:
         return b->in_flight < b->slot_count;
     case GW_POLICY_SUBSET:
         return b->in_subset && b->in_flight < b->slot_count;
@@ -112,20 +112,20 @@
 
 static uint32_t
 collect_candidates(GwSteer *s, int64_t now_us, GwServiceState *service,
-                   const GwPickAsk *ask, bool panic, bool avoid)
+                   const GwPickAsk *request, bool panic, bool avoid)
 {
     uint32_t count = 0;
 
     for (uint32_t i = 0; i < service->backend_count; i++) {
         GwBackendState *b = service->backends[i];
-        if (!has_capacity(s, b, ask->deadline_us) ||
+        if (!has_capacity(s, b, request->deadline_us) ||
             GwBackend_IsDraining(b, now_us) || b->shed_until_us > now_us) {
             continue;
         }
         if (!panic && GwBackend_IsEjected(b, now_us)) {
             continue;
         }
-        if (avoid && b->id == ask->avoid_backend) {
+        if (avoid && b->id == request->avoid_backend) {
             continue;
         }
         service->scratch[count++] = b;
@@ -174,21 +174,21 @@
  * attempt is used only when no other has capacity. */
 GwBackendState *
 GwSteer_ChooseBackend(GwSteer *s, int64_t now_us, GwServiceState *service,
-                      const GwPickAsk *ask)
+                      const GwPickAsk *request)
 {
-    bool panic = is_panic(s, now_us, service, ask);
-    uint32_t count = collect_candidates(s, now_us, service, ask, panic,
-                                        ask->avoid_backend != 0);
+    bool panic = is_panic(s, now_us, service, request);
+    uint32_t count = collect_candidates(s, now_us, service, request, panic,
+                                        request->avoid_backend != 0);
 
-    if (count == 0 && ask->avoid_backend != 0) {
-        count = collect_candidates(s, now_us, service, ask, panic, false);
+    if (count == 0 && request->avoid_backend != 0) {
+        count = collect_candidates(s, now_us, service, request, panic, false);
     }
     if (count == 0) {
         return NULL;
     }
     switch ((GwPolicyKind)s->params.policy) {
     case GW_POLICY_SLOTS:
-    case GW_POLICY_TWO:
+    case GW_POLICY_TWO_CHOICES:
         return choose_of_two(s, now_us, service, count);
     case GW_POLICY_SUBSET:
         return least_in_flight(s, service, count);
--- a/lib/steer/grants.c
+++ b/lib/steer/grants.c
@@ -179,14 +179,14 @@
  * have a unit left. The source enforces the same; this check also holds if
  * it does not. */
 bool
-GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us, const GwPickAsk *ask)
+GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us, const GwPickAsk *request)
 {
-    const GwLent *lent = GwSteer_FindLent(s, ask->grant);
-    const GwServiceState *service = s->by_index[ask->service];
+    const GwLent *lent = GwSteer_FindLent(s, request->grant);
+    const GwServiceState *service = s->by_index[request->service];
 
     if (lent == NULL || lent->kind != GW_UNIT_SHIFT ||
         lent->service != service->hash ||
-        !GwNodeId_Equal(lent->peer, ask->relay_from) ||
+        !GwNodeId_Equal(lent->peer, request->relay_from) ||
         lent->expires_us <= now_us) {
         return false;
     }
@@ -300,7 +300,8 @@
  * well. */
 bool
 GwSteer_PickPeer(GwSteer *s, int64_t now_us, GwServiceState *service,
-                 const GwPickAsk *ask, const GwMembers *members, GwPick *out)
+                 const GwPickAsk *request, const GwMembers *members,
+                 GwPick *out)
 {
     uint32_t n = s->borrowed->len;
     uint32_t start = n > 0 ? GwRng_Below(&s->rng, n) : 0;
@@ -314,10 +315,10 @@
             &g_array_index(s->borrowed, GwBorrowed, (start + i) % n);
         if (b->kind != GW_UNIT_SHIFT || b->service != service->hash ||
             b->dropped || b->pause_until_us > now_us ||
-            b->use_until_us <= ask->deadline_us) {
+            b->use_until_us <= request->deadline_us) {
             continue;
         }
-        if (!is_in_time(service, now_us, b, ask->deadline_us)) {
+        if (!is_in_time(service, now_us, b, request->deadline_us)) {
             late = true;
             continue;
         }
--- a/lib/steer/steer.c
+++ b/lib/steer/steer.c
@@ -338,19 +338,20 @@
 
 static void
 start_local(GwSteer *s, int64_t now_us, GwServiceState *service,
-            GwBackendState *b, const GwPickAsk *ask, GwPick *out)
+            GwBackendState *b, const GwPickAsk *request, GwPick *out)
 {
     GwUse *use = GwSteer_BeginUse(s, now_us, service, &out->use);
 
     use->backend = b;
     b->in_flight++;
     if (s->params.policy == GW_POLICY_SLOTS) {
-        use->slot = GwBackend_FindSlot(b, ask->deadline_us);
+        use->slot = GwBackend_FindSlot(b, request->deadline_us);
         b->slots[use->slot].in_use = true;
         GwBackend_RefreshSlot(b, use->slot, now_us);
     }
-    GwLent *lent = ask->grant != 0 ? GwSteer_FindLent(s, ask->grant) : NULL;
-    if (ask->relayed && lent != NULL) {
+    GwLent *lent =
+        request->grant != 0 ? GwSteer_FindLent(s, request->grant) : NULL;
+    if (request->relayed && lent != NULL) {
         use->lent_loan = lent->id;
         lent->in_flight++;
     }
@@ -363,15 +364,15 @@
  * refuses with the reason. */
 static void
 wait_or_refuse(const GwSteer *s, int64_t now_us, const GwServiceState *service,
-               const GwPickAsk *ask, GwPick *out)
+               const GwPickAsk *request, GwPick *out)
 {
-    if (!ask->relayed && GwSteer_HasShift(s, ask->service)) {
+    if (!request->relayed && GwSteer_HasShift(s, request->service)) {
         return;
     }
     if (!service->has_place) {
         refuse(out, GW_REASON_NO_PLACE);
     }
-    else if (!GwSteer_CanServe(s, now_us, ask->service)) {
+    else if (!GwSteer_CanServe(s, now_us, request->service)) {
         refuse(out, GW_REASON_DRAINING);
     }
     else if (!GwService_HasSlots(service)) {
@@ -383,41 +384,41 @@
  * refused: a second relay could form a loop while its unit is counted
  * twice. */
 void
-GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *ask,
+GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *request,
              const GwMembers *members, GwSeats *seats, GwPick *out)
 {
     memset(out, 0, sizeof(*out));
     if (s->config == NULL || s->region == GW_NONE ||
-        ask->service >= s->config->service_count) {
+        request->service >= s->config->service_count) {
         refuse(out,
                s->config == NULL ? GW_REASON_NOT_READY : GW_REASON_NO_SERVICE);
         return;
     }
     sync_seats(s, now_us, seats);
-    GwServiceState *service = s->by_index[ask->service];
-    if (ask->relayed && ask->grant != 0 &&
-        !GwSteer_GrantAdmits(s, now_us, ask)) {
+    GwServiceState *service = s->by_index[request->service];
+    if (request->relayed && request->grant != 0 &&
+        !GwSteer_GrantAdmits(s, now_us, request)) {
         refuse(out, GW_REASON_NO_GRANT);
         return;
     }
-    if (!ask->relayed && GwSteer_DrawShift(s, ask->service) &&
-        GwSteer_PickPeer(s, now_us, service, ask, members, out)) {
+    if (!request->relayed && GwSteer_DrawShift(s, request->service) &&
+        GwSteer_PickPeer(s, now_us, service, request, members, out)) {
         return;
     }
     GwBackendState *b = NULL;
     if (service->has_place && !service->place_drain) {
-        b = GwSteer_ChooseBackend(s, now_us, service, ask);
+        b = GwSteer_ChooseBackend(s, now_us, service, request);
     }
     if (b != NULL) {
-        start_local(s, now_us, service, b, ask, out);
+        start_local(s, now_us, service, b, request, out);
         return;
     }
-    if (!ask->relayed &&
-        GwSteer_PickPeer(s, now_us, service, ask, members, out)) {
+    if (!request->relayed &&
+        GwSteer_PickPeer(s, now_us, service, request, members, out)) {
         return;
     }
-    wait_or_refuse(s, now_us, service, ask, out);
-    GwService_NoteWait(service, ask, out);
+    wait_or_refuse(s, now_us, service, request, out);
+    GwService_NoteWait(service, request, out);
 }
 
 /* Updates the grant from the end of a call relayed on it. */
--- a/lib/steer/steer.h
+++ b/lib/steer/steer.h
@@ -16,9 +16,9 @@
 typedef struct GwSteer_s GwSteer;
 
 typedef enum {
-    GW_POLICY_SLOTS = 0, /* hard slot shares by seat, lent when idle */
-    GW_POLICY_TWO = 1,   /* power of two choices by calls and reports */
-    GW_POLICY_SUBSET = 2 /* subset of the servers, fewest calls first */
+    GW_POLICY_SLOTS = 0,       /* hard slot shares by seat, lent when idle */
+    GW_POLICY_TWO_CHOICES = 1, /* by in-flight calls and reports */
+    GW_POLICY_SUBSET = 2       /* subset of the servers, fewest calls first */
 } GwPolicyKind;
 
 typedef enum {
@@ -72,7 +72,7 @@
                      const GwMembers *members, GwSeats *seats,
                      const uint32_t *queued, GwActions *out);
 
-void GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *ask,
+void GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *request,
                   const GwMembers *members, GwSeats *seats, GwPick *out);
 /* Reports the end of an attempt that GwSteer_Pick() returned.
  * `hold_until_us` is when the backend server has certainly stopped running
--- a/tests/property/steer_cases.cpp
+++ b/tests/property/steer_cases.cpp
@@ -281,7 +281,7 @@
 void
 policies()
 {
-    for (uint32_t policy : {GW_POLICY_TWO, GW_POLICY_SUBSET}) {
+    for (uint32_t policy : {GW_POLICY_TWO_CHOICES, GW_POLICY_SUBSET}) {
         Entry e(TestConfig(2, 0, 0, false, 3), "here", policy);
         uint32_t started = 0;
         while (e.pick().kind == GW_PICK_BACKEND && started < 100) {
