--- a/lib/steer/seat_handover.c
+++ b/lib/steer/seat_handover.c
@@ -135,8 +135,8 @@
 /* Offers a released seat: GW_SEAT_SENDS_PER_PEER sends to each of up to
  * GW_SEAT_PEERS_MAX peers. */
 static void
-offer(GwSeats *s, int64_t now_us, uint32_t seat, const GwMembers *members,
-      GwActions *out)
+send_offer(GwSeats *s, int64_t now_us, uint32_t seat, const GwMembers *members,
+           GwActions *out)
 {
     GwSeat *t = &s->seats[seat];
     const GwMember *to = NULL;
@@ -176,7 +176,7 @@
     for (uint32_t seat = 0; seat < s->max_total; seat++) {
         GwSeat *t = &s->seats[seat];
         if (t->state == GW_SEAT_RELEASED) {
-            offer(s, now_us, seat, members, out);
+            send_offer(s, now_us, seat, members, out);
         }
         else if (t->state == GW_SEAT_GIVEN &&
                  now_us - t->given_us > GW_SEAT_TAKE_TIMEOUT_US) {
@@ -210,7 +210,7 @@
     t->offer.tries = 0;
     t->offer.sent_us = 0;
     GwSeats_SetState(s, seat, GW_SEAT_RELEASED, out);
-    offer(s, now_us, seat, members, out);
+    send_offer(s, now_us, seat, members, out);
 }
 
 /* Whether to accept an offer. An offer of a stopping entry is always
--- a/lib/steer/seats.c
+++ b/lib/steer/seats.c
@@ -73,7 +73,7 @@
  * determined by reading. A later reply is ignored, since its content may be
  * outdated. */
 static void
-expire(GwSeats *s, int64_t now_us)
+expire_requests(GwSeats *s, int64_t now_us)
 {
 #if GW_MUTANT != 51 /* breaks: an older read does not end the fence */
     if (s->list.token != 0 &&
@@ -103,7 +103,7 @@
              GwActions *out)
 {
     GwSeats_CheckPause(s, now_us, out);
-    expire(s, now_us);
+    expire_requests(s, now_us);
     if (s->next_list_us == 0) {
         s->next_list_us = now_us + GwRng_Jitter(&s->rng, GW_SEAT_FIRST_READ_US,
                                                 GW_SEAT_FIRST_READ_US / 2);
@@ -116,7 +116,7 @@
 
 /* The seat number in a row's key; GW_NONE for other keys. */
 static uint32_t
-seat_of(const GwSeats *s, const char *key)
+parse_seat_key(const GwSeats *s, const char *key)
 {
     guint64 seat = 0;
     const char *number = strrchr(key, '/');
@@ -151,7 +151,7 @@
 }
 
 static void
-object(GwSeats *s, int64_t now_us, GwActions *out)
+send_objections(GwSeats *s, int64_t now_us, GwActions *out)
 {
     for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeat *t = &s->seats[i];
@@ -170,7 +170,7 @@
 {
     s->list_round++;
     for (uint32_t i = 0; i < reply->row_count; i++) {
-        uint32_t seat = seat_of(s, reply->rows[i].key);
+        uint32_t seat = parse_seat_key(s, reply->rows[i].key);
         if (seat == GW_NONE) {
             continue;
         }
@@ -186,7 +186,7 @@
         s->fenced = false;
         s->epoch++;
     }
-    object(s, now_us, out);
+    send_objections(s, now_us, out);
     if (!s->leaving) {
         GwSeats_ReclaimStale(s, now_us, members, out);
         GwSeats_Rebalance(s, now_us, members, out);
