--- a/lib/member/digests.c
+++ b/lib/member/digests.c
@@ -1,11 +1,11 @@
-/* Load digests: stored in bounded number, carried in bounded number. */
+/* Load digests of members: bounded storage, and selection for sending. */
 #include "member/member_internal.h"
 
-/* A digest of a foreign member not renewed for this long makes room. */
+/* A stored digest of another region that is older than this is replaced. */
 #define GW_DIGEST_STALE_US 10000000LL
 
 static GwForeignDigests *
-foreign_region(GwMembers *m, uint32_t region)
+find_foreign_region(GwMembers *m, uint32_t region)
 {
     for (uint32_t i = 0; i < m->foreign_count; i++) {
         if (m->foreign[i].region == region) {
@@ -20,24 +20,24 @@
     return f;
 }
 
-/* Whether digests of this member are stored. All of the own region are; of
- * another region a few, which is enough to choose whom to ask there and keeps
- * the memory small at hundreds of members. */
+/* Returns whether digests of this member are stored. In the own region all
+ * are. Of each other region only a few are, which suffices to choose an
+ * entry there and bounds the memory at hundreds of members. */
 static bool
-may_store(GwMembers *m, int64_t now_us, const GwRecord *r)
+reserve_digest_slot(GwMembers *m, int64_t now_us, const GwRecord *r)
 {
     if (r->pub.info.region == m->self.region) {
         return true;
     }
-    GwForeignDigests *f = foreign_region(m, r->pub.info.region);
+    GwForeignDigests *f = find_foreign_region(m, r->pub.info.region);
     uint32_t place = GW_FOREIGN_DIGESTS_MAX;
 
     for (uint32_t i = 0; f != NULL && i < GW_FOREIGN_DIGESTS_MAX; i++) {
         if (f->nodes[i] == r->pub.info.id.node) {
             return true;
         }
-        GwRecord *holder = GwMembers_Record(m, f->nodes[i]);
-        if (holder == NULL || holder->said != GW_MEMBER_ALIVE ||
+        GwRecord *holder = GwMembers_FindRecord(m, f->nodes[i]);
+        if (holder == NULL || holder->gossip_state != GW_MEMBER_ALIVE ||
             now_us - holder->digest_us > GW_DIGEST_STALE_US) {
             place = i;
         }
@@ -45,7 +45,7 @@
     if (f == NULL || place == GW_FOREIGN_DIGESTS_MAX) {
         return false;
     }
-    GwRecord *old = GwMembers_Record(m, f->nodes[place]);
+    GwRecord *old = GwMembers_FindRecord(m, f->nodes[place]);
     if (old != NULL) {
         old->digest_count = 0;
     }
@@ -64,14 +64,16 @@
     return NULL;
 }
 
-/* Keeps the newest digest by (node, service); of the present start only. */
+/* Stores the newest digest per node and service, for the current start
+ * only. */
 void
 GwMembers_StoreDigest(GwMembers *m, int64_t now_us, const GwDigest *d)
 {
-    GwRecord *r = GwMembers_Record(m, d->id.node);
+    GwRecord *r = GwMembers_FindRecord(m, d->id.node);
 
-    if (r == NULL || r->said == GW_MEMBER_DEAD ||
-        r->pub.info.id.start != d->id.start || !may_store(m, now_us, r)) {
+    if (r == NULL || r->gossip_state == GW_MEMBER_DEAD ||
+        r->pub.info.id.start != d->id.start ||
+        !reserve_digest_slot(m, now_us, r)) {
         return;
     }
     GwDigest *known = find_digest(r, d->service);
@@ -91,8 +93,9 @@
     r->digest_us = now_us;
 }
 
-/* Own digests always; then some known ones, drawn at random. Another region
- * gets fewer: it asks only one or two members of ours. */
+/* Adds the own digests, then some stored ones drawn at random. Other
+ * regions get fewer, since they send requests to only one or two of our
+ * members. */
 void
 GwMembers_FillDigests(GwMembers *m, const GwRecord *to, const GwCargo *cargo,
                       GwHeartbeat *hb)
@@ -106,8 +109,8 @@
     for (uint32_t i = 0; i < want && m->visible > 0; i++) {
         const GwRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
-        if (r == to || r->said == GW_MEMBER_DEAD || r->digest_count == 0 ||
-            hb->digest_count >= GW_DIGESTS_MAX) {
+        if (r == to || r->gossip_state == GW_MEMBER_DEAD ||
+            r->digest_count == 0 || hb->digest_count >= GW_DIGESTS_MAX) {
             continue;
         }
         hb->digests[hb->digest_count++] =
@@ -115,11 +118,11 @@
     }
 }
 
-/* Newest digest of a member for a service, or NULL. */
+/* Returns the newest digest of a member for a service, or NULL. */
 const GwDigest *
 GwMembers_Digest(const GwMembers *m, uint64_t node, uint64_t service)
 {
-    const GwRecord *r = GwMembers_Record(m, node);
+    const GwRecord *r = GwMembers_FindRecord(m, node);
 
     return r == NULL ? NULL : find_digest(r, service);
 }
--- a/lib/member/gossip.c
+++ b/lib/member/gossip.c
@@ -1,16 +1,17 @@
-/* Updates: what is carried with heartbeats, and how it is taken in. */
+/* Gossip of member updates: selection for sending, and merging. */
 #include "member/member_internal.h"
 
 #include <string.h>
 
-/* Known members sent without being news: so that a table which missed an
- * update for good, since all its sends were lost, still converges. */
-#define GW_REMINDERS_MAX 2
-/* Whoever we met this lately is new, or we are: it gets full messages. */
-#define GW_NEWCOMER_US 20000000LL
+/* Random known members added to each message. A table that missed an update
+ * for good, because all its sends were lost, still converges. */
+#define GW_RANDOM_UPDATES_MAX 2
+/* A member confirmed less than this ago gets full messages: either that
+ * member or this node has just joined. */
+#define GW_BOOTSTRAP_US 20000000LL
 
-/* How often an update is sent: 3 * log2(n), enough to reach all with high
- * probability whatever the single losses. */
+/* How often an update is sent: 3 * log2(n), enough to reach all members
+ * with high probability despite single losses. */
 static uint32_t
 sends_limit(const GwMembers *m)
 {
@@ -19,55 +20,55 @@
     for (uint32_t n = m->live + 1; n > 1; n >>= 1) {
         bits++;
     }
-    return MIN(3 * bits, GW_RUMOR_SENDS_MAX - 1);
+    return MIN(3 * bits, GW_UPDATE_SENDS_MAX - 1);
 }
 
 static void
 enqueue(GwMembers *m, GwRecord *r, bool at_head)
 {
-    GQueue *queues =
-        r->said == GW_MEMBER_LEAVING ? m->leaving_rumors : m->rumors;
-    GQueue *queue = &queues[r->rumor_sends];
+    GQueue *queues = r->gossip_state == GW_MEMBER_LEAVING ? m->leaving_updates
+                                                          : m->queued_updates;
+    GQueue *queue = &queues[r->update_sends];
 
-    r->rumor_queue = queue;
+    r->update_queue = queue;
     if (at_head) {
-        g_queue_push_head_link(queue, &r->rumor_link);
+        g_queue_push_head_link(queue, &r->update_link);
     }
     else {
-        g_queue_push_tail_link(queue, &r->rumor_link);
+        g_queue_push_tail_link(queue, &r->update_link);
     }
 }
 
-/* Stops carrying the update of a member. */
+/* Takes the update of a member off its queue. */
 void
-GwMembers_StopSpread(GwRecord *r)
+GwMembers_DequeueUpdate(GwRecord *r)
 {
-    if (r->rumor_queue != NULL) {
-        g_queue_unlink(r->rumor_queue, &r->rumor_link);
-        r->rumor_queue = NULL;
+    if (r->update_queue != NULL) {
+        g_queue_unlink(r->update_queue, &r->update_link);
+        r->update_queue = NULL;
     }
 }
 
-/* Carries the update of a member from now on, before older ones. */
+/* Queues the update of a member for sending, before older ones. */
 void
-GwMembers_Spread(GwMembers *m, GwRecord *r)
+GwMembers_QueueUpdate(GwMembers *m, GwRecord *r)
 {
-    GwMembers_StopSpread(r);
-    r->rumor_sends = 0;
+    GwMembers_DequeueUpdate(r);
+    r->update_sends = 0;
     enqueue(m, r, true);
 }
 
-/* What the protocol says of a member, as it goes on the wire. */
+/* Returns the info of a member with its gossip state, as sent to peers. */
 static GwMemberInfo
-wire_info(const GwRecord *r)
+make_wire_info(const GwRecord *r)
 {
     GwMemberInfo info = r->pub.info;
-    info.state = r->said;
+    info.state = r->gossip_state;
     return info;
 }
 
 static bool
-is_in(const GwHeartbeat *hb, uint64_t node)
+has_update(const GwHeartbeat *hb, uint64_t node)
 {
     for (uint32_t i = 0; i < hb->update_count; i++) {
         if (hb->updates[i].id.node == node) {
@@ -80,83 +81,88 @@
 static void
 add_update(GwHeartbeat *hb, const GwRecord *r)
 {
-    if (hb->update_count < GW_UPDATES_MAX && !is_in(hb, r->pub.info.id.node)) {
-        hb->updates[hb->update_count++] = wire_info(r);
+    if (hb->update_count < GW_UPDATES_MAX &&
+        !has_update(hb, r->pub.info.id.node)) {
+        hb->updates[hb->update_count++] = make_wire_info(r);
     }
 }
 
 static void
-take_rumors(GwMembers *m, GQueue *queues, GwHeartbeat *hb)
+add_queued_updates(GwMembers *m, GQueue *queues, GwHeartbeat *hb)
 {
     uint32_t limit = sends_limit(m);
     GwRecord *taken[GW_UPDATES_MAX];
     uint32_t count = 0;
 
-    for (uint32_t sends = 0; sends < GW_RUMOR_SENDS_MAX; sends++) {
+    for (uint32_t sends = 0; sends < GW_UPDATE_SENDS_MAX; sends++) {
         GQueue *queue = &queues[sends];
         while (queue->head != NULL && count < GW_UPDATES_MAX &&
                hb->update_count < GW_UPDATES_MAX) {
             GwRecord *r = queue->head->data;
             add_update(hb, r);
-            GwMembers_StopSpread(r);
+            GwMembers_DequeueUpdate(r);
             taken[count++] = r;
         }
     }
     for (uint32_t i = 0; i < count; i++) {
-        taken[i]->rumor_sends++;
-        if (taken[i]->rumor_sends < limit) {
+        taken[i]->update_sends++;
+        if (taken[i]->update_sends < limit) {
             enqueue(m, taken[i], false);
         }
     }
 }
 
 static void
-add_reminders(GwMembers *m, GwHeartbeat *hb)
+add_random_updates(GwMembers *m, GwHeartbeat *hb)
 {
-    for (uint32_t i = 0; i < GW_REMINDERS_MAX && m->records->len > 0; i++) {
+    for (uint32_t i = 0; i < GW_RANDOM_UPDATES_MAX && m->records->len > 0;
+         i++) {
         GwRecord *r = g_ptr_array_index(m->records,
                                         GwRng_Below(&m->rng, m->records->len));
-        if (!r->forgotten) {
+        if (!r->is_tombstone) {
             add_update(hb, r);
         }
     }
 }
 
-/* Fills the message to a newcomer with live members, those of its region
- * first: it would else learn of hundreds by the few reminders only. */
+/* Fills a message to a recently confirmed member with live members, mainly
+ * of the receiver's region. Otherwise a new entry would learn of hundreds
+ * of members only through the few random updates. */
 static void
-add_introductions(GwMembers *m, const GwRecord *to, GwHeartbeat *hb)
+add_bootstrap_members(GwMembers *m, const GwRecord *to, GwHeartbeat *hb)
 {
-    if (to == NULL || m->tick_us - to->met_us > GW_NEWCOMER_US) {
+    if (to == NULL || m->tick_us - to->confirmed_us > GW_BOOTSTRAP_US) {
         return;
     }
     for (uint32_t i = 0; i < 4 * GW_UPDATES_MAX && m->visible > 0; i++) {
         const GwRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
         bool near = r->pub.info.region == to->pub.info.region;
-        if (r->said == GW_MEMBER_ALIVE && (near || i >= 3 * GW_UPDATES_MAX)) {
+        if (r->gossip_state == GW_MEMBER_ALIVE &&
+            (near || i >= 3 * GW_UPDATES_MAX)) {
             add_update(hb, r);
         }
     }
 }
 
-/* Own info first: it answers who is speaking. Then what we hold of the
- * receiver when that is not "alive": only it can refute. Then members that
- * leave, then news by the number of sends, then reminders. */
+/* Fills a message with updates in this order: the sender's own info, which
+ * identifies the sender; the receiver's state if it is not ALIVE, since
+ * only the receiver can refute it; leaving members; other queued updates,
+ * those with the fewest sends first; random members. */
 void
 GwMembers_FillUpdates(GwMembers *m, const GwRecord *to, GwHeartbeat *hb)
 {
     hb->updates[hb->update_count++] = m->self;
-    if (to != NULL && to->said != GW_MEMBER_ALIVE) {
+    if (to != NULL && to->gossip_state != GW_MEMBER_ALIVE) {
         add_update(hb, to);
     }
-    take_rumors(m, m->leaving_rumors, hb);
-    take_rumors(m, m->rumors, hb);
-    add_reminders(m, hb);
-    add_introductions(m, to, hb);
+    add_queued_updates(m, m->leaving_updates, hb);
+    add_queued_updates(m, m->queued_updates, hb);
+    add_random_updates(m, hb);
+    add_bootstrap_members(m, to, hb);
 }
 
-/* Larger start, then larger incarnation, then larger state. */
+/* Orders updates by start, then incarnation, then state. */
 static bool
 supersedes(const GwMemberInfo *u, GwNodeId id, uint32_t incarnation,
            GwMemberState state)
@@ -170,8 +176,8 @@
     return u->state > state;
 }
 
-/* Somebody says that this process is suspect or dead: a larger incarnation
- * than the claim's refutes it, since no one else may raise ours. */
+/* Refutes a claim that this process is suspect or dead, by an incarnation
+ * above the claim's. No other node may raise our incarnation. */
 static bool
 refute(GwMembers *m, const GwMemberInfo *u)
 {
@@ -186,8 +192,8 @@
 }
 
 static void
-adopt(GwMembers *m, int64_t now_us, GwRecord *r, const GwMemberInfo *u,
-      GwActions *out)
+overwrite_record(GwMembers *m, int64_t now_us, GwRecord *r,
+                 const GwMemberInfo *u, GwActions *out)
 {
     GwMemberState shown = r->pub.info.state;
     bool restarted = u->id.start != r->pub.info.id.start;
@@ -202,29 +208,30 @@
         r->pub.config_version = 0;
     }
     if (u->state != GW_MEMBER_SUSPECT) {
-        GwMembers_ClearDoubt(m, r);
+        GwMembers_ClearSuspicion(m, r);
     }
-    bool was_dead = r->said == GW_MEMBER_DEAD;
+    bool was_dead = r->gossip_state == GW_MEMBER_DEAD;
     GwMembers_SetState(m, now_us, r, u->state, out);
     if (was_dead && u->state != GW_MEMBER_DEAD) {
         GwMembers_JoinRound(m, r);
     }
-    GwMembers_Spread(m, r);
+    GwMembers_QueueUpdate(m, r);
 }
 
-/* Hearsay that a member is suspect or dead does not outrank our own ears. A
- * member heard directly within the suspicion time is told of the claim, and
- * keeps its state here. One heard longer ago is suspected, whatever the claim:
- * the time-out that follows is its chance to refute. Without this, two regions
- * that meet again would pass on the verdicts of the time apart, and a region
- * would hold its own live members dead for a moment. A member that is gone in
- * truth is out one suspicion later. Returns false when the update is not to be
- * taken in. */
+/* Decides whether to apply a claim from a third party that a member is
+ * suspect or dead. A member that sent us a message within the suspicion
+ * time-out keeps its state and is sent the claim, to refute it. A member
+ * heard from longer ago becomes suspect, even if the claim is DEAD, so that
+ * it can still refute. Otherwise two regions that reconnect after a
+ * partition would spread the states of that time, and a region would
+ * consider its own live members dead for a moment. The cost: a member that
+ * is really dead is removed one suspicion time-out later. Returns false if
+ * the update must not be applied. */
 static bool
-temper(GwMembers *m, int64_t now_us, GwRecord *r, GwMemberInfo *u,
-       const GwCargo *cargo, GwActions *out)
+accept_indirect_claim(GwMembers *m, int64_t now_us, GwRecord *r,
+                      GwMemberInfo *u, const GwCargo *cargo, GwActions *out)
 {
-#if GW_MUTANT == 42 /* breaks: hearsay outranks our own ears */
+#if GW_MUTANT == 42 /* breaks: an indirect claim overrides direct messages */
     return true;
 #endif
     if ((u->state != GW_MEMBER_SUSPECT && u->state != GW_MEMBER_DEAD) ||
@@ -232,67 +239,69 @@
         return true;
     }
     if (now_us - r->pub.heard_us < m->params.suspect_timeout_ms * 1000LL) {
-        GwMembers_Accuse(m, now_us, r, u, cargo, out);
+        GwMembers_SendClaim(m, now_us, r, u, cargo, out);
         return false;
     }
-    if (r->said == GW_MEMBER_ALIVE || r->said == GW_MEMBER_SUSPECT) {
+    if (r->gossip_state == GW_MEMBER_ALIVE ||
+        r->gossip_state == GW_MEMBER_SUSPECT) {
         u->state = GW_MEMBER_SUSPECT;
     }
-    return supersedes(u, r->pub.info.id, r->pub.info.incarnation, r->said);
+    return supersedes(u, r->pub.info.id, r->pub.info.incarnation,
+                      r->gossip_state);
 }
 
 static bool
-learn_new(GwMembers *m, int64_t now_us, const GwMemberInfo *u)
+insert_member(GwMembers *m, int64_t now_us, const GwMemberInfo *u)
 {
     if (u->state == GW_MEMBER_DEAD) {
         return false;
     }
-    GwRecord *r = GwMembers_Insert(m, now_us, u);
+    GwRecord *r = GwMembers_InsertRecord(m, now_us, u);
     if (r == NULL) {
         return false;
     }
     GwMembers_JoinRound(m, r);
-    GwMembers_Spread(m, r);
+    GwMembers_QueueUpdate(m, r);
     if (r->pub.info.region == m->self.region) {
-        g_array_append_val(m->strangers, r->pub.info.id.node);
+        g_array_append_val(m->unconfirmed, r->pub.info.id.node);
     }
     return true;
 }
 
-/* Takes in one update; `direct` when the member itself said it. Returns true
- * when the table changed. */
+/* Applies one update; `direct` if it came from its subject. Returns true if
+ * the table changed. */
 bool
-GwMembers_Apply(GwMembers *m, int64_t now_us, const GwMemberInfo *update,
-                bool direct, const GwCargo *cargo, GwActions *out)
+GwMembers_ApplyUpdate(GwMembers *m, int64_t now_us, const GwMemberInfo *update,
+                      bool direct, const GwCargo *cargo, GwActions *out)
 {
     GwMemberInfo u = *update;
-    GwRecord *r = GwMembers_Record(m, u.id.node);
+    GwRecord *r = GwMembers_FindRecord(m, u.id.node);
 
     if (u.id.node == m->self.id.node) {
         return refute(m, &u);
     }
     if (r == NULL) {
-        if (!learn_new(m, now_us, &u)) {
+        if (!insert_member(m, now_us, &u)) {
             return false;
         }
-        r = GwMembers_Record(m, u.id.node);
+        r = GwMembers_FindRecord(m, u.id.node);
     }
     else {
 #if GW_MUTANT == 41 /* breaks: an old ALIVE revives the dead */
         if (u.id.start < r->pub.info.id.start) {
 #else
         if (!supersedes(&u, r->pub.info.id, r->pub.info.incarnation,
-                        r->said)) {
+                        r->gossip_state)) {
 #endif
             return false;
         }
-        if (!direct && !temper(m, now_us, r, &u, cargo, out)) {
+        if (!direct && !accept_indirect_claim(m, now_us, r, &u, cargo, out)) {
             return false;
         }
-        adopt(m, now_us, r, &u, out);
+        overwrite_record(m, now_us, r, &u, out);
     }
     if (u.state == GW_MEMBER_SUSPECT) {
-        GwMembers_Doubt(m, now_us, r, cargo, out);
+        GwMembers_Suspect(m, now_us, r, cargo, out);
     }
     return true;
 }
--- a/lib/member/member.h
+++ b/lib/member/member.h
@@ -1,9 +1,11 @@
-/* Membership: who is in the cluster, who is alive, who is leaving.
+/* SWIM-style membership and failure detection.
  *
- * Each period a node probes one member in a shuffled round; a probe without
- * ack is tried through others; then the member is suspected, and after a
- * time-out held dead. Updates travel on probes and acks in bounded number.
- * Suspicion steers traffic away; it never frees a seat (steer/seats.h). */
+ * Each period a node probes the next member of a shuffled round. A probe
+ * without an ack is repeated through other members; if those fail too, the
+ * member becomes suspect, and dead when the suspicion times out. A bounded
+ * number of member updates is carried on each probe and ack. A suspicion
+ * moves traffic away from a member; it never frees its seat
+ * (steer/seats.h). */
 #ifndef GW_MEMBER_MEMBER_H
 #define GW_MEMBER_MEMBER_H
 
@@ -12,10 +14,10 @@
 
 typedef struct GwMembers_s GwMembers;
 
-/* What the owner of the member table wants carried with heartbeats. */
+/* Data of other parts of the node that is carried on heartbeats. */
 typedef struct {
     uint64_t config_version;
-    uint32_t digest_count; /* own digests, one a service */
+    uint32_t digest_count; /* own digests, one per service */
     GwDigest digests[GW_DIGESTS_MAX];
     uint32_t drain_count;
     GwDrainHint drains[GW_DRAINS_MAX];
@@ -23,39 +25,44 @@
 
 typedef struct {
     GwMemberInfo info;
-    int64_t heard_us; /* last message from it; 0 never */
+    int64_t heard_us; /* time of the last message from the member; 0: never */
     int64_t state_since_us;
-    uint64_t config_version; /* as its last heartbeat said */
+    uint64_t config_version; /* as in the last heartbeat */
 } GwMember;
 
 GwMembers *GwMembers_Create(const GwNodeParams *params);
 void GwMembers_Free(GwMembers *m);
-/* False while a tick at this time sends nothing, whatever its cargo. */
+/* Returns false if a tick at `now_us` would send nothing, whatever `cargo`
+ * holds. */
 bool GwMembers_IsDue(const GwMembers *m, int64_t now_us);
 void GwMembers_Tick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
                     GwActions *out);
-/* PROBE, ACK and PING_REQ. Returns true when the table changed. */
+/* Handles PROBE, ACK and PING_REQ. Returns true if the table changed. */
 bool GwMembers_Receive(GwMembers *m, int64_t now_us, const GwMessage *msg,
                        const GwCargo *cargo, GwActions *out);
-/* The platform's list: names to seed from, leaving believed at once. */
+/* Replaces the platform's list of instances: names and addresses to join
+ * through. A "leaving" mark takes effect at once. */
 void GwMembers_Listed(GwMembers *m, int64_t now_us, const GwListEvent *list,
                       GwActions *out);
-/* Announce that this node leaves, to everyone at once. */
+/* Announces that this node is leaving to its whole region and to some
+ * members of other regions. */
 void GwMembers_Leave(GwMembers *m, int64_t now_us, const GwCargo *cargo,
                      GwActions *out);
-/* Send `hurry` probes now: a change has to spread (a new config version). */
-void GwMembers_Hurry(GwMembers *m, int64_t now_us, uint32_t hurry,
+/* Sends `count` probes to random members now, to spread a change such as a
+ * new configuration version. */
+void GwMembers_Hurry(GwMembers *m, int64_t now_us, uint32_t count,
                      const GwCargo *cargo, GwActions *out);
 
-/* Members not held dead, candidates included. */
+/* Returns the number of members that are not dead, unconfirmed ones
+ * included. */
 uint32_t GwMembers_LiveCount(const GwMembers *m);
 uint32_t GwMembers_Count(const GwMembers *m);
 const GwMember *GwMembers_At(const GwMembers *m, uint32_t i);
 const GwMember *GwMembers_Find(const GwMembers *m, uint64_t node);
 bool GwMembers_IsListed(const GwMembers *m, const char *name);
-/* When the list was last read; 0 never. */
+/* Returns when the list was last read; 0: never. */
 int64_t GwMembers_ListReadUs(const GwMembers *m);
-/* Newest digest of a member for a service, or NULL. */
+/* Returns the newest digest of a member for a service, or NULL. */
 const GwDigest *GwMembers_Digest(const GwMembers *m, uint64_t node,
                                  uint64_t service);
 
--- a/lib/member/members.c
+++ b/lib/member/members.c
@@ -1,13 +1,15 @@
-/* The interface of membership. */
+/* Public functions of membership. */
 #include "member/member_internal.h"
 
 #include <string.h>
 
-/* Members of other regions told at once that this node leaves. */
-#define GW_LEAVE_FOREIGN 8
+/* Members of other regions that are notified directly when this node
+ * leaves. */
+#define GW_LEAVE_FOREIGN_MAX 8
 
-/* Creates a table that knows nobody yet. The seq of probes begins at the start
- * nonce, so that acks to an earlier process of this name match nothing. */
+/* Creates an empty table. Probe sequence numbers start from the start
+ * nonce, so that acks to an earlier process of the same name match no
+ * probe. */
 GwMembers *
 GwMembers_Create(const GwNodeParams *params)
 {
@@ -27,7 +29,7 @@
     m->by_node = g_hash_table_new(g_int64_hash, g_int64_equal);
     m->listed =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    m->strangers = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    m->unconfirmed = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     m->round = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     m->seeds = g_array_new(FALSE, FALSE, sizeof(GwListed));
     return m;
@@ -46,13 +48,13 @@
     g_hash_table_destroy(m->by_node);
     g_hash_table_destroy(m->listed);
     g_ptr_array_free(m->records, TRUE);
-    g_array_free(m->strangers, TRUE);
+    g_array_free(m->unconfirmed, TRUE);
     g_array_free(m->round, TRUE);
     g_array_free(m->seeds, TRUE);
     g_free(m);
 }
 
-/* Probes, doubts and healing that are due. */
+/* Runs the probes, suspicion time-outs and partition healing that are due. */
 void
 GwMembers_Tick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
                GwActions *out)
@@ -60,34 +62,36 @@
     GwMembers_ProbeTick(m, now_us, cargo, out);
 }
 
-/* A message came straight from a member: its way to us works now. Only this
- * makes a member visible to callers. An ALIVE at second hand is a candidate:
- * it is probed and gossiped, but a dead member that comes back by an old
- * update, or one that only a far region can reach, is never steered to. The
- * price, in members.hearsay_costs_little, is 0.2 s: a twelfth entry is known to
- * all after 1.0 s and shown by all after 1.2 s. */
+/* Records a message received directly from a member, which proves that the
+ * path from it works. Only a direct message makes a member visible to other
+ * modules. A member that is only known as ALIVE through others is a
+ * candidate: it is probed and gossiped, but gets no traffic. Otherwise a
+ * dead member revived by an old update, or a member that only another
+ * region can reach, would get traffic. This delays the first use of a new
+ * entry by one probe, about 0.2 s (members.new_entries_are_visible_soon). */
 static bool
-heard(GwMembers *m, int64_t now_us, const GwMessage *msg, GwRecord *r,
-      GwActions *out)
+note_receipt(GwMembers *m, int64_t now_us, const GwMessage *msg, GwRecord *r,
+             GwActions *out)
 {
-    bool was = r->confirmed;
+    bool was_confirmed = r->is_confirmed;
 
     r->pub.heard_us = now_us;
     r->pub.config_version = msg->u.heartbeat.config_version;
-    if (r->said != GW_MEMBER_DEAD) {
+    if (r->gossip_state != GW_MEMBER_DEAD) {
         GwMembers_Confirm(m, now_us, r, out);
     }
-    return r->confirmed != was;
+    return r->is_confirmed != was_confirmed;
 }
 
-/* Finds the sender, taking in what it says of itself. NULL when the message
- * is of this node itself, of an earlier start, or of nobody known. */
+/* Finds the sender's record, after applying the update that the sender
+ * carries about itself. Returns NULL if the message is from this node, from
+ * an earlier start or from an unknown node. */
 static GwRecord *
-sender(GwMembers *m, int64_t now_us, const GwMessage *msg,
-       const GwCargo *cargo, bool *changed, GwActions *out)
+resolve_sender(GwMembers *m, int64_t now_us, const GwMessage *msg,
+               const GwCargo *cargo, bool *changed, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
-    GwRecord *r = GwMembers_Record(m, msg->from.node);
+    GwRecord *r = GwMembers_FindRecord(m, msg->from.node);
 
     if (msg->from.node == m->self.id.node || msg->from.node == 0 ||
         (r != NULL && msg->from.start < r->pub.info.id.start)) {
@@ -95,42 +99,42 @@
     }
     for (uint32_t i = 0; i < hb->update_count; i++) {
         if (GwNodeId_Equal(hb->updates[i].id, msg->from)) {
-            *changed |=
-                GwMembers_Apply(m, now_us, &hb->updates[i], true, cargo, out);
+            *changed |= GwMembers_ApplyUpdate(m, now_us, &hb->updates[i], true,
+                                              cargo, out);
             break;
         }
     }
-    r = GwMembers_Record(m, msg->from.node);
+    r = GwMembers_FindRecord(m, msg->from.node);
     if (r == NULL || !GwNodeId_Equal(r->pub.info.id, msg->from)) {
         return NULL;
     }
     return r;
 }
 
-/* PROBE, ACK and PING_REQ. Returns true when the table changed. */
+/* Handles PROBE, ACK and PING_REQ. Returns true if the table changed. */
 bool
 GwMembers_Receive(GwMembers *m, int64_t now_us, const GwMessage *msg,
                   const GwCargo *cargo, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
     bool changed = false;
-    GwRecord *from = sender(m, now_us, msg, cargo, &changed, out);
+    GwRecord *from = resolve_sender(m, now_us, msg, cargo, &changed, out);
 
     if (from == NULL) {
         return false;
     }
-    changed |= heard(m, now_us, msg, from, out);
+    changed |= note_receipt(m, now_us, msg, from, out);
     for (uint32_t i = 0; i < hb->update_count; i++) {
         if (hb->updates[i].id.node != msg->from.node) {
-            changed |=
-                GwMembers_Apply(m, now_us, &hb->updates[i], false, cargo, out);
+            changed |= GwMembers_ApplyUpdate(m, now_us, &hb->updates[i], false,
+                                             cargo, out);
         }
     }
     for (uint32_t i = 0; i < hb->digest_count; i++) {
         GwMembers_StoreDigest(m, now_us, &hb->digests[i]);
     }
-    /* An update may have made room in the table: look again. */
-    from = GwMembers_Record(m, msg->from.node);
+    /* Inserting a record may have evicted the sender's. */
+    from = GwMembers_FindRecord(m, msg->from.node);
     if (from == NULL) {
         return changed;
     }
@@ -140,30 +144,31 @@
             ->seq = hb->seq;
     }
     else if (msg->kind == GW_MSG_ACK) {
-        GwMembers_Acked(m, msg, cargo, out);
+        GwMembers_ReceiveAck(m, msg, cargo, out);
     }
     else {
-        GwMembers_ProbeFor(m, msg, from, cargo, out);
+        GwMembers_ReceivePingReq(m, msg, from, cargo, out);
     }
     return changed;
 }
 
-/* Believes "leaving" at once, for this start of the member: acting on it when
- * it is wrong costs one entry's share of work; not acting when it is right
- * cuts requests off. "Live" takes the list's own claim back, no other's. */
+/* Applies the list's "leaving" mark at once, for the current start of the
+ * member. If the mark is wrong, one entry's share of work goes elsewhere;
+ * if a correct mark were ignored, requests would be cut off. A later "live"
+ * only withdraws the list's own mark. */
 static void
-note_leaving(GwMembers *m, int64_t now_us, const GwListed *item,
-             GwActions *out)
+apply_listed_state(GwMembers *m, int64_t now_us, const GwListed *item,
+                   GwActions *out)
 {
-    GwRecord *r = GwMembers_Record(m, GwName_Hash64(item->name));
+    GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(item->name));
 
     if (r != NULL && r->listed_leaving != item->leaving) {
         r->listed_leaving = item->leaving;
-        GwMembers_ShowState(m, now_us, r, out);
+        GwMembers_UpdateVisibleState(m, now_us, r, out);
     }
 }
 
-/* The platform's list: names to seed from, leaving believed at once. */
+/* Replaces the platform's list of instances; see member.h. */
 void
 GwMembers_Listed(GwMembers *m, int64_t now_us, const GwListEvent *list,
                  GwActions *out)
@@ -180,7 +185,7 @@
         g_hash_table_add(m->listed, hash);
         if (*hash != m->self.id.node) {
             g_array_append_val(m->seeds, *item);
-            note_leaving(m, now_us, item, out);
+            apply_listed_state(m, now_us, item, out);
         }
     }
     if (first) {
@@ -188,8 +193,9 @@
     }
 }
 
-/* Announce that this node leaves, to everyone at once: all of its region, who
- * have to take over, and a few of the others, who pass it on. */
+/* Announces that this node is leaving: to all members of its region, which
+ * take over its work, and to a few of the others, which spread the update
+ * by gossip. */
 void
 GwMembers_Leave(GwMembers *m, int64_t now_us, const GwCargo *cargo,
                 GwActions *out)
@@ -201,8 +207,8 @@
     for (uint32_t i = 0; i < m->visible; i++) {
         const GwRecord *r = g_ptr_array_index(m->records, i);
         bool near = r->pub.info.region == m->self.region;
-        if (r->said == GW_MEMBER_DEAD ||
-            (!near && foreign++ >= GW_LEAVE_FOREIGN)) {
+        if (r->gossip_state == GW_MEMBER_DEAD ||
+            (!near && foreign++ >= GW_LEAVE_FOREIGN_MAX)) {
             continue;
         }
         GwMembers_Send(m, GW_MSG_PROBE, r, r->pub.info.id,
@@ -211,13 +217,13 @@
     }
 }
 
-/* Send `hurry` probes now: a change has to spread. */
+/* Sends `count` probes to random members now, to spread a change. */
 void
-GwMembers_Hurry(GwMembers *m, int64_t now_us, uint32_t hurry,
+GwMembers_Hurry(GwMembers *m, int64_t now_us, uint32_t count,
                 const GwCargo *cargo, GwActions *out)
 {
-    for (uint32_t i = 0; i < hurry; i++) {
-        const GwRecord *r = GwMembers_RandomLive(m);
+    for (uint32_t i = 0; i < count; i++) {
+        const GwRecord *r = GwMembers_DrawLive(m);
         if (r == NULL) {
             return;
         }
@@ -227,8 +233,8 @@
     }
 }
 
-/* Members heard directly and not forgotten; the dead of the last minutes are
- * among them, with their state. */
+/* Returns the number of visible members: those confirmed by a direct
+ * message, including the ones that died in the last minutes. */
 uint32_t
 GwMembers_Count(const GwMembers *m)
 {
@@ -249,14 +255,14 @@
     return &r->pub;
 }
 
-/* A member by node, candidates included (their heard_us is 0); NULL when it is
- * unknown or forgotten. */
+/* Returns a member by node id, or NULL if unknown or a tombstone. Includes
+ * unconfirmed members, whose heard_us is 0. */
 const GwMember *
 GwMembers_Find(const GwMembers *m, uint64_t node)
 {
-    const GwRecord *r = GwMembers_Record(m, node);
+    const GwRecord *r = GwMembers_FindRecord(m, node);
 
-    return r == NULL || r->forgotten ? NULL : &r->pub;
+    return r == NULL || r->is_tombstone ? NULL : &r->pub;
 }
 
 bool
@@ -267,7 +273,7 @@
     return g_hash_table_contains(m->listed, &hash);
 }
 
-/* When the list was last read; 0 never. */
+/* Returns when the list was last read; 0: never. */
 int64_t
 GwMembers_ListReadUs(const GwMembers *m)
 {
--- a/lib/member/probe.c
+++ b/lib/member/probe.c
@@ -1,8 +1,9 @@
-/* Failure detection: probes, indirect probes, doubts, healing. */
+/* Failure detection: direct and indirect probes, suspicion, partition
+ * healing. */
 #include "member/member_internal.h"
 
-/* Probes of unheard members of the own region, a period. */
-#define GW_GREETINGS_MAX 4
+/* Probes of unconfirmed members of the own region per period. */
+#define GW_UNCONFIRMED_PROBES_MAX 4
 
 static int64_t
 period_us(const GwMembers *m)
@@ -10,8 +11,8 @@
     return m->params.probe_period_ms * 1000LL;
 }
 
-/* Appends a heartbeat of the kind; its seq is left to the caller. `to` may be
- * NULL while only the address is known. */
+/* Appends a message of `kind`; the caller sets its seq. `to` may be NULL if
+ * only the address is known. */
 GwHeartbeat *
 GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwRecord *to,
                GwNodeId id, const char *address, const GwCargo *cargo,
@@ -42,8 +43,9 @@
                           to->pub.info.peer_address, cargo, out);
 }
 
-/* Puts a member into the round of probes. One of the own region comes next:
- * callers see it only once it answered, and they need it most. */
+/* Inserts a member into the current probe round. A member of the own region
+ * is probed next, since it gets traffic only after it has answered and
+ * traffic stays in the region where possible. */
 void
 GwMembers_JoinRound(GwMembers *m, const GwRecord *r)
 {
@@ -57,13 +59,13 @@
 }
 
 static void
-new_round(GwMembers *m)
+start_round(GwMembers *m)
 {
     g_array_set_size(m->round, 0);
     m->cursor = 0;
     for (uint32_t i = 0; i < m->records->len; i++) {
         const GwRecord *r = g_ptr_array_index(m->records, i);
-        if (r->said != GW_MEMBER_DEAD) {
+        if (r->gossip_state != GW_MEMBER_DEAD) {
             g_array_append_val(m->round, r->pub.info.id.node);
         }
     }
@@ -77,49 +79,49 @@
     }
 }
 
-/* The next member of the round; NULL when nobody is left to probe. */
+/* Returns the next member to probe, or NULL if none is left. */
 static GwRecord *
 next_target(GwMembers *m)
 {
     for (uint32_t round = 0; round < 2; round++) {
         while (m->cursor < m->round->len) {
             uint64_t node = g_array_index(m->round, uint64_t, m->cursor++);
-            GwRecord *r = GwMembers_Record(m, node);
-            if (r != NULL && r->said != GW_MEMBER_DEAD) {
+            GwRecord *r = GwMembers_FindRecord(m, node);
+            if (r != NULL && r->gossip_state != GW_MEMBER_DEAD) {
                 return r;
             }
         }
-        new_round(m);
+        start_round(m);
     }
     return NULL;
 }
 
-/* A live confirmed member drawn at random; NULL when none was met in a few
- * draws. */
+/* Draws a random visible member that is not dead; NULL if a few draws found
+ * none. */
 GwRecord *
-GwMembers_RandomLive(GwMembers *m)
+GwMembers_DrawLive(GwMembers *m)
 {
     for (uint32_t i = 0; i < 8 && m->visible > 0; i++) {
         GwRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
-        if (r->said != GW_MEMBER_DEAD) {
+        if (r->gossip_state != GW_MEMBER_DEAD) {
             return r;
         }
     }
     return NULL;
 }
 
-/* Tells a member what is claimed of it, at most once a period, so that one
- * received message can't make this node send many. */
+/* Sends a member the claim that others make about it, at most once per
+ * period, so that one received message cannot make this node send many. */
 void
-GwMembers_Accuse(GwMembers *m, int64_t now_us, GwRecord *r,
-                 const GwMemberInfo *claim, const GwCargo *cargo,
-                 GwActions *out)
+GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwRecord *r,
+                    const GwMemberInfo *claim, const GwCargo *cargo,
+                    GwActions *out)
 {
-    if (r->accused_us != 0 && now_us - r->accused_us < period_us(m)) {
+    if (r->claim_sent_us != 0 && now_us - r->claim_sent_us < period_us(m)) {
         return;
     }
-    r->accused_us = now_us;
+    r->claim_sent_us = now_us;
     GwHeartbeat *hb = send_to(m, GW_MSG_PROBE, r, cargo, out);
     hb->seq = m->next_seq++;
     if (hb->update_count == GW_UPDATES_MAX) {
@@ -128,31 +130,33 @@
     hb->updates[hb->update_count++] = *claim;
 }
 
-/* Begins to doubt a member. A live one becomes suspect. One that leaves stays
- * "leaving", which already keeps work away, and the doubt is ours alone. The
- * member itself is told at once: it alone can refute. */
+/* Starts a suspicion. An ALIVE member becomes SUSPECT. A LEAVING member
+ * keeps its state, which already keeps work away, and the suspicion stays
+ * local. The member is notified at once, since no other node can refute the
+ * claim. */
 void
-GwMembers_Doubt(GwMembers *m, int64_t now_us, GwRecord *r,
-                const GwCargo *cargo, GwActions *out)
+GwMembers_Suspect(GwMembers *m, int64_t now_us, GwRecord *r,
+                  const GwCargo *cargo, GwActions *out)
 {
-    if (r->doubt_us != 0 || r->said == GW_MEMBER_DEAD) {
+    if (r->suspected_us != 0 || r->gossip_state == GW_MEMBER_DEAD) {
         return;
     }
-    r->doubt_us = now_us;
-    g_queue_push_tail_link(&m->doubted, &r->doubt_link);
-    if (r->said == GW_MEMBER_ALIVE) {
+    r->suspected_us = now_us;
+    g_queue_push_tail_link(&m->suspicions, &r->suspicion_link);
+    if (r->gossip_state == GW_MEMBER_ALIVE) {
         GwMembers_SetState(m, now_us, r, GW_MEMBER_SUSPECT, out);
-        GwMembers_Spread(m, r);
+        GwMembers_QueueUpdate(m, r);
     }
     GwMemberInfo claim = r->pub.info;
-    claim.state = r->said;
-    GwMembers_Accuse(m, now_us, r, &claim, cargo, out);
+    claim.state = r->gossip_state;
+    GwMembers_SendClaim(m, now_us, r, &claim, cargo, out);
 }
 
-/* A suspicion has to reach its subject and the answer has to come back; by
- * gossip that takes a time that grows with log(n). */
+/* The suspicion time-out. The suspicion must reach its subject and the
+ * refutation must come back; by gossip that takes a time that grows with
+ * log(n). */
 static int64_t
-suspicion_us(const GwMembers *m)
+suspicion_timeout_us(const GwMembers *m)
 {
     uint32_t factor = 1;
 
@@ -162,36 +166,36 @@
     return m->params.suspect_timeout_ms * 1000LL * factor;
 }
 
-/* Ends doubts that lasted: the member is held dead. Not so when it spoke to us
- * since the doubt began: then only its refutation was lost, and it is told
- * again. */
+/* Ends suspicions that timed out: the member becomes dead. If a message
+ * came from the member since the suspicion began, only the refutation was
+ * lost; then the suspicion restarts and the claim is sent again. */
 static void
-settle_doubts(GwMembers *m, int64_t now_us, const GwCargo *cargo,
-              GwActions *out)
+expire_suspicions(GwMembers *m, int64_t now_us, const GwCargo *cargo,
+                  GwActions *out)
 {
-    while (m->doubted.head != NULL) {
-        GwRecord *r = m->doubted.head->data;
-        if (now_us - r->doubt_us < suspicion_us(m)) {
+    while (m->suspicions.head != NULL) {
+        GwRecord *r = m->suspicions.head->data;
+        if (now_us - r->suspected_us < suspicion_timeout_us(m)) {
             return;
         }
-        bool spoke = r->pub.heard_us > r->doubt_us;
-        GwMembers_ClearDoubt(m, r);
-        if (spoke) {
-            GwMembers_Doubt(m, now_us, r, cargo, out);
+        bool is_reachable = r->pub.heard_us > r->suspected_us;
+        GwMembers_ClearSuspicion(m, r);
+        if (is_reachable) {
+            GwMembers_Suspect(m, now_us, r, cargo, out);
             continue;
         }
         GwMembers_SetState(m, now_us, r, GW_MEMBER_DEAD, out);
-        GwMembers_Spread(m, r);
+        GwMembers_QueueUpdate(m, r);
     }
 }
 
-/* Who is asked for an indirect probe: one near the target while `near`, so
- * that the way crosses regions twice and not four times; NULL when none was
- * drawn. */
+/* Draws a member for an indirect probe; NULL if the draw is unsuitable.
+ * With `near`, only members of the target's region qualify, so that the
+ * probe crosses between regions twice and not four times. */
 static const GwRecord *
-draw_prober(GwMembers *m, const GwRecord *target, bool near)
+draw_relay(GwMembers *m, const GwRecord *target, bool near)
 {
-    const GwRecord *r = GwMembers_RandomLive(m);
+    const GwRecord *r = GwMembers_DrawLive(m);
 
     if (r == NULL || r == target ||
         (near && r->pub.info.region != target->pub.info.region)) {
@@ -200,16 +204,16 @@
     return r;
 }
 
-/* The probe had no ack in time. It is sent again, and through others: a lost
- * message alone must not make a live member suspect, since callers are sent
- * elsewhere until it refuted. Probers of the target's region come first: a
- * way through a third region would take longer than what is left of the
- * period. The last prober is anybody, for when our region and the
- * target's lost each other. */
+/* Handles a probe without an ack: repeats it directly and through other
+ * members. A single lost message must not make a live member suspect, since
+ * traffic moves away until the refutation. Members of the target's region
+ * are asked first: a path through a third region would take longer than the
+ * rest of the period. The last one may be of any region, for when the own
+ * region and the target's cannot reach each other. */
 static void
-ask_others(GwMembers *m, const GwCargo *cargo, GwActions *out)
+send_indirect_probes(GwMembers *m, const GwCargo *cargo, GwActions *out)
 {
-    const GwRecord *target = GwMembers_Record(m, m->probe.target.node);
+    const GwRecord *target = GwMembers_FindRecord(m, m->probe.target.node);
     uint64_t asked[16];
     uint32_t count = 0;
 
@@ -221,7 +225,7 @@
     uint32_t want = MIN(m->params.indirect_probes, G_N_ELEMENTS(asked));
     for (uint32_t draw = 0; draw < 8 * want && count < want; draw++) {
         bool near = draw < 4 * want && count + 1 < want;
-        const GwRecord *r = draw_prober(m, target, near);
+        const GwRecord *r = draw_relay(m, target, near);
         for (uint32_t i = 0; r != NULL && i < count; i++) {
             r = asked[i] == r->pub.info.id.node ? NULL : r;
         }
@@ -251,21 +255,22 @@
     send_to(m, GW_MSG_PROBE, r, cargo, out)->seq = m->probe.seq;
 }
 
-/* Calls on members of the own region known by hearsay alone, a few a period,
- * beside the round: in a region of hundreds the round takes minutes, and until
- * then callers don't see them. One that does not answer is left to the
+/* Probes unconfirmed members of the own region, a few per period beside the
+ * round. In a region of hundreds the round takes minutes, and unconfirmed
+ * members get no traffic. A member that does not answer is left to the
  * round. */
 static void
-greet_strangers(GwMembers *m, const GwCargo *cargo, GwActions *out)
+probe_unconfirmed(GwMembers *m, const GwCargo *cargo, GwActions *out)
 {
     uint32_t sent = 0;
 
-    while (m->strangers->len > 0 && sent < GW_GREETINGS_MAX) {
-        uint32_t last = m->strangers->len - 1;
-        uint64_t node = g_array_index(m->strangers, uint64_t, last);
-        const GwRecord *r = GwMembers_Record(m, node);
-        g_array_set_size(m->strangers, last);
-        if (r == NULL || r->confirmed || r->said == GW_MEMBER_DEAD) {
+    while (m->unconfirmed->len > 0 && sent < GW_UNCONFIRMED_PROBES_MAX) {
+        uint32_t last = m->unconfirmed->len - 1;
+        uint64_t node = g_array_index(m->unconfirmed, uint64_t, last);
+        const GwRecord *r = GwMembers_FindRecord(m, node);
+        g_array_set_size(m->unconfirmed, last);
+        if (r == NULL || r->is_confirmed ||
+            r->gossip_state == GW_MEMBER_DEAD) {
             continue;
         }
         send_to(m, GW_MSG_PROBE, r, cargo, out)->seq = m->next_seq++;
@@ -277,38 +282,39 @@
 finish_probe(GwMembers *m, int64_t now_us, const GwCargo *cargo,
              GwActions *out)
 {
-    GwRecord *r = GwMembers_Record(m, m->probe.target.node);
+    GwRecord *r = GwMembers_FindRecord(m, m->probe.target.node);
 
     if (!m->probe.active || m->probe.acked || r == NULL ||
         !GwNodeId_Equal(r->pub.info.id, m->probe.target) ||
         r->pub.heard_us >= m->probe.sent_us) {
         return;
     }
-    GwMembers_Doubt(m, now_us, r, cargo, out);
+    GwMembers_Suspect(m, now_us, r, cargo, out);
 }
 
 static bool
 needs_healing(const GwMembers *m, const char *name)
 {
-    const GwRecord *r = GwMembers_Record(m, GwName_Hash64(name));
+    const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(name));
 
-    return r == NULL || r->said == GW_MEMBER_DEAD;
+    return r == NULL || r->gossip_state == GW_MEMBER_DEAD;
 }
 
 static void
 probe_seed(GwMembers *m, const GwListed *seed, const GwCargo *cargo,
            GwActions *out)
 {
-    const GwRecord *r = GwMembers_Record(m, GwName_Hash64(seed->name));
+    const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(seed->name));
 
     GwMembers_Send(m, GW_MSG_PROBE, r, (GwNodeId){0}, seed->peer_address,
                    cargo, out)
         ->seq = m->next_seq++;
 }
 
-/* Now and then a probe to somebody held dead, or listed and never heard: two
- * regions that lost each other for minutes hold each other dead, and would
- * never speak again. One answer is enough to merge, by gossip. */
+/* Heals partitions: probes one listed instance that is unknown or dead, and
+ * one dead member. Two regions separated for minutes consider each other
+ * dead and would not probe each other again. One ack is enough to merge
+ * them by gossip. */
 static void
 heal(GwMembers *m, const GwCargo *cargo, GwActions *out)
 {
@@ -327,45 +333,46 @@
     start = count > 0 ? GwRng_Below(&m->rng, count) : 0;
     for (uint32_t i = 0; i < count; i++) {
         GwRecord *r = g_ptr_array_index(m->records, (start + i) % count);
-        if (r->said == GW_MEMBER_DEAD) {
+        if (r->gossip_state == GW_MEMBER_DEAD) {
             send_to(m, GW_MSG_PROBE, r, cargo, out)->seq = m->next_seq++;
             return;
         }
     }
 }
 
-/* A paused process blames nobody: the acks that came in meanwhile are still
- * unread. Probes in flight are dropped, and doubts are put off by the length
- * of the pause. A pause shorter than the time-out of a probe does no harm. */
+/* Discounts a pause of this process, during which acks arrived but were not
+ * read: drops the probe in flight and extends suspicions by the length of
+ * the pause. A pause below the probe time-out needs no correction. */
 static void
-forgive(GwMembers *m, int64_t gap_us)
+discount_pause(GwMembers *m, int64_t gap_us)
 {
-#if GW_MUTANT == 43 /* breaks: a woken process blames others */
+#if GW_MUTANT == 43 /* breaks: a process suspects others for its own pause */
     return;
 #endif
     m->probe = (GwProbe){0};
-    for (GList *l = m->doubted.head; l != NULL; l = l->next) {
+    for (GList *l = m->suspicions.head; l != NULL; l = l->next) {
         GwRecord *r = l->data;
-        r->doubt_us += gap_us;
+        r->suspected_us += gap_us;
     }
 }
 
-/* Whether a tick may send: the probe's time-out, the period, a doubt's end or
- * the healing has come. */
+/* Returns whether a tick may send: the probe time-out, the probe period,
+ * the end of a suspicion or the next healing is due. */
 bool
 GwMembers_IsDue(const GwMembers *m, int64_t now_us)
 {
     bool waits = m->probe.active && !m->probe.acked && !m->probe.indirect;
-    const GwRecord *doubted =
-        m->doubted.head == NULL ? NULL : m->doubted.head->data;
+    const GwRecord *oldest =
+        m->suspicions.head == NULL ? NULL : m->suspicions.head->data;
 
     return now_us >= m->next_probe_us || now_us >= m->next_heal_us ||
            (waits && now_us - m->probe.sent_us >=
                          m->params.probe_timeout_ms * 1000LL) ||
-           (doubted != NULL && now_us - doubted->doubt_us >= suspicion_us(m));
+           (oldest != NULL &&
+            now_us - oldest->suspected_us >= suspicion_timeout_us(m));
 }
 
-/* Everything that happens by time alone. */
+/* Runs all timers. */
 void
 GwMembers_ProbeTick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
                     GwActions *out)
@@ -373,25 +380,25 @@
     int64_t gap_us = now_us - m->tick_us;
 
     if (m->tick_us != 0 && gap_us > m->params.probe_timeout_ms * 1000LL) {
-        forgive(m, gap_us);
+        discount_pause(m, gap_us);
     }
     m->tick_us = now_us;
-    settle_doubts(m, now_us, cargo, out);
+    expire_suspicions(m, now_us, cargo, out);
     if (m->probe.active && !m->probe.acked && !m->probe.indirect &&
         now_us - m->probe.sent_us >= m->params.probe_timeout_ms * 1000LL) {
-        ask_others(m, cargo, out);
+        send_indirect_probes(m, cargo, out);
     }
     if (now_us >= m->next_probe_us) {
         finish_probe(m, now_us, cargo, out);
         start_probe(m, now_us, cargo, out);
-        greet_strangers(m, cargo, out);
+        probe_unconfirmed(m, cargo, out);
         m->next_probe_us =
             now_us +
             GwRng_Jitter(&m->rng, period_us(m) * 9 / 10, period_us(m) / 5);
     }
     if (now_us >= m->next_heal_us) {
         heal(m, cargo, out);
-        /* Until somebody answers there is nobody to learn from. */
+        /* Until a first member answers, healing is the only way to join. */
         int64_t heal_us = m->visible == 0 ? period_us(m) : GW_HEAL_PERIOD_US;
         m->next_heal_us =
             now_us + GwRng_Jitter(&m->rng, heal_us * 3 / 4, heal_us / 2);
@@ -402,11 +409,11 @@
     }
 }
 
-/* An ack: of our probe, straight or through another, or of one that we made
- * for another member, to whom it is passed on. */
+/* Handles an ACK: of our probe, direct or relayed, or of a probe sent for
+ * another member, to which the ack is then relayed. */
 void
-GwMembers_Acked(GwMembers *m, const GwMessage *msg, const GwCargo *cargo,
-                GwActions *out)
+GwMembers_ReceiveAck(GwMembers *m, const GwMessage *msg, const GwCargo *cargo,
+                     GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
 
@@ -422,30 +429,31 @@
             continue;
         }
         GwHeartbeat *ack = GwMembers_Send(
-            m, GW_MSG_ACK, GwMembers_Record(m, relay->asker.node),
-            relay->asker, relay->address, cargo, out);
-        ack->seq = relay->origin_seq;
+            m, GW_MSG_ACK, GwMembers_FindRecord(m, relay->requester.node),
+            relay->requester, relay->address, cargo, out);
+        ack->seq = relay->requester_seq;
         ack->target = relay->target;
         relay->seq = 0;
     }
 }
 
-/* A PING_REQ: probe its target and remember who asked. */
+/* Handles a PING_REQ: probes the target and records the requester. */
 void
-GwMembers_ProbeFor(GwMembers *m, const GwMessage *msg, const GwRecord *asker,
-                   const GwCargo *cargo, GwActions *out)
+GwMembers_ReceivePingReq(GwMembers *m, const GwMessage *msg,
+                         const GwRecord *requester, const GwCargo *cargo,
+                         GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
-    const GwRecord *target = GwMembers_Record(m, hb->target.node);
+    const GwRecord *target = GwMembers_FindRecord(m, hb->target.node);
 
     if (target == NULL || !GwNodeId_Equal(target->pub.info.id, hb->target)) {
         return;
     }
     GwRelayedProbe *relay = &m->relays[m->next_relay++ % GW_RELAYS_MAX];
     *relay = (GwRelayedProbe){.seq = m->next_seq++,
-                              .origin_seq = hb->seq,
+                              .requester_seq = hb->seq,
                               .target = hb->target,
-                              .asker = msg->from};
-    g_strlcpy(relay->address, asker->pub.info.peer_address, GW_ADDR_MAX);
+                              .requester = msg->from};
+    g_strlcpy(relay->address, requester->pub.info.peer_address, GW_ADDR_MAX);
     send_to(m, GW_MSG_PROBE, target, cargo, out)->seq = relay->seq;
 }
--- a/lib/member/records.c
+++ b/lib/member/records.c
@@ -1,11 +1,11 @@
-/* The table of members: records, their order, and their states. */
+/* The member table: records, their order, and their states. */
 #include "member/member_internal.h"
 
 #include <string.h>
 
-/* The record of a node, dead and forgotten ones included, or NULL. */
+/* Returns the record of a node, dead ones and tombstones included, or NULL. */
 GwRecord *
-GwMembers_Record(const GwMembers *m, uint64_t node)
+GwMembers_FindRecord(const GwMembers *m, uint64_t node)
 {
     return g_hash_table_lookup(m->by_node, &node);
 }
@@ -13,7 +13,7 @@
 static bool
 is_live(const GwRecord *r)
 {
-    return r->said != GW_MEMBER_DEAD;
+    return r->gossip_state != GW_MEMBER_DEAD;
 }
 
 static void
@@ -31,21 +31,22 @@
 remove_record(GwMembers *m, GwRecord *r)
 {
     GwMembers_Hide(m, r);
-    GwMembers_StopSpread(r);
-    GwMembers_ClearDoubt(m, r);
+    GwMembers_DequeueUpdate(r);
+    GwMembers_ClearSuspicion(m, r);
     if (is_live(r)) {
         m->live--;
     }
     swap_records(m, r->index, m->records->len - 1);
     g_hash_table_remove(m->by_node, &r->pub.info.id.node);
     g_free(r->digests);
-    /* Frees the record: it is the last one of the array. */
+    /* Frees the record, which is now the last of the array. */
     g_ptr_array_set_size(m->records, (int)m->records->len - 1);
 }
 
-/* The dead record that has been dead longest makes room; NULL if none. */
+/* Returns the record that has been dead longest, to be evicted; NULL if
+ * none. */
 static GwRecord *
-oldest_dead(GwMembers *m)
+find_oldest_dead(GwMembers *m)
 {
     GwRecord *oldest = NULL;
 
@@ -60,12 +61,13 @@
     return oldest;
 }
 
-/* Adds an unconfirmed record; NULL when the table is full of live ones. */
+/* Adds an unconfirmed record. Returns NULL if the table is full of live
+ * ones. */
 GwRecord *
-GwMembers_Insert(GwMembers *m, int64_t now_us, const GwMemberInfo *info)
+GwMembers_InsertRecord(GwMembers *m, int64_t now_us, const GwMemberInfo *info)
 {
     if (m->records->len >= GW_RECORDS_MAX) {
-        GwRecord *old = oldest_dead(m);
+        GwRecord *old = find_oldest_dead(m);
         if (old == NULL) {
             return NULL;
         }
@@ -74,9 +76,9 @@
     GwRecord *r = g_new0(GwRecord, 1);
     r->pub.info = *info;
     r->pub.state_since_us = now_us;
-    r->said = info->state;
-    r->rumor_link.data = r;
-    r->doubt_link.data = r;
+    r->gossip_state = info->state;
+    r->update_link.data = r;
+    r->suspicion_link.data = r;
     r->index = m->records->len;
     g_ptr_array_add(m->records, r);
     g_hash_table_insert(m->by_node, &r->pub.info.id.node, r);
@@ -84,49 +86,49 @@
     return r;
 }
 
-/* Puts the record among those that callers see. */
+/* Makes the record visible. */
 void
 GwMembers_Confirm(GwMembers *m, int64_t now_us, GwRecord *r, GwActions *out)
 {
-    if (r->confirmed) {
+    if (r->is_confirmed) {
         return;
     }
-    r->confirmed = true;
-    r->met_us = now_us;
-    r->forgotten = false;
+    r->is_confirmed = true;
+    r->confirmed_us = now_us;
+    r->is_tombstone = false;
     swap_records(m, r->index, m->visible);
     m->visible++;
     r->pub.state_since_us = now_us;
-    if (r->said != GW_MEMBER_DEAD) {
+    if (r->gossip_state != GW_MEMBER_DEAD) {
         GwActions_Log(out, GW_LOG_MEMBER_UP, "member=%s start=%" PRIx64,
                       r->pub.info.name, r->pub.info.id.start);
     }
 }
 
-/* Takes the record out of what callers see. */
+/* Makes the record invisible. */
 void
 GwMembers_Hide(GwMembers *m, GwRecord *r)
 {
-    if (!r->confirmed) {
+    if (!r->is_confirmed) {
         return;
     }
-    r->confirmed = false;
+    r->is_confirmed = false;
     m->visible--;
     swap_records(m, r->index, m->visible);
 }
 
-/* Ends a doubt: the member refuted it, or it is held dead now. */
+/* Ends a suspicion: the member refuted it, or is now dead. */
 void
-GwMembers_ClearDoubt(GwMembers *m, GwRecord *r)
+GwMembers_ClearSuspicion(GwMembers *m, GwRecord *r)
 {
-    if (r->doubt_us != 0) {
-        r->doubt_us = 0;
-        g_queue_unlink(&m->doubted, &r->doubt_link);
+    if (r->suspected_us != 0) {
+        r->suspected_us = 0;
+        g_queue_unlink(&m->suspicions, &r->suspicion_link);
     }
 }
 
 static uint32_t
-event_of(GwMemberState state)
+log_event_of(GwMemberState state)
 {
     switch (state) {
     case GW_MEMBER_ALIVE:
@@ -141,13 +143,15 @@
     return GW_LOG_MEMBER_DEAD;
 }
 
-/* Computes the state callers see. The list's "leaving" outranks "alive": an
- * instance that the platform is about to stop must get no new work, though
- * its process has not been told yet and says that it is alive. */
+/* Updates the visible state. The list's "leaving" overrides ALIVE and
+ * SUSPECT: an instance that the platform is about to stop must get no new
+ * work, although its process has not been notified yet and still reports
+ * ALIVE. */
 void
-GwMembers_ShowState(GwMembers *m, int64_t now_us, GwRecord *r, GwActions *out)
+GwMembers_UpdateVisibleState(GwMembers *m, int64_t now_us, GwRecord *r,
+                             GwActions *out)
 {
-    GwMemberState state = r->said;
+    GwMemberState state = r->gossip_state;
 
     if (r->listed_leaving && state < GW_MEMBER_LEAVING) {
         state = GW_MEMBER_LEAVING;
@@ -157,35 +161,37 @@
     }
     r->pub.info.state = state;
     r->pub.state_since_us = now_us;
-    if (r->confirmed) {
-        GwActions_Log(out, event_of(state), "member=%s", r->pub.info.name);
+    if (r->is_confirmed) {
+        GwActions_Log(out, log_event_of(state), "member=%s", r->pub.info.name);
     }
 }
 
-/* Sets what the protocol says of a member; keeps counts and doubts right. */
+/* Sets the gossip state of a member, and updates the live count and the
+ * suspicion accordingly. */
 void
 GwMembers_SetState(GwMembers *m, int64_t now_us, GwRecord *r,
                    GwMemberState state, GwActions *out)
 {
-    bool was = is_live(r);
+    bool was_live = is_live(r);
 
-    r->said = state;
-    if (was != is_live(r)) {
-        m->live += was ? -1 : 1;
+    r->gossip_state = state;
+    if (was_live != is_live(r)) {
+        m->live += was_live ? -1 : 1;
     }
     if (state == GW_MEMBER_DEAD) {
-        GwMembers_ClearDoubt(m, r);
+        GwMembers_ClearSuspicion(m, r);
         r->digest_count = 0;
     }
     else {
-        r->forgotten = false;
+        r->is_tombstone = false;
     }
-    GwMembers_ShowState(m, now_us, r, out);
+    GwMembers_UpdateVisibleState(m, now_us, r, out);
 }
 
-/* Forgets members dead for minutes, and after an hour their start too. Until
- * then an old ALIVE update of them, still carried by somebody who was cut off,
- * can't bring them back: its incarnation is not above the one that died. */
+/* Turns members dead for minutes into tombstones, and removes them after an
+ * hour. Until then an old ALIVE update from a node that was partitioned
+ * away cannot revive them, since its incarnation is not above the recorded
+ * one. */
 void
 GwMembers_Sweep(GwMembers *m, int64_t now_us)
 {
@@ -198,9 +204,9 @@
         if (dead_us > GW_TOMBSTONE_US) {
             remove_record(m, r);
         }
-        else if (dead_us > GW_FORGET_US) {
+        else if (dead_us > GW_DEAD_VISIBLE_US) {
             GwMembers_Hide(m, r);
-            r->forgotten = true;
+            r->is_tombstone = true;
         }
     }
 }
--- a/tests/property/members.cpp
+++ b/tests/property/members.cpp
@@ -1,5 +1,6 @@
-// Membership over a queue that loses and delays: what callers are told about
-// members comes right after faults, and no live member is given up for loss.
+// Membership over a network that loses and delays messages: visible states
+// are right again after faults, and loss alone never makes a live member
+// dead.
 #include "c_api.hpp"
 
 #include <rapidcheck.h>
@@ -19,8 +20,8 @@
     return {MemberNet_Create(count, regions, seed), MemberNet_Free};
 }
 
-// Bounds of one message, and of what one received message may cause: an
-// answer, one probe each of those it accuses, one relayed.
+// Bounds of one message, and of the messages sent for one received message:
+// an answer, one probe per claim sent on, one relayed probe.
 void
 checkBounds(const MemberNet &net)
 {
@@ -29,9 +30,10 @@
     RC_ASSERT(net.burst_max <= GW_UPDATES_MAX + 1);
 }
 
-// Kills, restarts, pauses and cuts for a while, then lets all of it end.
+// Crashes, restarts, pauses and partitions for a minute, then ends all
+// faults.
 void
-disturb(MemberNet *net, GwRng *rng)
+injectFaults(MemberNet *net, GwRng *rng)
 {
     for (int second = 0; second < 60; second++) {
         uint32_t i = GwRng_Below(rng, net->count);
@@ -64,7 +66,7 @@
 }
 
 void
-convergence()
+convergesAfterFaults()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     auto count = *rc::gen::inRange<uint32_t>(12, 19);
@@ -73,15 +75,15 @@
     GwRng rng = GwRng_Make(seed);
     MemberNet_List(net.get(), count);
     net->loss_permille = loss;
-    disturb(net.get(), &rng);
+    injectFaults(net.get(), &rng);
     checkBounds(*net);
     MemberNet_List(net.get(), count);
     MemberNet_Run(net.get(), 60 * kSecond);
     RC_ASSERT(MemberNet_Agrees(net.get()));
 }
 
-// Whoever dies is held dead by all within the bound: a round of probes in
-// which somebody hits it, the suspicion, the spread.
+// A crashed member is dead in all tables within the bound: the time until
+// some member probes it, the suspicion, and the gossip.
 void
 deadWithinBound()
 {
@@ -99,9 +101,9 @@
     }
 }
 
-// Two in a hundred messages lost, for long: no live member is held dead.
+// At a loss of 2 percent no live member is held dead.
 uint64_t
-diedByLoss(uint64_t seed, int64_t for_us)
+deathsByLoss(uint64_t seed, int64_t for_us)
 {
     Net net = makeNet(12, 3, seed);
     net->loss_permille = 20;
@@ -112,26 +114,26 @@
 }
 
 void
-lossEjectsNobody()
+lossKillsNoMember()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
-    RC_ASSERT(diedByLoss(seed, 120 * kSecond) == 0U);
+    RC_ASSERT(deathsByLoss(seed, 120 * kSecond) == 0U);
 }
 
 // The same for an hour, in the long check only.
 void
-hourEjectsNobody()
+hourOfLossKillsNoMember()
 {
     for (uint64_t seed = 1; seed <= 20; seed++) {
-        RC_ASSERT(diedByLoss(seed, 3600 * kSecond) == 0U);
+        RC_ASSERT(deathsByLoss(seed, 3600 * kSecond) == 0U);
     }
 }
 
-// Regions that lost each other meet again, and pass on what they hold of each
-// other. Within a region, where all heard each other all the time, nobody is
-// held dead for that.
+// Partitioned regions reconnect and gossip their states of each other.
+// Within a region, whose members exchanged messages all the time, no member
+// is held dead because of that.
 void
-meetingAgainEjectsNobody()
+reconnectKillsNoMember()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     auto apart = *rc::gen::inRange<int64_t>(5, 200);
@@ -148,10 +150,10 @@
     RC_ASSERT(MemberNet_Agrees(net.get()));
 }
 
-// A process that was paused wakes with the acks to its probes unread. It
-// suspects nobody for its own absence.
+// A paused process resumes with unread acks to its probes. It suspects no
+// member because of its own pause.
 void
-wakingBlamesNobody()
+pauseSuspectsNoMember()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     auto pause = *rc::gen::inRange<int64_t>(1, 400);
@@ -169,9 +171,9 @@
     RC_ASSERT(MemberNet_Agrees(net.get()));
 }
 
-// An update of an earlier life, however late, brings nobody back.
+// A late ALIVE update from before a crash does not revive the member.
 void
-oldNewsRevivesNobody()
+oldUpdatesReviveNoMember()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     auto wait = *rc::gen::inRange<int64_t>(10, 600);
@@ -197,20 +199,22 @@
 int
 main()
 {
-    bool ok = rc::check("tables come right after faults", convergence);
-    ok &= rc::check("the dead are out within 10 s", deadWithinBound);
-    ok &= rc::check("loss ejects nobody", lossEjectsNobody);
-    ok &= rc::check("meeting again ejects nobody", meetingAgainEjectsNobody);
-    ok &= rc::check("waking blames nobody", wakingBlamesNobody);
+    bool ok = rc::check("tables converge after faults", convergesAfterFaults);
+    ok &= rc::check("crashed members are dead within 10 s", deadWithinBound);
+    ok &= rc::check("loss kills no member", lossKillsNoMember);
+    ok &= rc::check("reconnecting regions kill no member",
+                    reconnectKillsNoMember);
+    ok &= rc::check("a paused process suspects no member",
+                    pauseSuspectsNoMember);
     if (std::getenv("GW_LONG") != nullptr) {
-        ok &= rc::check("an hour of loss ejects nobody", [] {
+        ok &= rc::check("an hour of loss kills no member", [] {
             static bool done = false;
             if (!done) {
-                hourEjectsNobody();
+                hourOfLossKillsNoMember();
                 done = true;
             }
         });
     }
-    ok &= rc::check("old news revives nobody", oldNewsRevivesNobody);
+    ok &= rc::check("old updates revive no member", oldUpdatesReviveNoMember);
     return ok ? 0 : 1;
 }
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -4,8 +4,8 @@
 
 #define SECOND 1000000LL
 
-/* Twelve entries start with a list of all; each finds the others. */
-Test(members, twelve_meet)
+/* Twelve entries that start with a list of all of them find each other. */
+Test(members, twelve_entries_find_each_other)
 {
     MemberNet *net = MemberNet_Create(12, 3, 1);
 
@@ -17,10 +17,9 @@
     MemberNet_Free(net);
 }
 
-/* An entry dies without a word. Callers of the others are still sent to it
- * for a moment; a probe fails, the entry is suspected, and after the time-out
- * everybody holds it dead. */
-Test(members, dead_one_is_out_everywhere)
+/* An entry crashes. It gets traffic until a probe fails; then it is
+ * suspected, and after the time-out all others hold it dead. */
+Test(members, a_crashed_entry_is_dead_everywhere)
 {
     MemberNet *net = MemberNet_Create(12, 3, 2);
 
@@ -35,9 +34,9 @@
     MemberNet_Free(net);
 }
 
-/* An instance is replaced under its name. The new start is taken at once, and
- * a late message of the old one changes nothing. */
-Test(members, restart_replaces_at_once)
+/* An instance is replaced by another of the same name. The new start
+ * applies at once, and a late message of the old start changes nothing. */
+Test(members, a_restart_replaces_the_old_start_at_once)
 {
     MemberNet *net = MemberNet_Create(6, 2, 3);
     GwNodeId old = net->nodes[2].params.id;
@@ -62,10 +61,10 @@
     MemberNet_Free(net);
 }
 
-/* Regions lose each other for ten minutes and hold each other dead, even
- * forgotten. When the links work again one probe is answered, and all of
- * them merge. */
-Test(members, lost_regions_merge_again)
+/* Regions are partitioned for ten minutes, until each holds the others'
+ * members dead and has made them tombstones. After the partition one probe
+ * is answered, and all tables merge. */
+Test(members, partitioned_regions_merge_again)
 {
     MemberNet *net = MemberNet_Create(12, 3, 4);
 
@@ -81,9 +80,9 @@
     MemberNet_Free(net);
 }
 
-/* A process is paused for less than the others take to give it up. On waking
- * it must not blame the others for acks it has not read yet. */
-Test(members, paused_one_blames_nobody)
+/* A process is paused and resumes. It must not suspect other members
+ * because of acks that it has not read yet. */
+Test(members, a_paused_process_suspects_no_member)
 {
     MemberNet *net = MemberNet_Create(12, 3, 5);
 
@@ -99,9 +98,9 @@
     MemberNet_Free(net);
 }
 
-/* The platform is about to stop an instance and its list says so, before the
- * process itself knows. */
-Test(members, listed_leaving_is_believed_at_once)
+/* The platform lists an instance as leaving before the process itself has
+ * been notified. */
+Test(members, listed_leaving_applies_at_once)
 {
     MemberNet *net = MemberNet_Create(3, 1, 6);
     GwListed item = {.name = "n1", .peer_address = "1", .leaving = true};
@@ -120,16 +119,17 @@
     MemberNet_Free(net);
 }
 
-/* Whether all others know node j, or, if `heard`, show it to callers. */
+/* Returns whether all others know node j, or, with `is_alive`, show it
+ * ALIVE. */
 static bool
-all_show(const MemberNet *net, uint32_t j, bool heard)
+all_show(const MemberNet *net, uint32_t j, bool is_alive)
 {
     GwNodeId id = net->nodes[j].params.id;
 
     for (uint32_t i = 0; i < net->count; i++) {
         bool known =
-            heard ? MemberNet_Shown(net, i, j) == GW_MEMBER_ALIVE
-                  : GwMembers_Find(net->nodes[i].members, id.node) != NULL;
+            is_alive ? MemberNet_Shown(net, i, j) == GW_MEMBER_ALIVE
+                     : GwMembers_Find(net->nodes[i].members, id.node) != NULL;
         if (i != j && !known) {
             return false;
         }
@@ -137,9 +137,9 @@
     return true;
 }
 
-/* A candidate known by hearsay is not shown until it answers; one that was
- * never there is not shown at all. */
-Test(members, hearsay_costs_little)
+/* A new entry is visible soon after the first gossip about it. A member
+ * that exists only in gossip never becomes visible. */
+Test(members, new_entries_are_visible_soon)
 {
     MemberNet *net = MemberNet_Create(12, 1, 7);
     int64_t known_us = 0;
@@ -174,8 +174,9 @@
     MemberNet_Free(net);
 }
 
-/* An entry leaves: all of its region know at once, the rest by gossip. */
-Test(members, leaving_is_told_to_all)
+/* An entry that leaves notifies its whole region at once; the others learn
+ * it by gossip. */
+Test(members, leaving_reaches_all)
 {
     MemberNet *net = MemberNet_Create(12, 3, 8);
     GwActions out = {0};
@@ -200,9 +201,9 @@
     MemberNet_Free(net);
 }
 
-/* Two hundred start together. Within half a minute each sees all of its own
- * region, though the round of probes takes far longer. */
-Test(members, a_large_region_meets_soon)
+/* Two hundred and one entries start together. Within 30 s each sees its
+ * whole region, although a round of probes takes far longer. */
+Test(members, a_large_region_finds_itself_soon)
 {
     MemberNet *net = MemberNet_Create(201, 3, 9);
 
@@ -212,7 +213,7 @@
     for (uint32_t i = 0; i < 201; i += 10) {
         for (uint32_t j = i % 3; j < 201; j += 3) {
             cr_assert(i == j || MemberNet_Shown(net, i, j) == GW_MEMBER_ALIVE,
-                      "%u shows not %u", i, j);
+                      "%u does not show %u", i, j);
         }
     }
     cr_assert_eq(net->died, 0);
