--- a/lib/config/change.c
+++ b/lib/config/change.c
@@ -9,7 +9,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* 1 to 64 of A-Z a-z 0-9 . _ -; it becomes part of a row's key. */
+/* Returns whether `id` is 1 to 64 of A-Z a-z 0-9 . _ -; the id becomes part
+ * of a row's key. */
 bool
 GwRequestId_IsValid(const char *id)
 {
@@ -25,7 +26,7 @@
     return true;
 }
 
-/* Ends the run. */
+/* Ends the run with an outcome. */
 static void
 finish(GwChange *c, GwChangeOutcome outcome, uint64_t version)
 {
@@ -57,27 +58,27 @@
     finish(c, GW_CHANGE_ACCEPTED, version);
 }
 
-/* Turns to refusing, for the reason that is set. A transaction of this
- * request id, from here or from another entry that died over it, may still
- * be on its way to the table. It would take effect after the operator was
- * told "refused". A void row in place of the request id's makes it fail,
- * since each such transaction needs that row to be absent. */
+/* Starts a refusal, for the reason that is set. A transaction of this
+ * request id, from this entry or from one that crashed during the change,
+ * may still be on its way to the table and would take effect after the
+ * operator got "refused". A void row under the request id makes it fail,
+ * since every such transaction requires that row to be absent. */
 static void
 refuse(GwChange *c)
 {
-    c->refusing = true;
+    c->is_refusing = true;
     c->state = CHANGE_FENCE;
 #if GW_MUTANT == 60
     finish(c, GW_CHANGE_REFUSED, c->head_version);
 #endif
 }
 
-/* Sets the reason from an error, and frees it. */
+/* Sets the reason from an error, and frees the error. */
 static void
-take_error(GwChange *c, GError *error)
+set_reason_from_error(GwChange *c, GError *error)
 {
     if (error == NULL) {
-        set_reason(c, GW_RESULT_INVALID, "the change can't be made");
+        set_reason(c, GW_RESULT_INVALID, "the change could not be made");
         return;
     }
     set_reason(c, (GwResultCode)error->code, "%s", error->message);
@@ -85,21 +86,21 @@
 }
 
 static void
-begin(GwChange *c, const GwChangeAsk *ask)
+init_change(GwChange *c, const GwChangeAsk *ask)
 {
-    c->ask = *ask;
-    c->tries = GW_CHANGE_TRIES;
-    c->rebases = GW_CHANGE_REBASES;
+    c->request = *ask;
+    c->tries_left = GW_CHANGE_LOST_MAX;
+    c->rebases_left = GW_CHANGE_REBASES_MAX;
     c->state = CHANGE_READ_OP;
 }
 
-/* Starts a change. A document that is faulty by itself is refused at once:
- * no transaction can ever hold it. */
+/* Starts a change. A document that is invalid by itself is refused at once,
+ * since no transaction can contain it. */
 GwChange *
 GwChange_Create(const GwChangeAsk *ask)
 {
     GwChange *c = g_new0(GwChange, 1);
-    begin(c, ask);
+    init_change(c, ask);
     if (!GwRequestId_IsValid(ask->request_id)) {
         set_reason(c, GW_RESULT_INVALID,
                    "request_id: 1 to %d of A-Z a-z 0-9 . _ -",
@@ -112,7 +113,7 @@
         GwConfig *parsed = GwConfig_Parse(
             ask->document, (uint32_t)strlen(ask->document), 1, &error);
         if (parsed == NULL) {
-            take_error(c, error);
+            set_reason_from_error(c, error);
             finish(c, GW_CHANGE_REFUSED, 0);
         }
         GwConfig_Free(parsed);
@@ -126,14 +127,14 @@
     GwChangeAsk ask = {.kind = GW_CHANGE_DOCUMENT};
     GwChange *c = g_new0(GwChange, 1);
     g_strlcpy(ask.request_id, request_id, sizeof(ask.request_id));
-    begin(c, &ask);
-    c->resolving = true;
-    c->refusing = true;
+    init_change(c, &ask);
+    c->is_resolving = true;
+    c->is_refusing = true;
     set_reason(c, GW_RESULT_NOT_FOUND,
-               "nothing was applied under this request id, and nothing "
-               "can be any more");
+               "no change was applied under this request id, and none "
+               "can be from now on");
     if (!GwRequestId_IsValid(request_id)) {
-        set_reason(c, GW_RESULT_INVALID, "request_id: not a request id");
+        set_reason(c, GW_RESULT_INVALID, "request_id: not a valid request id");
         finish(c, GW_CHANGE_REFUSED, 0);
     }
     return c;
@@ -154,44 +155,45 @@
     return &c->result;
 }
 
-/* A request without an answer: the same step again, or pending. */
+/* Handles a lost reply: repeats the step, or ends as pending. */
 static void
-on_lost(GwChange *c)
+handle_lost_reply(GwChange *c)
 {
-    if (c->tries > 0) {
-        c->tries--;
+    if (c->tries_left > 0) {
+        c->tries_left--;
         return;
     }
     set_reason(c, GW_RESULT_PENDING,
-               "the platform's table does not answer; ask again for "
-               "operation %s",
-               c->ask.request_id);
+               "the platform's table does not answer; query "
+               "operation %s again",
+               c->request.request_id);
     finish(c, GW_CHANGE_PENDING, c->head_version);
 }
 
-/* Settles the run by the row of the request id. */
+/* Ends the run by the row of the request id. */
 static void
-on_op_found(GwChange *c, const char *value)
+handle_op_found(GwChange *c, const char *value)
 {
     uint64_t version = 0;
     uint64_t content = 0;
     int code = 0;
     int at = 0;
     if (sscanf(value, "void %d %n", &code, &at) == 1) {
-        if (!c->refusing || c->resolving) {
+        if (!c->is_refusing || c->is_resolving) {
             set_reason(c, (GwResultCode)code,
-                       "refused before under this request id: %s", value + at);
+                       "already refused under this request id: %s",
+                       value + at);
         }
         finish(c, GW_CHANGE_REFUSED, c->head_version);
         return;
     }
     if (sscanf(value, "%" SCNu64 " %" SCNx64, &version, &content) != 2) {
-        set_reason(c, GW_RESULT_CORRUPT, "the row of the request id: %.40s",
-                   value);
+        set_reason(c, GW_RESULT_CORRUPT,
+                   "unreadable row of the request id: %.40s", value);
         finish(c, GW_CHANGE_PENDING, c->head_version);
         return;
     }
-    bool same = c->resolving || content == c->ask.content;
+    bool same = c->is_resolving || content == c->request.content;
 #if GW_MUTANT == 67
     same = true;
 #endif
@@ -205,20 +207,21 @@
     finish(c, GW_CHANGE_REFUSED, version);
 }
 
-/* The row of the request id is not there. Before the first write that is
- * what was hoped for; after a lost one the same write goes out again, which
- * is harmless, as only one of the two can find the row absent. */
+/* Handles an absent row of the request id. Before the first write the row
+ * is expected to be absent; after a lost reply the same write is sent
+ * again, which is harmless, as only one of the two can find the row absent. */
 static void
-on_op_absent(GwChange *c)
+handle_op_absent(GwChange *c)
 {
-    if (c->refusing) {
+    if (c->is_refusing) {
         refuse(c);
     }
-    else if (c->raced) {
-        c->raced = false;
-        bool rebase = c->ask.kind == GW_CHANGE_EDIT && !c->ask.has_base;
-        if (rebase && c->rebases > 0) {
-            c->rebases--;
+    else if (c->has_conflict) {
+        c->has_conflict = false;
+        bool rebase =
+            c->request.kind == GW_CHANGE_EDIT && !c->request.has_base;
+        if (rebase && c->rebases_left > 0) {
+            c->rebases_left--;
             c->state = CHANGE_READ_HEAD;
             return;
         }
@@ -236,30 +239,31 @@
 }
 
 static void
-on_head(GwChange *c, const GwRow *row)
+handle_head(GwChange *c, const GwRow *row)
 {
     c->head_version = 0;
     c->head_checksum = 0;
     c->head_row = row == NULL ? 0 : row->version;
     if (row != NULL && sscanf(row->value, "%" SCNu64 " %" SCNx64,
                               &c->head_version, &c->head_checksum) != 2) {
-        set_reason(c, GW_RESULT_CORRUPT, "the head row: %.40s", row->value);
+        set_reason(c, GW_RESULT_CORRUPT, "unreadable head row: %.40s",
+                   row->value);
         refuse(c);
         return;
     }
-    if (c->ask.has_base && c->ask.base_version != c->head_version) {
+    if (c->request.has_base && c->request.base_version != c->head_version) {
         set_reason(c, GW_RESULT_CONFLICT,
                    "base version %" PRIu64
                    " is not the present version %" PRIu64,
-                   c->ask.base_version, c->head_version);
+                   c->request.base_version, c->head_version);
         refuse(c);
         return;
     }
     c->state = CHANGE_READ_DOC;
-    if (c->ask.kind == GW_CHANGE_DOCUMENT) {
-        GwChange_Make(c, c->ask.document);
+    if (c->request.kind == GW_CHANGE_DOCUMENT) {
+        GwChange_MakeDocument(c, c->request.document);
     }
-    else if (c->ask.kind == GW_CHANGE_EDIT && c->head_version == 0) {
+    else if (c->request.kind == GW_CHANGE_EDIT && c->head_version == 0) {
         set_reason(c, GW_RESULT_NOT_READY,
                    "no document is in force yet; apply one first");
         refuse(c);
@@ -267,10 +271,10 @@
 }
 
 static void
-on_doc(GwChange *c, const GwRow *row)
+handle_document(GwChange *c, const GwRow *row)
 {
-    uint64_t wanted = c->ask.kind == GW_CHANGE_ROLLBACK
-                          ? c->ask.rollback_version
+    uint64_t wanted = c->request.kind == GW_CHANGE_ROLLBACK
+                          ? c->request.rollback_version
                           : c->head_version;
     if (row == NULL) {
         set_reason(c, GW_RESULT_NOT_FOUND,
@@ -278,7 +282,7 @@
         refuse(c);
         return;
     }
-    if (c->ask.kind == GW_CHANGE_EDIT &&
+    if (c->request.kind == GW_CHANGE_EDIT &&
         XXH64(row->value, strlen(row->value), 0) != c->head_checksum) {
         set_reason(c, GW_RESULT_CORRUPT,
                    "the document of version %" PRIu64
@@ -287,27 +291,27 @@
         refuse(c);
         return;
     }
-    GwChange_Make(c, row->value);
+    GwChange_MakeDocument(c, row->value);
 }
 
-/* Makes and checks the new document, and gets ready to write it. */
+/* Computes and validates the new document, for the write that follows. */
 void
-GwChange_Make(GwChange *c, const char *text)
+GwChange_MakeDocument(GwChange *c, const char *text)
 {
     GError *error = NULL;
     g_free(c->text);
-    c->text = c->ask.kind == GW_CHANGE_EDIT
-                  ? c->ask.make(c->ask.ctx, text, &error)
+    c->text = c->request.kind == GW_CHANGE_EDIT
+                  ? c->request.make(c->request.ctx, text, &error)
                   : g_strdup(text);
     if (c->text == NULL) {
-        take_error(c, error);
+        set_reason_from_error(c, error);
         refuse(c);
         return;
     }
     GwConfig *parsed = GwConfig_Parse(c->text, (uint32_t)strlen(c->text),
                                       c->head_version + 1, &error);
     if (parsed == NULL) {
-        take_error(c, error);
+        set_reason_from_error(c, error);
         refuse(c);
         return;
     }
@@ -316,44 +320,45 @@
     c->state = CHANGE_WRITE;
 }
 
-/* The transaction's answer. A conflict may be this change's own earlier
- * write that took effect late, whichever row the answer names; so the row of
- * the request id is read before anything is said. */
+/* Handles the reply to the transaction. A conflict may stem from this
+ * change's own earlier write that took effect late, whichever row the reply
+ * names; so the row of the request id is read before the outcome is
+ * decided. */
 static void
-on_write(GwChange *c, GwTableStatus status)
+handle_write(GwChange *c, GwTableStatus status)
 {
     if (status == GW_TABLE_DONE) {
         accept(c, c->head_version + 1);
         return;
     }
-    c->raced = status == GW_TABLE_CONFLICT;
+    c->has_conflict = status == GW_TABLE_CONFLICT;
     c->state = CHANGE_READ_OP;
 #if GW_MUTANT == 62
-    if (c->raced) {
+    if (c->has_conflict) {
         accept(c, c->head_version + 1);
     }
 #elif GW_MUTANT == 64
-    if (c->raced) {
+    if (c->has_conflict) {
         finish(c, GW_CHANGE_REFUSED, c->head_version);
     }
 #endif
 }
 
 static void
-on_fence(GwChange *c, GwTableStatus status)
+handle_fence(GwChange *c, GwTableStatus status)
 {
     if (status == GW_TABLE_DONE) {
         finish(c, GW_CHANGE_REFUSED, c->head_version);
         return;
     }
     c->state = CHANGE_READ_OP;
-    on_lost(c); /* a read that lags would else let this go on for ever */
+    handle_lost_reply(c); /* bounds the run if reads are stale */
 #if GW_MUTANT == 66
     finish(c, GW_CHANGE_REFUSED, c->head_version);
 #endif
 }
 
-/* Takes the reply to the last request. */
+/* Handles the reply to the last request. */
 void
 GwChange_Reply(GwChange *c, const GwTableReply *reply)
 {
@@ -362,7 +367,7 @@
                            ? &reply->rows[0]
                            : NULL;
     if (reply->status == GW_TABLE_LOST) {
-        on_lost(c);
+        handle_lost_reply(c);
         if (c->state == CHANGE_END) {
             return;
         }
@@ -380,23 +385,23 @@
     switch (asked) {
     case CHANGE_READ_OP:
         if (row != NULL) {
-            on_op_found(c, row->value);
+            handle_op_found(c, row->value);
         }
         else {
-            on_op_absent(c);
+            handle_op_absent(c);
         }
         break;
     case CHANGE_READ_HEAD:
-        on_head(c, row);
+        handle_head(c, row);
         break;
     case CHANGE_READ_DOC:
-        on_doc(c, row);
+        handle_document(c, row);
         break;
     case CHANGE_WRITE:
-        on_write(c, reply->status);
+        handle_write(c, reply->status);
         break;
     case CHANGE_FENCE:
-        on_fence(c, reply->status);
+        handle_fence(c, reply->status);
         break;
     case CHANGE_END:
         break;
--- a/lib/config/change_internal.h
+++ b/lib/config/change_internal.h
@@ -8,7 +8,7 @@
 #define GW_MUTANT 0
 #endif
 
-/* What the next request does. */
+/* The next request. */
 typedef enum {
     CHANGE_READ_OP = 1,
     CHANGE_READ_HEAD,
@@ -19,13 +19,13 @@
 } ChangeState;
 
 struct GwChange_s {
-    GwChangeAsk ask;
+    GwChangeAsk request;
     ChangeState state;
-    bool resolving; /* no change of its own: only settles the request id */
-    bool refusing;  /* the reason is set; the fence has to be written */
-    bool raced;     /* the last write met a conflict */
-    uint32_t tries;
-    uint32_t rebases;
+    bool is_resolving; /* has no change; only settles the request id */
+    bool is_refusing;  /* the reason is set; the void row must be written */
+    bool has_conflict; /* the last write was answered as a conflict */
+    uint32_t tries_left;
+    uint32_t rebases_left;
     uint64_t head_version;
     uint64_t head_checksum;
     uint64_t head_row;
@@ -34,6 +34,6 @@
     GwChangeResult result;
 };
 
-void GwChange_Make(GwChange *c, const char *text);
+void GwChange_MakeDocument(GwChange *c, const char *text);
 
 #endif
--- a/lib/config/change_rows.c
+++ b/lib/config/change_rows.c
@@ -1,4 +1,4 @@
-/* The requests that a change makes to the table. */
+/* The table requests of a change. */
 #include "config/change_internal.h"
 #include "config/sync.h"
 
@@ -26,32 +26,33 @@
 set_op_key(GwRow *row, const GwChange *c)
 {
     g_snprintf(row->key, sizeof(row->key), "%s%s", GW_KEY_OP_PREFIX,
-               c->ask.request_id);
+               c->request.request_id);
 }
 
-/* The log entry: who changed what, when, under which request id. */
+/* Builds the log entry: operator, request id, time, summary and version. */
 static char *
-log_entry(const GwChange *c, uint64_t version)
+make_log_entry(const GwChange *c, uint64_t version)
 {
     struct json_object *entry = json_object_new_object();
     json_object_object_add(entry, "version",
                            json_object_new_int64((int64_t)version));
     json_object_object_add(entry, "operator",
-                           json_object_new_string(c->ask.operator_name));
+                           json_object_new_string(c->request.operator_name));
     json_object_object_add(entry, "request_id",
-                           json_object_new_string(c->ask.request_id));
+                           json_object_new_string(c->request.request_id));
     json_object_object_add(entry, "when_ms",
-                           json_object_new_int64(c->ask.when_ms));
-    json_object_object_add(
-        entry, "what",
-        json_object_new_string(c->ask.summary != NULL ? c->ask.summary : ""));
+                           json_object_new_int64(c->request.when_ms));
+    json_object_object_add(entry, "what",
+                           json_object_new_string(c->request.summary != NULL
+                                                      ? c->request.summary
+                                                      : ""));
     char *text = g_strdup(json_object_to_json_string_ext(
         entry, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE));
     json_object_put(entry);
     return text;
 }
 
-/* The four rows of a change. */
+/* Builds the transaction of four rows. */
 static void
 fill_write(const GwChange *c, GwTableRequest *out)
 {
@@ -65,12 +66,12 @@
         g_strdup_printf("%" PRIu64 " %016" PRIx64, version, c->checksum));
     g_strlcpy(head->key, GW_KEY_HEAD, sizeof(head->key));
     set_key(add_row(out, 0, g_strdup(c->text)), GW_KEY_DOC_PREFIX, version);
-    set_key(add_row(out, 0, log_entry(c, version)), GW_KEY_LOG_PREFIX,
+    set_key(add_row(out, 0, make_log_entry(c, version)), GW_KEY_LOG_PREFIX,
             version);
 #if GW_MUTANT != 61
     set_op_key(add_row(out, 0,
                        g_strdup_printf("%" PRIu64 " %016" PRIx64, version,
-                                       c->ask.content)),
+                                       c->request.content)),
                c);
 #endif
 }
@@ -98,8 +99,9 @@
         return true;
     case CHANGE_READ_DOC:
         set_key(add_row(out, 0, NULL), GW_KEY_DOC_PREFIX,
-                c->ask.kind == GW_CHANGE_ROLLBACK ? c->ask.rollback_version
-                                                  : c->head_version);
+                c->request.kind == GW_CHANGE_ROLLBACK
+                    ? c->request.rollback_version
+                    : c->head_version);
         return true;
     case CHANGE_WRITE:
         fill_write(c, out);
@@ -113,7 +115,7 @@
     return false;
 }
 
-/* Frees the values of a request made by GwChange_Next. */
+/* Frees the values of a request from GwChange_Next. */
 void
 GwChange_ClearRequest(GwTableRequest *request)
 {
--- a/lib/config/checks.c
+++ b/lib/config/checks.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Refuses a second operation with the method and path of the last one: the
- * two could disagree on whether it may be repeated. */
+/* Rejects an operation with the method and path of an earlier one: the two
+ * could disagree on whether a call may be repeated. */
 bool
 GwChecks_Operation(const GwService *service, const GwReadAt *at,
                    GError **error)
@@ -22,7 +22,7 @@
     return true;
 }
 
-/* Where a backend server stands in the document. */
+/* Returns the position of a backend server in the document. */
 static GwReadAt
 backend_at(const GwConfig *c, uint32_t i)
 {
@@ -33,7 +33,7 @@
     return at;
 }
 
-/* Holds one backend server against those in the tables, and adds it. */
+/* Checks one backend server against those in the tables, and adds it. */
 static bool
 check_backend(const GwConfig *c, uint32_t i, GHashTable *ids,
               GHashTable *addresses, GError **error)
@@ -58,8 +58,8 @@
     return true;
 }
 
-/* Refuses a second backend server of one name in a service, and a second use
- * of one address: the server would get its slots twice over. */
+/* Rejects two backend servers of one name in a service, and two uses of one
+ * address: the server would get its slots twice. */
 bool
 GwChecks_Backends(const GwConfig *c, GError **error)
 {
@@ -74,7 +74,7 @@
     return good;
 }
 
-/* Refuses a second region of one name. */
+/* Rejects a second region of one name. */
 bool
 GwChecks_Region(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
 {
@@ -85,7 +85,7 @@
                        "\"%s\" is already regions[%u]", name, first);
 }
 
-/* Refuses a second service of one name. */
+/* Rejects a second service of one name. */
 bool
 GwChecks_Service(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
 {
@@ -96,7 +96,7 @@
                        "\"%s\" is already services[%u]", name, first);
 }
 
-/* Refuses a second place of one service in one region. */
+/* Rejects a second place of one service in one region. */
 bool
 GwChecks_Place(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
 {
@@ -108,8 +108,9 @@
                                      c->regions[place->region].name, first);
 }
 
-/* Refuses a second shift between the same ends, one within a region, one to
- * where the service has no place, and moving more than all of the calls. */
+/* Rejects a second shift between the same regions, a shift within a region,
+ * a shift to a region without a place of the service, and shifts of more
+ * than 100 percent in total. */
 bool
 GwChecks_Shift(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
 {
@@ -123,7 +124,7 @@
     }
     if (shift->from == shift->to) {
         return GwRead_Fail(at, "to", GW_RESULT_INVALID, error,
-                           "\"%s\" is where the shift is from", to);
+                           "\"%s\" is also the region in \"from\"", to);
     }
     if (GwConfig_FindPlace(c, shift->service, shift->to) == GW_NONE) {
         return GwRead_Fail(at, "to", GW_RESULT_NOT_FOUND, error,
@@ -144,7 +145,7 @@
                        c->regions[shift->from].name, moved);
 }
 
-/* Refuses a second limit of one link, and one within a region. */
+/* Rejects a second limit of one link, and a link within a region. */
 bool
 GwChecks_Link(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
 {
@@ -156,6 +157,6 @@
     }
     return link->from != link->to ||
            GwRead_Fail(at, "to", GW_RESULT_INVALID, error,
-                       "\"%s\" is where the link is from",
+                       "\"%s\" is also the region in \"from\"",
                        c->regions[link->to].name);
 }
--- a/lib/config/checks.h
+++ b/lib/config/checks.h
@@ -1,7 +1,7 @@
-/* Checks of a configuration that need more than one item: duplicates, and
- * rules between places, shifts and links. Each is called right after its
- * item was appended and looks at the items before it; that of the backend
- * servers looks at all of them, once. */
+/* Checks of a configuration that involve more than one item: duplicates,
+ * and rules between places, shifts and links. Each check is called right
+ * after its item was appended and compares it with the items before;
+ * GwChecks_Backends is called once and checks all backend servers. */
 #ifndef GW_CONFIG_CHECKS_H
 #define GW_CONFIG_CHECKS_H
 
--- a/lib/config/fetch.c
+++ b/lib/config/fetch.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 static void
-get_row(GwSync *s, int64_t now_us, const char *key, uint64_t doc,
-        GwActions *out)
+request_row(GwSync *s, int64_t now_us, const char *key, uint64_t doc,
+            GwActions *out)
 {
     GwTableRequest *request = g_new0(GwTableRequest, 1);
 
@@ -20,53 +20,56 @@
     s->table.sent_us = now_us;
 }
 
-/* The more entries live, the longer each waits: any one that reads a new head
- * tells the others, and hundreds that poll at the pace of a dozen would take
- * the table's reads from everybody. One that lost its peers counts few of them,
- * and polls at the pace of a dozen again. */
+/* Returns the wait before the next poll. It grows with the number of live
+ * entries: an entry that reads a new head announces it to the others, and
+ * hundreds of entries polling at the rate of a dozen would use up the
+ * table's read capacity. An entry that lost its peers counts few, and polls
+ * faster again. */
 static int64_t
 poll_us(GwSync *s)
 {
     int64_t base_us = (int64_t)s->params.config_poll_ms * 1000;
-    int64_t shared_us =
-        MIN(s->entries * GW_SYNC_ENTRY_US, GW_SYNC_SHARED_MAX_US);
-    uint32_t shift = MIN(s->table_fails, GW_SYNC_BACKOFF_MAX);
+    int64_t shared_us = MIN(s->entries * GW_SYNC_POLL_PER_ENTRY_US,
+                            GW_SYNC_POLL_SHARED_MAX_US);
+    uint32_t shift = MIN(s->table_failures, GW_SYNC_BACKOFF_MAX);
     int64_t wait_us = MAX(base_us << shift, shared_us);
 
     return GwRng_Jitter(&s->rng, wait_us * 3 / 4, wait_us / 2);
 }
 
-/* Asks the table which version is in force. */
+/* Requests the head row from the table. */
 void
 GwSync_GetHead(GwSync *s, int64_t now_us, GwActions *out)
 {
     s->next_poll_us = now_us + poll_us(s);
-    get_row(s, now_us, GW_KEY_HEAD, 0, out);
+    request_row(s, now_us, GW_KEY_HEAD, 0, out);
 }
 
-/* No answer: polls and fetches slow down, so that a table in trouble gets
- * less work from each entry, not more. */
+/* Handles a failed table request: polls and fetches slow down, so that a
+ * table in trouble gets less work from each entry, not more. */
 void
-GwSync_TableAway(GwSync *s, int64_t now_us, GwActions *out)
+GwSync_TableFailed(GwSync *s, int64_t now_us, GwActions *out)
 {
-    if (s->table_fails++ == 0) {
+    if (s->table_failures++ == 0) {
         GwActions_Log(out, GW_LOG_STORE_AWAY, "what=config");
     }
     s->next_poll_us = now_us + poll_us(s);
     s->next_doc_us = s->next_poll_us;
 }
 
-/* The peer with the highest version among those not asked just now. */
+/* Returns the peer with the highest version among those without a recent
+ * request, or NULL. */
 static GwSyncPeer *
-best_peer(GwSync *s, int64_t now_us)
+choose_peer(GwSync *s, int64_t now_us)
 {
     GwSyncPeer *best = NULL;
 
     for (uint32_t i = 0; i < GW_SYNC_PEERS; i++) {
         GwSyncPeer *peer = &s->peers[i];
-        bool rests = peer->asked_us != 0 &&
-                     now_us - peer->asked_us < 2 * GW_SYNC_ASK_US;
-        if (peer->version <= GwSync_Have(s) || rests) {
+        bool is_recent =
+            peer->requested_us != 0 &&
+            now_us - peer->requested_us < 2 * GW_SYNC_PEER_TIMEOUT_US;
+        if (peer->version <= GwSync_Version(s) || is_recent) {
             continue;
         }
         if (best == NULL || peer->version > best->version) {
@@ -77,49 +80,50 @@
 }
 
 static void
-ask_peer(GwSync *s, int64_t now_us, GwSyncPeer *peer, GwActions *out)
+request_from_peer(GwSync *s, int64_t now_us, GwSyncPeer *peer, GwActions *out)
 {
     GwAction *action = GwActions_Add(out, GW_ACTION_SEND);
     GwMessage *msg = GwMessage_Create(GW_MSG_CONFIG_ASK, s->params.id);
 
-    msg->u.config_version = GwSync_Have(s);
+    msg->u.config_version = GwSync_Version(s);
     g_strlcpy(action->u.send.address, peer->address, GW_ADDR_MAX);
     action->u.send.to = peer->id;
     action->u.send.message = msg;
-    peer->asked_us = now_us;
-    peer->tries++;
-    s->ask.active = true;
-    s->ask.id = peer->id;
-    s->ask.sent_us = now_us;
+    peer->requested_us = now_us;
+    peer->request_count++;
+    s->peer_request.active = true;
+    s->peer_request.id = peer->id;
+    s->peer_request.sent_us = now_us;
 }
 
-/* Goes after the version wanted: a peer that has it, or else the table, one
- * request of each at most. The table's document is read only by the head's
- * checksum; a version known from a peer alone waits for the next poll. A
- * document that was refused is read again at the pace of the polls: it may
- * have been mangled on its way. */
+/* Requests the wanted version from a peer that has it, or else from the
+ * table, with at most one request in flight to each. A document in the
+ * table is only read once the head row gave its checksum; a version known
+ * from peers alone waits for the next poll. A rejected document is read
+ * again at the rate of the polls, since it may have been damaged in
+ * transit. */
 void
 GwSync_Fetch(GwSync *s, int64_t now_us, GwActions *out)
 {
-    if (s->ask.active) {
+    if (s->peer_request.active) {
         return;
     }
-    GwSyncPeer *peer = best_peer(s, now_us);
+    GwSyncPeer *peer = choose_peer(s, now_us);
     if (peer != NULL) {
-        ask_peer(s, now_us, peer, out);
+        request_from_peer(s, now_us, peer, out);
         return;
     }
-    if (s->table.token == 0 && s->head_version > GwSync_Have(s) &&
+    if (s->table.token == 0 && s->head_version > GwSync_Version(s) &&
         now_us >= s->next_doc_us) {
         char key[GW_ROW_KEY_MAX];
         g_snprintf(key, sizeof(key), GW_KEY_DOC_PREFIX "%020" PRIu64,
                    s->head_version);
         s->next_doc_us = now_us + poll_us(s);
-        get_row(s, now_us, key, s->head_version, out);
+        request_row(s, now_us, key, s->head_version, out);
     }
 }
 
-/* "<version> <checksum hex>" and nothing else. */
+/* Parses "<version> <checksum hex>" and nothing else. */
 static bool
 parse_head(const GwRow *row, uint64_t *version, uint64_t *checksum)
 {
@@ -133,10 +137,10 @@
                                       NULL);
 }
 
-/* Takes the head in. A lower one than known before is a stale read, or the
- * work of a broken store: versions only rise. */
+/* Applies the head row. A lower version than known is a stale read or a
+ * fault of the store, since versions only rise. */
 static void
-take_head(GwSync *s, const GwRow *row, GwActions *out)
+apply_head(GwSync *s, const GwRow *row, GwActions *out)
 {
     uint64_t version = 0;
     uint64_t checksum = 0;
@@ -153,8 +157,8 @@
 }
 
 static bool
-take_doc(GwSync *s, int64_t now_us, const GwRow *row, uint64_t version,
-         GwActions *out)
+apply_doc(GwSync *s, int64_t now_us, const GwRow *row, uint64_t version,
+          GwActions *out)
 {
     GwSyncDoc doc = {.version = version,
                      .checksum = s->head_checksum,
@@ -166,14 +170,15 @@
         return false;
     }
     bool adopted = GwSync_Adopt(s, now_us, &doc, out);
-    if (!adopted && version > GwSync_Have(s)) {
+    if (!adopted && version > GwSync_Version(s)) {
         s->refused_version = version;
     }
     return adopted;
 }
 
-/* The answer to a poll or a fetch; returns true when a new configuration is
- * in force. Answers that were given up before are ignored. */
+/* Handles the reply to a poll or a fetch; returns true if a new
+ * configuration is in force. Replies to requests that timed out are
+ * ignored. */
 bool
 GwSync_TableReply(GwSync *s, int64_t now_us, const GwTableReply *reply,
                   GwActions *out)
@@ -186,11 +191,11 @@
     }
     s->table.token = 0;
     if (reply->status != GW_TABLE_DONE) {
-        GwSync_TableAway(s, now_us, out);
+        GwSync_TableFailed(s, now_us, out);
         return false;
     }
-    if (s->table_fails > 0) {
-        s->table_fails = 0;
+    if (s->table_failures > 0) {
+        s->table_failures = 0;
         GwActions_Log(out, GW_LOG_STORE_BACK, "what=config");
     }
     const GwRow *row = reply->row_count > 0 && reply->rows[0].version != 0 &&
@@ -200,13 +205,13 @@
     if (doc == 0) {
         s->head_read = true;
         if (row != NULL) {
-            take_head(s, row, out);
+            apply_head(s, row, out);
         }
     }
     else if (row != NULL) {
-        adopted = take_doc(s, now_us, row, doc, out);
+        adopted = apply_doc(s, now_us, row, doc, out);
     }
-    GwSync_NoteBehind(s, now_us);
+    GwSync_UpdateBehind(s, now_us);
     GwSync_Fetch(s, now_us, out);
     return adopted;
 }
--- a/lib/config/model.c
+++ b/lib/config/model.c
@@ -1,10 +1,10 @@
-/* A built configuration: look-ups by name, and the end of its life. The
- * arrays are small and read-only, so look-ups are scans. */
+/* Look-ups in a configuration, and its release. The arrays are small and
+ * read-only, so look-ups are linear scans. */
 #include "config/model.h"
 
 #include <string.h>
 
-/* Gives the memory back; NULL is fine. */
+/* Frees a configuration; NULL is allowed. */
 void
 GwConfig_Free(GwConfig *config)
 {
@@ -25,7 +25,7 @@
     g_free(config);
 }
 
-/* The index of a service, or GW_NONE. */
+/* Returns the index of a service, or GW_NONE. */
 uint32_t
 GwConfig_FindService(const GwConfig *c, const char *name)
 {
@@ -37,7 +37,7 @@
     return GW_NONE;
 }
 
-/* The index of a region, or GW_NONE. */
+/* Returns the index of a region, or GW_NONE. */
 uint32_t
 GwConfig_FindRegion(const GwConfig *c, const char *name)
 {
@@ -49,7 +49,7 @@
     return GW_NONE;
 }
 
-/* The index of the place of a service in a region, or GW_NONE. */
+/* Returns the index of the place of a service in a region, or GW_NONE. */
 uint32_t
 GwConfig_FindPlace(const GwConfig *c, uint32_t service, uint32_t region)
 {
@@ -62,7 +62,7 @@
     return GW_NONE;
 }
 
-/* The index of a shift, or GW_NONE: none is allowed. */
+/* Returns the index of a shift, or GW_NONE if none is allowed. */
 uint32_t
 GwConfig_FindShift(const GwConfig *c, uint32_t service, uint32_t from,
                    uint32_t to)
@@ -77,7 +77,8 @@
     return GW_NONE;
 }
 
-/* The index of a link's limit, or GW_NONE: it is not limited. */
+/* Returns the index of a link's limit, or GW_NONE if the link is not
+ * limited. */
 uint32_t
 GwConfig_FindLink(const GwConfig *c, uint32_t from, uint32_t to)
 {
@@ -89,7 +90,7 @@
     return GW_NONE;
 }
 
-/* The index of a backend server by its id, or GW_NONE. */
+/* Returns the index of a backend server by id, or GW_NONE. */
 uint32_t
 GwConfig_FindBackend(const GwConfig *c, uint64_t id)
 {
@@ -101,20 +102,21 @@
     return GW_NONE;
 }
 
-/* Whether a server may read the path as another one than a prefix match
- * sees: "/slots/../book" begins like a look-up and ends as a booking. The
- * query is no part of the path. */
+/* Returns whether a server may resolve the path to a different one than the
+ * prefix match compares: "/slots/../book" begins like a look-up and ends as
+ * a booking. The query is not part of the path. */
 static bool
 is_ambiguous(const char *path)
 {
-    static const char *const signs[] = {"..",  "//",  "\\", "%2e",
-                                        "%2f", "%5c", "%25"};
+    static const char *const sequences[] = {"..",  "//",  "\\", "%2e",
+                                            "%2f", "%5c", "%25"};
     for (const char *p = path; *p != '\0' && *p != '?'; p++) {
         if (strchr("./\\%", *p) == NULL) {
             continue;
         }
-        for (size_t i = 0; i < G_N_ELEMENTS(signs); i++) {
-            if (g_ascii_strncasecmp(p, signs[i], strlen(signs[i])) == 0) {
+        for (size_t i = 0; i < G_N_ELEMENTS(sequences); i++) {
+            if (g_ascii_strncasecmp(p, sequences[i], strlen(sequences[i])) ==
+                0) {
                 return true;
             }
         }
@@ -122,9 +124,9 @@
     return false;
 }
 
-/* The length of the match of a pattern with a path, 0 for none. An exact
- * match is longer than every prefix. The query is no part of an exact
- * match. */
+/* Returns the length of the match of a pattern with a path, 0 for none. An
+ * exact match counts as longer than any prefix match, and ignores the
+ * query. */
 static size_t
 match_len(const char *pattern, const char *path)
 {
@@ -138,9 +140,10 @@
                : 0;
 }
 
-/* Whether a call may be repeated: the longest matching operation says. One
- * that matches none, or whose path is ambiguous, is non-idempotent, since a
- * repeat of a booking harms more than a look-up that is not repeated. */
+/* Returns whether a call may be repeated; the longest matching operation
+ * decides. A call that matches none, or whose path is ambiguous, is
+ * non-idempotent, since a repeated booking does more harm than a look-up
+ * that is not repeated. */
 bool
 GwConfig_IsIdempotent(const GwConfig *c, uint32_t service, const char *method,
                       const char *path)
--- a/lib/config/model.h
+++ b/lib/config/model.h
@@ -1,7 +1,7 @@
-/* The steering configuration: what operators set and every entry obeys.
+/* The steering configuration, set by operators and followed by every entry.
  *
- * A GwConfig is immutable once built. Its version is the one authority on
- * order: a node only ever moves to a higher version. Names are resolved to
+ * A GwConfig is immutable once built. Configurations are ordered by version
+ * alone: a node only ever moves to a higher version. Names are resolved to
  * array indices when the document is parsed, so that the decision code
  * compares integers. All arrays are owned by the GwConfig. */
 #ifndef GW_CONFIG_MODEL_H
@@ -23,13 +23,13 @@
 #define GW_MAX_SHIFTS     1024
 #define GW_MAX_LINKS      256
 #define GW_MAX_SLOTS      256
-#define GW_SEATS_MAX      1024 /* of one region */
+#define GW_SEATS_MAX      1024 /* per region */
 #define GW_CONFIG_DOC_MAX (1u << 20)
 #define GW_NONE           UINT32_MAX
 
 typedef struct {
     char name[GW_NAME_MAX];
-    uint32_t seats; /* fixed number of seats; above any count of entries */
+    uint32_t seats; /* fixed; must exceed the number of entries */
 } GwRegion;
 
 /* One operation of a service. A call that matches no operation is treated
@@ -44,7 +44,7 @@
     char name[GW_NAME_MAX];
     uint32_t operation_count;
     GwOperation *operations;
-    uint32_t deadline_max_ms;  /* longest deadline a call may ask for */
+    uint32_t deadline_max_ms;  /* longest deadline of a call */
     uint32_t hedge_percentile; /* 0: no hedging; else 50..99 */
 } GwService;
 
@@ -52,14 +52,15 @@
 typedef struct {
     char name[GW_NAME_MAX];
     char address[GW_ADDR_MAX]; /* ip:port */
-    uint64_t id;               /* hash of service/name, stable over versions */
+    uint64_t id; /* hash of service/name, the same in every version */
     uint32_t place;
     uint32_t slots;
     uint32_t connections;
     bool drain;
 } GwBackend;
 
-/* A place: one service in one region. Its backends are contiguous. */
+/* A place: one service in one region. Its backend servers are contiguous in
+ * GwConfig.backends. */
 typedef struct {
     uint32_t service;
     uint32_t region;
@@ -69,8 +70,8 @@
 } GwPlace;
 
 /* A shift: traffic of one service that enters in `from` and runs in `to`.
- * `cap` bounds its requests in flight; `percent` is the share that an
- * operator moves although the local place could carry it. */
+ * `cap` bounds its requests in flight; `percent` is the share moved even if
+ * the local place has capacity. */
 typedef struct {
     uint32_t service;
     uint32_t from;
@@ -95,7 +96,7 @@
     uint32_t backend_count;
     uint32_t shift_count;
     uint32_t link_count;
-    uint32_t warmup_step; /* grants may grow by this many a second */
+    uint32_t warmup_step; /* growth of grants per second, in units */
     GwRegion *regions;
     GwService *services;
     GwPlace *places;
--- a/lib/config/parse.c
+++ b/lib/config/parse.c
@@ -1,5 +1,5 @@
-/* From the document of docs/PROTOCOLS.md to a GwConfig. Every field is
- * checked here; what needs more than one item is in checks.c. */
+/* Parses the document of docs/PROTOCOLS.md into a GwConfig. Fields are
+ * validated here; rules that involve more than one item are in checks.c. */
 #include "common/names.h"
 #include "config/checks.h"
 #include "config/reader.h"
@@ -27,7 +27,7 @@
                       &region->seats, error);
 }
 
-/* Reads the HTTP method of an operation: capital letters. */
+/* Reads the HTTP method of an operation: upper-case letters. */
 static bool
 read_method(const GwReadAt *at, GwOperation *op, GError **error)
 {
@@ -38,11 +38,12 @@
     for (const char *p = op->method; *p != '\0'; p++) {
         good = good && g_ascii_isupper(*p);
     }
-    return good || GwRead_Fail(at, "method", GW_RESULT_INVALID, error,
-                               "\"%s\" must be capital letters", op->method);
+    return good ||
+           GwRead_Fail(at, "method", GW_RESULT_INVALID, error,
+                       "\"%s\" must be upper-case letters", op->method);
 }
 
-/* Reads the path of an operation: '/' first, '*' at most as the last. */
+/* Reads the path of an operation, which begins with '/' and may end in '*'. */
 static bool
 read_path(const GwReadAt *at, GwOperation *op, GError **error)
 {
@@ -94,7 +95,7 @@
     return true;
 }
 
-/* Reads the hedging percentile: 0 for off, else 50 to 99. */
+/* Reads the hedging percentile: 0 (off) or 50 to 99. */
 static bool
 read_hedge(GwService *service, const GwReadAt *at, GError **error)
 {
@@ -125,7 +126,7 @@
            read_operations(service, at, error);
 }
 
-/* The identity of a backend server, the same in every version. */
+/* Returns the id of a backend server, which is the same in every version. */
 static uint64_t
 backend_id(const char *service, const char *name)
 {
@@ -153,7 +154,7 @@
            GwRead_Bool(at, "drain", &b->drain, error);
 }
 
-/* Appends the backend servers of place `i` to the one array of all. */
+/* Appends the backend servers of place `i` to the array of all. */
 static bool
 read_backends(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
 {
@@ -180,7 +181,7 @@
     return true;
 }
 
-/* Reads a name and resolves it to the index of a service. */
+/* Reads a service name and resolves it to an index. */
 static bool
 read_service_ref(const GwConfig *c, const GwReadAt *at, uint32_t *out,
                  GError **error)
@@ -195,7 +196,7 @@
                        "no service is named \"%s\"", name);
 }
 
-/* Reads a name and resolves it to the index of a region. */
+/* Reads a region name and resolves it to an index. */
 static bool
 read_region_ref(const GwConfig *c, const GwReadAt *at, const char *key,
                 uint32_t *out, GError **error)
@@ -254,9 +255,10 @@
 typedef bool (*ReadFn)(GwConfig *c, uint32_t i, const GwReadAt *at,
                        GError **error);
 
-/* One array of the document: how it is read and held against the items
- * before it. `count` grows before each item is read: so a check sees only
- * items up to its own, and what a half-read item owns is freed. */
+/* One array of the document, with the functions that read an item and check
+ * it against earlier items. `count` grows before each item is read, so that
+ * a check sees items up to its own, and the memory of an item read in part
+ * is freed. */
 typedef struct {
     const char *key;
     GwReadBound bound;
@@ -283,7 +285,8 @@
     return true;
 }
 
-/* Reads all arrays; names before what refers to them. */
+/* Reads all arrays, those that define names before those that refer to
+ * them. */
 static bool
 read_sections(GwConfig *c, const GwReadAt *root, GError **error)
 {
@@ -352,7 +355,8 @@
            read_sections(c, &root, error);
 }
 
-/* Builds a configuration; nothing is kept of one that has a fault. */
+/* Builds a configuration; returns NULL with `error` set if any part is
+ * invalid. */
 GwConfig *
 GwConfig_Parse(const char *text, uint32_t len, uint64_t version,
                GError **error)
--- a/lib/config/reader.c
+++ b/lib/config/reader.c
@@ -6,14 +6,15 @@
 
 #define MAX_DEPTH 16
 
-/* The domain of every GError of the library; codes are GwResultCode. */
+/* Returns the domain of every GError of the library; codes are
+ * GwResultCode. */
 GQuark
 GwError_Quark(void)
 {
     return g_quark_from_static_string("godwitridge");
 }
 
-/* The first byte behind white space and comments. */
+/* Returns the first byte after white space and comments. */
 static const char *
 skip_blank(const char *p, const char *end)
 {
@@ -41,7 +42,7 @@
 }
 
 static uint32_t
-line_of(const char *text, size_t offset)
+line_at(const char *text, size_t offset)
 {
     uint32_t line = 1;
     for (size_t i = 0; i < offset; i++) {
@@ -50,9 +51,9 @@
     return line;
 }
 
-/* One run of the tokener over the whole text. The newline behind it ends a
- * last line comment, which the tokener would else wait for. `end` is where
- * the object ended or the fault was found. */
+/* Runs the tokener once over the whole text. The appended newline ends a
+ * final line comment, which the tokener would otherwise wait for. `end` is
+ * the offset of the end of the object or of the error. */
 static struct json_object *
 tokenize(const char *text, size_t len, size_t *end,
          enum json_tokener_error *why)
@@ -75,13 +76,14 @@
     return root;
 }
 
-/* What is wrong with the text as a whole, or NULL; `at` is the place. */
+/* Returns what is wrong with the text as a whole, or NULL; `at` is the
+ * offset. */
 static const char *
-text_fault(const char *text, size_t len, struct json_object *root,
+find_fault(const char *text, size_t len, struct json_object *root,
            enum json_tokener_error why, size_t *at)
 {
     if (why == json_tokener_continue) {
-        return "the text ends early";
+        return "unexpected end of text";
     }
     if (why != json_tokener_success) {
         return json_tokener_error_desc(why);
@@ -92,12 +94,12 @@
     }
     const char *rest = skip_blank(text + *at, text + len);
     *at = (size_t)(rest - text);
-    return *at == len ? NULL : "text behind the object";
+    return *at == len ? NULL : "text after the object";
 }
 
-/* Parses a whole text that holds one JSON object, comments allowed. Returns
- * NULL with the line in `error` on anything else, text behind the object
- * included: the tokener alone would pass over it. */
+/* Parses a text that consists of one JSON object, with comments allowed.
+ * Otherwise returns NULL with the line in `error`, also for text after the
+ * object, which the tokener alone would ignore. */
 struct json_object *
 GwRead_Text(const char *text, size_t len, GError **error)
 {
@@ -107,37 +109,38 @@
     if (nul != NULL) {
         g_set_error(error, GW_ERROR, GW_RESULT_PARSE,
                     "line %u: a NUL byte in the text",
-                    line_of(text, (size_t)(nul - text)));
+                    line_at(text, (size_t)(nul - text)));
         return NULL;
     }
     struct json_object *root = tokenize(text, len, &at, &why);
-    const char *fault = text_fault(text, len, root, why, &at);
+    const char *fault = find_fault(text, len, root, why, &at);
     if (fault != NULL) {
         g_set_error(error, GW_ERROR, GW_RESULT_PARSE, "line %u: %s",
-                    line_of(text, at), fault);
+                    line_at(text, at), fault);
         json_object_put(root);
         return NULL;
     }
     return root;
 }
 
-/* Sets an error "path.key: ..." and returns false. */
+/* Sets an error "path.key: message" and returns false. */
 bool
 GwRead_Fail(const GwReadAt *at, const char *key, GwResultCode code,
             GError **error, const char *format, ...)
 {
     va_list args;
     va_start(args, format);
-    char *what = g_strdup_vprintf(format, args);
+    char *message = g_strdup_vprintf(format, args);
     va_end(args);
     g_set_error(error, GW_ERROR, (int)code, "%s%s%s: %s", at->path,
-                at->path[0] != '\0' && key[0] != '\0' ? "." : "", key, what);
-    g_free(what);
+                at->path[0] != '\0' && key[0] != '\0' ? "." : "", key,
+                message);
+    g_free(message);
     return false;
 }
 
-/* Refuses a key that is not in the NULL-terminated list: a misspelt key
- * would else leave its default in force without a word. */
+/* Rejects a key that is not in the NULL-terminated list: otherwise a
+ * misspelt key would silently leave its default in force. */
 bool
 GwRead_Keys(const GwReadAt *at, const char *const *known, GError **error)
 {
@@ -156,8 +159,8 @@
     return true;
 }
 
-/* Finds a member of the type. Absent: *out is NULL, and it is an error
- * unless optional. */
+/* Finds a member of the given type. If it is absent, *out is NULL, which is
+ * an error unless `optional`. */
 static bool
 find_typed(const GwReadAt *at, const char *key, enum json_type type,
            bool optional, struct json_object **out, GError **error)
@@ -179,7 +182,7 @@
     return true;
 }
 
-/* Reads a whole number within its bounds, both ends included. */
+/* Reads an integer within its bounds, both ends included. */
 bool
 GwRead_U32(const GwReadAt *at, const char *key, const GwReadBound *bound,
            uint32_t *out, GError **error)
@@ -204,7 +207,7 @@
     return true;
 }
 
-/* Reads an optional truth value; absent keeps *out. */
+/* Reads an optional boolean; if absent, *out is unchanged. */
 bool
 GwRead_Bool(const GwReadAt *at, const char *key, bool *out, GError **error)
 {
@@ -218,8 +221,8 @@
     return true;
 }
 
-/* Reads a required string of at most size - 1 bytes into out. A NUL escape
- * inside it is refused: the rest would be dropped without a word. */
+/* Reads a required string of at most size - 1 bytes into `out`. An embedded
+ * NUL escape is rejected: the rest would be silently dropped. */
 bool
 GwRead_String(const GwReadAt *at, const char *key, size_t size, char *out,
               GError **error)
@@ -242,8 +245,9 @@
     return true;
 }
 
-/* Names go into keys of rows, paths and metrics, so they hold only a-z, 0-9,
- * '-', '_' and '.', and begin with a letter or digit. */
+/* Returns whether `name` is valid. Names become part of row keys, paths and
+ * metrics, so they consist of a-z, 0-9, '-', '_' and '.', and begin with a
+ * letter or digit. */
 bool
 GwName_IsValid(const char *name)
 {
@@ -270,11 +274,11 @@
     }
     return GwName_IsValid(out) ||
            GwRead_Fail(at, key, GW_RESULT_INVALID, error,
-                       "\"%s\" is no name: a-z 0-9 - _ . only", out);
+                       "\"%s\" is not a valid name: only a-z 0-9 - _ .", out);
 }
 
-/* Whether the text is "a.b.c.d:port" or "[v6]:port", port 1 to 65535. Host
- * names are refused: instances talk by IP numbers. */
+/* Returns whether the text is "a.b.c.d:port" or "[v6]:port", port 1 to
+ * 65535. Host names are rejected: instances connect by IP address. */
 bool
 GwAddress_IsValid(const char *address)
 {
@@ -311,7 +315,7 @@
                        "\"%s\" is not ip:port", out);
 }
 
-/* Reads the length of an array within its bounds; absent and optional: 0. */
+/* Reads the length of an array within its bounds; 0 if optional and absent. */
 bool
 GwRead_Array(const GwReadAt *at, const char *key, const GwReadBound *bound,
              uint32_t *count, GError **error)
@@ -338,7 +342,7 @@
     return true;
 }
 
-/* Steps into item `i` of an array member; the item must be an object. */
+/* Sets `out` to item `i` of an array member; the item must be an object. */
 bool
 GwRead_Item(const GwReadAt *at, const char *key, uint32_t i, GwReadAt *out,
             GError **error)
--- a/lib/config/reader.h
+++ b/lib/config/reader.h
@@ -1,7 +1,7 @@
-/* Reading of JSON with comments, field by field.
+/* Field readers for JSON with comments.
  *
- * Every reader takes the object it stands at with its path, and on failure
- * sets an error that names the path, the bound and the value. */
+ * Every reader takes an object with its path in the document, and on
+ * failure sets an error that names the path, the bound and the value. */
 #ifndef GW_CONFIG_READER_H
 #define GW_CONFIG_READER_H
 
@@ -20,7 +20,7 @@
 typedef struct {
     uint32_t min;
     uint32_t max;
-    bool optional; /* absent: the output keeps its value */
+    bool optional; /* if absent, the output is unchanged */
 } GwReadBound;
 
 struct json_object *GwRead_Text(const char *text, size_t len, GError **error);
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -10,7 +10,7 @@
 #define DELAYS_KEY   "test_delays"
 
 static void *
-field_of(const GwSettings *s, const GwSettingRow *row)
+get_field(const GwSettings *s, const GwSettingRow *row)
 {
     return (char *)s + row->offset;
 }
@@ -19,14 +19,15 @@
 set_default(GwSettings *s, const GwSettingRow *row)
 {
     if (row->type == GW_SETTING_U32) {
-        memcpy(field_of(s, row), &row->value, sizeof(row->value));
+        memcpy(get_field(s, row), &row->value, sizeof(row->value));
     }
     else if (row->text != NULL) {
-        g_strlcpy(field_of(s, row), row->text, row->size);
+        g_strlcpy(get_field(s, row), row->text, row->size);
     }
 }
 
-/* Reads a 64-bit number; JSON libraries carry 63 bits of it in safety. */
+/* Reads a 64-bit number. Only 63 bits are allowed: JSON libraries handle no
+ * more reliably. */
 static bool
 read_u64(const GwReadAt *at, const GwSettingRow *row, uint64_t *out,
          GError **error)
@@ -70,7 +71,7 @@
 }
 
 /* Reads one key of the table into its field. An absent key keeps its
- * default, or is an error when it has none. */
+ * default, or is an error if it has none. */
 static bool
 read_row(GwSettings *s, const GwReadAt *at, const GwSettingRow *row,
          GError **error)
@@ -85,22 +86,22 @@
     case GW_SETTING_U32:
         return GwRead_U32(at, row->key,
                           &(GwReadBound){.min = row->min, .max = row->max},
-                          field_of(s, row), error);
+                          get_field(s, row), error);
     case GW_SETTING_U64:
-        return read_u64(at, row, field_of(s, row), error);
+        return read_u64(at, row, get_field(s, row), error);
     case GW_SETTING_NAME:
-        return GwRead_Name(at, row->key, field_of(s, row), error);
+        return GwRead_Name(at, row->key, get_field(s, row), error);
     case GW_SETTING_ADDRESS:
-        return GwRead_Address(at, row->key, field_of(s, row), error);
+        return GwRead_Address(at, row->key, get_field(s, row), error);
     case GW_SETTING_TEXT:
-        return read_text(at, row, field_of(s, row), error);
+        return read_text(at, row, get_field(s, row), error);
     case GW_SETTING_LEVEL:
-        return read_level(at, row, field_of(s, row), error);
+        return read_level(at, row, get_field(s, row), error);
     }
     return false;
 }
 
-/* Refuses keys that are neither in the table nor test_delays. */
+/* Rejects keys that are neither in the table nor test_delays. */
 static bool
 check_keys(const GwReadAt *at, GError **error)
 {
@@ -116,8 +117,8 @@
     return good;
 }
 
-/* Reads the test hook: region names ("" for other failure domains of the
- * own one) to one-way delays. */
+/* Reads the test hook: a map of region names ("" for other failure domains
+ * of the own region) to one-way delays in microseconds. */
 static bool
 read_delays(GwSettings *s, const GwReadAt *root, GError **error)
 {
@@ -138,7 +139,7 @@
         }
         if (region[0] != '\0' && !GwName_IsValid(region)) {
             return GwRead_Fail(&at, region, GW_RESULT_INVALID, error,
-                               "no name of a region");
+                               "not a valid region name");
         }
         uint32_t i = s->delay_count++;
         g_strlcpy(s->delays[i].region, region, GW_NAME_MAX);
@@ -150,11 +151,11 @@
     return true;
 }
 
-/* Rules between two keys; each keeps a safeguard of the decision code whole:
- * a loan must have time of use left, and a paused holder must fence itself
- * before its seat can be claimed. */
+/* Checks rules between keys that the decision code relies on: a loan must
+ * leave time to be used, and a paused holder must fence itself before its
+ * seat can be claimed. */
 static bool
-check_pairs(const GwSettings *s, const GwReadAt *at, GError **error)
+check_related(const GwSettings *s, const GwReadAt *at, GError **error)
 {
     const GwNodeParams *p = &s->node;
     if (p->probe_timeout_ms >= p->probe_period_ms) {
@@ -172,8 +173,8 @@
                            "%u is not below seat_holdoff_ms %u", p->fence_ms,
                            p->seat_holdoff_ms);
     }
-    /* A unit on loan may be in use until term and margin are over, and its
-     * lender's seat must not be in other hands before. */
+    /* A lent unit may be in use until term and margin are over; the
+     * lender's seat must not have a new holder before. */
     if (p->fence_ms + p->loan_term_ms + p->loan_margin_ms >=
         p->seat_holdoff_ms) {
         return GwRead_Fail(at, "seat_holdoff_ms", GW_RESULT_OUT_OF_BOUNDS,
@@ -207,11 +208,11 @@
                            "\"%s\" does not begin with http://",
                            s->platform_url);
     }
-    return read_delays(s, root, error) && check_pairs(s, root, error);
+    return read_delays(s, root, error) && check_related(s, root, error);
 }
 
-/* Nothing is kept of settings that have a fault. The nonce of the start,
- * node.id.start, is the caller's to set. */
+/* Returns NULL if any setting is invalid. The caller sets the nonce of the
+ * start, node.id.start. */
 GwSettings *
 GwSettings_Parse(const char *text, size_t len, GError **error)
 {
@@ -230,7 +231,7 @@
     return s;
 }
 
-/* Reads the file; `error` begins with its path. */
+/* Reads settings from a file; `error` begins with its path. */
 GwSettings *
 GwSettings_Load(const char *path, GError **error)
 {
@@ -263,22 +264,22 @@
     uint64_t large = 0;
     switch (row->type) {
     case GW_SETTING_U32:
-        memcpy(&small, field_of(s, row), sizeof(small));
+        memcpy(&small, get_field(s, row), sizeof(small));
         return json_object_new_int64(small);
     case GW_SETTING_U64:
-        memcpy(&large, field_of(s, row), sizeof(large));
+        memcpy(&large, get_field(s, row), sizeof(large));
         return json_object_new_int64((int64_t)large);
     case GW_SETTING_NAME:
     case GW_SETTING_ADDRESS:
     case GW_SETTING_TEXT:
     case GW_SETTING_LEVEL:
-        return json_object_new_string(field_of(s, row));
+        return json_object_new_string(get_field(s, row));
     }
     return NULL;
 }
 
-/* Every key with the value in force; the text can be loaded again. Tokens
- * and keys live in files of their own, so nothing secret is in it. */
+/* Prints every key with the value in force; the text can be loaded again.
+ * It contains no secrets, since tokens and keys are in files of their own. */
 char *
 GwSettings_Print(const GwSettings *s)
 {
--- a/lib/config/settings.h
+++ b/lib/config/settings.h
@@ -11,15 +11,15 @@
     char admin_token_file[256];
     char cluster_key_file[256];
     char log_level[8];
-    uint32_t caller_threads;      /* 64 */
-    uint32_t relay_threads;       /* 32 */
-    uint32_t health_poll_ms;      /* 1000 */
-    uint32_t list_poll_ms;        /* 1000 */
-    uint32_t platform_timeout_ms; /* 1000 */
-    uint32_t snapshot_every;      /* 10 versions; 0 none */
+    uint32_t caller_threads;      /* default 64 */
+    uint32_t relay_threads;       /* default 32 */
+    uint32_t health_poll_ms;      /* default 1000 */
+    uint32_t list_poll_ms;        /* default 1000 */
+    uint32_t platform_timeout_ms; /* default 1000 */
+    uint32_t snapshot_every;      /* default 10 versions; 0: none */
     uint32_t delay_count;
-    /* Test hook: added to frames sent to that region; the entry named ""
-     * applies to other failure domains of the same region. */
+    /* Test hook: delay added to frames sent to that region. The item with
+     * region "" applies to other failure domains of the own region. */
     struct {
         char region[GW_NAME_MAX];
         uint32_t one_way_us;
--- a/lib/config/settings_table.h
+++ b/lib/config/settings_table.h
@@ -1,4 +1,4 @@
-/* The table of settings: one row a key. The reader, the printed settings,
+/* The table of settings, one row per key. The reader, the printed settings,
  * the defaults of GwNodeParams and docs/SETTINGS.md are made from it. */
 #ifndef GW_CONFIG_SETTINGS_TABLE_H
 #define GW_CONFIG_SETTINGS_TABLE_H
@@ -23,14 +23,15 @@
     uint32_t max;
     size_t offset;    /* in GwSettings */
     size_t size;      /* of a text field */
-    const char *text; /* default of a text; NULL: must be given */
+    const char *text; /* default of a text; NULL: the key is required */
     const char *meaning;
 } GwSettingRow;
 
 const GwSettingRow *GwSettings_Rows(uint32_t *count);
-/* Builds settings from text; `error` names key, bound and value. */
+/* Builds settings from text; on failure returns NULL, and `error` names
+ * key, bound and value. */
 GwSettings *GwSettings_Parse(const char *text, size_t len, GError **error);
-/* The page docs/SETTINGS.md; free with g_free. */
+/* Returns the text of docs/SETTINGS.md; free with g_free. */
 char *GwSettings_Doc(void);
 
 #endif
--- a/lib/config/snapshot.c
+++ b/lib/config/snapshot.c
@@ -45,7 +45,7 @@
     return g_string_free(out, FALSE);
 }
 
-/* Reads the head line; the offset of the document behind it. */
+/* Reads the header line; returns the offset of the document. */
 static GwResult
 read_head(const char *bytes, uint32_t len, GwSnapshot *out, uint64_t *checksum)
 {
@@ -84,8 +84,8 @@
         *out = (GwSnapshot){0};
         return GW_ERR(CORRUPT);
     }
-    /* A document that no longer parses is of no use to the operator who needs
-     * one now: the next older snapshot may be. */
+    /* A document that no longer parses cannot be restored; the next older
+     * snapshot may parse. */
     GwConfig *config =
         GwConfig_Parse(bytes + offset, out->text_len, out->version, NULL);
     if (config == NULL) {
--- a/lib/config/snapshot.h
+++ b/lib/config/snapshot.h
@@ -1,7 +1,9 @@
-/* Snapshots of the configuration, as objects of the platform's object store.
+/* Snapshots of the configuration, as objects of the platform's object
+ * store.
  *
- * The table holds what is in force; snapshots are for the day the table comes
- * back empty or damaged. One is a head line and the document:
+ * The table holds the configuration in force; snapshots serve to restore a
+ * table that was lost or damaged. A snapshot is a header line and the
+ * document:
  *
  *     godwitridge-config 1 <version> <length> <xxh64 hex>\n
  *     <document>
@@ -22,13 +24,14 @@
 } GwSnapshot;
 
 void GwSnapshot_Name(uint64_t version, char out[GW_SNAPSHOT_NAME_MAX]);
-/* The version that a name stands for; GW_ERR(PARSE) for any other name. */
+/* Parses the version from an object name; GW_ERR(PARSE) if it is not a name
+ * of a snapshot. */
 GwResult GwSnapshot_VersionOfName(const char *name, uint64_t *version);
-/* The bytes of the object; free with g_free. */
+/* Returns the bytes of the object; free with g_free. */
 char *GwSnapshot_Encode(uint64_t version, const char *text, uint32_t len,
                         uint32_t *out_len);
-/* GW_ERR(CORRUPT) unless head, length, checksum and the document itself are
- * whole; then `out` is empty. */
+/* Returns the length of the document, or GW_ERR(CORRUPT) with `out` empty
+ * unless header, length, checksum and the document itself are valid. */
 GwResult GwSnapshot_Decode(const char *bytes, uint32_t len, GwSnapshot *out);
 void GwSnapshot_Clear(GwSnapshot *snapshot);
 
--- a/lib/config/sync.c
+++ b/lib/config/sync.c
@@ -1,12 +1,12 @@
-/* Spread of the configuration: polls of the head, fetches, readiness. */
+/* Synchronisation of the configuration: polling, adoption, readiness. */
 #include "config/sync_internal.h"
 
 #include <inttypes.h>
 #include <string.h>
 #include <xxhash.h>
 
-/* Starts with no configuration. The first poll is spread over a moment, so
- * that entries started together don't read as one. */
+/* Creates a state without a configuration. The first poll is delayed at
+ * random, so that entries started together don't read together. */
 GwSync *
 GwSync_Create(const GwNodeParams *params)
 {
@@ -42,59 +42,60 @@
 }
 
 uint64_t
-GwSync_Have(const GwSync *s)
+GwSync_Version(const GwSync *s)
 {
     return s->config == NULL ? 0 : s->config->version;
 }
 
 static bool
-counts(const GwSyncPeer *peer, int64_t now_us)
+is_reachable(const GwSyncPeer *peer, int64_t now_us)
 {
-    return peer->tries < GW_SYNC_TRIES ||
-           now_us - peer->heard_us < GW_SYNC_FRESH_US;
+    return peer->request_count < GW_SYNC_PEER_REQUESTS_MAX ||
+           now_us - peer->heard_us < GW_SYNC_PEER_FRESH_US;
 }
 
-/* The version to get: what a reachable peer has in force, or the head names.
- * A peer that is neither heard nor answers doesn't count: if the only holder
- * of a version died while the table is away, nobody can get it, and all
- * entries would stop for it. Nor does a head whose document was read whole
- * and refused: nobody can have that in force. */
+/* Returns the version to obtain: the highest that a reachable peer has in
+ * force or that the head names. A peer that neither sends nor answers
+ * doesn't count: if the only holder of a version crashed during an outage
+ * of the table, no entry could obtain that version, and all would stop
+ * serving. Nor does a head whose document was read and found invalid: no
+ * entry can have that version in force. */
 uint64_t
-GwSync_Wanted(const GwSync *s, int64_t now_us)
+GwSync_WantedVersion(const GwSync *s, int64_t now_us)
 {
     uint64_t wanted =
         s->head_version == s->refused_version ? 0 : s->head_version;
 
     for (uint32_t i = 0; i < GW_SYNC_PEERS; i++) {
-        if (counts(&s->peers[i], now_us)) {
+        if (is_reachable(&s->peers[i], now_us)) {
             wanted = MAX(wanted, s->peers[i].version);
         }
     }
     return wanted;
 }
 
-/* Keeps since when a higher version is known. */
+/* Updates since when a higher version is known. */
 void
-GwSync_NoteBehind(GwSync *s, int64_t now_us)
+GwSync_UpdateBehind(GwSync *s, int64_t now_us)
 {
-    if (GwSync_Wanted(s, now_us) <= GwSync_Have(s)) {
-        s->behind_us = 0;
+    if (GwSync_WantedVersion(s, now_us) <= GwSync_Version(s)) {
+        s->behind_since_us = 0;
     }
-    else if (s->behind_us == 0) {
-        s->behind_us = now_us;
+    else if (s->behind_since_us == 0) {
+        s->behind_since_us = now_us;
     }
 }
 
-/* Puts a document in force, if it is whole, newer, and can be read. The
- * checksum guards against a document cut short or mangled on its way or in
- * the store: the symptom would be caps and places that no operator set. */
+/* Puts a document in force if it is intact, newer and valid. The checksum
+ * guards against a document truncated or corrupted in transit or in the
+ * store, which would put caps and places in force that no operator set. */
 bool
 GwSync_Adopt(GwSync *s, int64_t now_us, const GwSyncDoc *doc, GwActions *out)
 {
     GError *error = NULL;
 
 #if GW_MUTANT != 44 /* breaks: versions may fall */
-    if (doc->version <= GwSync_Have(s)) {
+    if (doc->version <= GwSync_Version(s)) {
         return false;
     }
 #endif
@@ -122,81 +123,88 @@
         GwConfig_Free(s->config);
     }
     s->config = config;
-    GwSync_NoteBehind(s, now_us);
+    GwSync_UpdateBehind(s, now_us);
     GwActions_Log(out, GW_LOG_CONFIG_IN_FORCE, "version=%" PRIu64 " from=%s",
                   doc->version, doc->source);
     return true;
 }
 
-/* A time-out that was reached counts as a lost answer. */
+/* Treats requests that timed out as lost. */
 static void
-expire(GwSync *s, int64_t now_us, GwActions *out)
+expire_requests(GwSync *s, int64_t now_us, GwActions *out)
 {
-    if (s->table.token != 0 && now_us - s->table.sent_us > GW_SYNC_TABLE_US) {
+    if (s->table.token != 0 &&
+        now_us - s->table.sent_us > GW_SYNC_TABLE_TIMEOUT_US) {
         s->table.token = 0;
-        GwSync_TableAway(s, now_us, out);
+        GwSync_TableFailed(s, now_us, out);
     }
-    if (s->ask.active && now_us - s->ask.sent_us > GW_SYNC_ASK_US) {
-        s->ask.active = false;
+    if (s->peer_request.active &&
+        now_us - s->peer_request.sent_us > GW_SYNC_PEER_TIMEOUT_US) {
+        s->peer_request.active = false;
     }
 }
 
-/* Polls the head when due, and fetches what is wanted. */
+/* Polls the head when due, and fetches the wanted version. */
 void
 GwSync_Tick(GwSync *s, int64_t now_us, GwActions *out)
 {
     if (s->next_poll_us == 0) {
-        s->next_poll_us = now_us + GwRng_Jitter(&s->rng, 0, GW_SYNC_START_US);
+        s->next_poll_us =
+            now_us + GwRng_Jitter(&s->rng, 0, GW_SYNC_START_SPREAD_US);
     }
-    expire(s, now_us, out);
-    GwSync_NoteBehind(s, now_us);
+    expire_requests(s, now_us, out);
+    GwSync_UpdateBehind(s, now_us);
     GwSync_Fetch(s, now_us, out);
     if (s->table.token == 0 && now_us >= s->next_poll_us) {
         GwSync_GetHead(s, now_us, out);
     }
-    s->served = s->served || GwSync_Ready(s, now_us);
+    s->has_served = s->has_served || GwSync_Ready(s, now_us);
 }
 
-/* Whether this node may serve. A fresh one must hold the highest version
- * heard: it might otherwise send work into a place drained long ago. It needs
- * the table's word, or that of peers for a moment, in which the second peer
- * may name a higher version than the first.
+/* Returns whether this node may serve. A node that has just started must
+ * hold the highest known version: it might otherwise send work to a place
+ * drained long ago. It waits for the table's answer, or for peers alone for
+ * GW_SYNC_SETTLE_US, since the second peer may name a higher version than
+ * the first.
  *
- * One that is serving goes on for a bound while it fetches a higher version:
- * every change would else take all entries out of service together. Past the
- * bound it is cut off from what the others obey, so it stops taking work. */
+ * A node that is serving continues for at most GW_SYNC_BEHIND_MAX_US while
+ * it fetches a higher version; otherwise every change would stop all
+ * entries together. After that it is cut off from the configuration that
+ * the others follow, so it stops taking work. */
 bool
 GwSync_Ready(const GwSync *s, int64_t now_us)
 {
-    bool settled = s->head_read || (s->peer_us != 0 &&
-                                    now_us - s->peer_us >= GW_SYNC_SETTLE_US);
+    bool settled =
+        s->head_read || (s->first_peer_us != 0 &&
+                         now_us - s->first_peer_us >= GW_SYNC_SETTLE_US);
 
     if (s->config == NULL) {
         return false;
     }
-    if (GwSync_Have(s) >= GwSync_Wanted(s, now_us)) {
-        return settled || s->served;
+    if (GwSync_Version(s) >= GwSync_WantedVersion(s, now_us)) {
+        return settled || s->has_served;
     }
-    return s->served && now_us - s->behind_us <= GW_SYNC_BEHIND_US;
+    return s->has_served &&
+           now_us - s->behind_since_us <= GW_SYNC_BEHIND_MAX_US;
 }
 
-/* This process was paused: others may have taken a server or a place out
- * meanwhile, and its buffers hold heartbeats and answers from before they did.
- * It would send new work there for as long as it takes to hear of the change.
- * So it is as fresh as after a start, and nothing asked before counts. */
+/* Handles a pause of this process. Meanwhile a server or a place may have
+ * been taken out, and the buffers hold heartbeats and answers from before;
+ * the node would send new work there until it learns of the change. So it
+ * returns to the state after a start, and discards earlier requests. */
 void
 GwSync_Woke(GwSync *s, int64_t now_us)
 {
     s->head_read = false;
-    s->served = false;
-    s->peer_us = 0;
+    s->has_served = false;
+    s->first_peer_us = 0;
     s->table.token = 0;
-    s->ask.active = false;
+    s->peer_request.active = false;
     s->next_poll_us = now_us;
 }
 
 static GwSyncPeer *
-peer_slot(GwSync *s, GwNodeId id)
+find_peer_slot(GwSync *s, GwNodeId id)
 {
     GwSyncPeer *lowest = &s->peers[0];
 
@@ -211,7 +219,8 @@
     return lowest;
 }
 
-/* A heartbeat of `from` named `version`; ask for it when higher. */
+/* Handles a heartbeat of `from` that names `version`; requests the document
+ * if the version is higher. */
 void
 GwSync_Heard(GwSync *s, int64_t now_us, GwNodeId from, const char *address,
              uint64_t version, GwActions *out)
@@ -219,13 +228,13 @@
     if (from.node == s->params.id.node) {
         return;
     }
-    if (s->peer_us == 0) {
-        s->peer_us = now_us;
+    if (s->first_peer_us == 0) {
+        s->first_peer_us = now_us;
     }
-    if (version <= GwSync_Have(s)) {
+    if (version <= GwSync_Version(s)) {
         return;
     }
-    GwSyncPeer *peer = peer_slot(s, from);
+    GwSyncPeer *peer = find_peer_slot(s, from);
     if (!GwNodeId_Equal(peer->id, from)) {
         if (peer->version > version) {
             return;
@@ -235,13 +244,13 @@
     peer->version = version;
     peer->heard_us = now_us;
     g_strlcpy(peer->address, address, GW_ADDR_MAX);
-    GwSync_NoteBehind(s, now_us);
+    GwSync_UpdateBehind(s, now_us);
     GwSync_Fetch(s, now_us, out);
 }
 
 static void
-answer(const GwSync *s, const GwMessage *msg, const char *address,
-       GwActions *out)
+send_document(const GwSync *s, const GwMessage *msg, const char *address,
+              GwActions *out)
 {
     if (s->config == NULL || s->config->version <= msg->u.config_version) {
         return;
@@ -258,10 +267,11 @@
     reply->u.doc.text = g_strndup(s->config->text, s->config->text_len);
 }
 
-/* CONFIG_ASK (answers with the document) and CONFIG_DOC. Returns true when a
- * new configuration is in force. A document from this node itself is what its
- * administration side got accepted: were it dropped, an accepted change would
- * be in force nowhere while the table is away after the accept. */
+/* Handles CONFIG_ASK (answered with the document) and CONFIG_DOC. Returns
+ * true if a new configuration is in force. A document from this node itself
+ * is a change accepted through its administration interface; if it were
+ * ignored, a change accepted just before an outage of the table would be in
+ * force nowhere. */
 bool
 GwSync_Receive(GwSync *s, int64_t now_us, const GwMessage *msg,
                const char *reply_address, GwActions *out)
@@ -275,15 +285,16 @@
 #endif
     if (msg->kind == GW_MSG_CONFIG_ASK) {
         if (!own) {
-            answer(s, msg, reply_address, out);
+            send_document(s, msg, reply_address, out);
         }
         return false;
     }
     if (msg->kind != GW_MSG_CONFIG_DOC || msg->u.doc.text == NULL) {
         return false;
     }
-    if (s->ask.active && GwNodeId_Equal(s->ask.id, msg->from)) {
-        s->ask.active = false;
+    if (s->peer_request.active &&
+        GwNodeId_Equal(s->peer_request.id, msg->from)) {
+        s->peer_request.active = false;
     }
     GwSyncDoc doc = {.version = msg->u.doc.version,
                      .checksum = msg->u.doc.checksum,
--- a/lib/config/sync_internal.h
+++ b/lib/config/sync_internal.h
@@ -1,4 +1,4 @@
-/* Private to lib/config: the state of the spread of the configuration. */
+/* Private to lib/config: state of the synchronisation of the configuration. */
 #ifndef GW_CONFIG_SYNC_INTERNAL_H
 #define GW_CONFIG_SYNC_INTERNAL_H
 
@@ -10,27 +10,32 @@
 #define GW_MUTANT 0
 #endif
 
-#define GW_SYNC_PEERS         4
-#define GW_SYNC_START_US      250000LL
-#define GW_SYNC_ASK_US        1000000LL  /* a peer's answer is given up */
-#define GW_SYNC_TABLE_US      3000000LL  /* the table's answer is given up */
-#define GW_SYNC_SETTLE_US     1000000LL  /* peers' word alone is waited for */
-#define GW_SYNC_BEHIND_US     10000000LL /* serving on an older version */
-#define GW_SYNC_ENTRY_US      15000LL    /* longer poll for each live entry */
-#define GW_SYNC_SHARED_MAX_US 10000000LL /* at most */
-#define GW_SYNC_TRIES         3 /* asks without use, then a silent peer is out */
-#define GW_SYNC_FRESH_US      5000000LL
-/* Polls of an absent table slow down by doubling, at most this often. */
+#define GW_SYNC_PEERS            4
+#define GW_SYNC_START_SPREAD_US  250000LL  /* first poll, at random */
+#define GW_SYNC_PEER_TIMEOUT_US  1000000LL /* of a request to a peer */
+#define GW_SYNC_TABLE_TIMEOUT_US 3000000LL /* of a request to the table */
+#define GW_SYNC_SETTLE_US        1000000LL /* wait before peers alone suffice */
+/* Longest service on an older version than known. */
+#define GW_SYNC_BEHIND_MAX_US 10000000LL
+/* Lower bound of the poll period: the first value per live entry, the
+ * second at most. */
+#define GW_SYNC_POLL_PER_ENTRY_US  15000LL
+#define GW_SYNC_POLL_SHARED_MAX_US 10000000LL
+/* A peer is ignored after this many requests without result, unless a
+ * heartbeat arrived within GW_SYNC_PEER_FRESH_US. */
+#define GW_SYNC_PEER_REQUESTS_MAX 3
+#define GW_SYNC_PEER_FRESH_US     5000000LL
+/* Bound on the doublings of the poll period while the table is unavailable. */
 #define GW_SYNC_BACKOFF_MAX 3
 
-/* A peer that named a version above ours. */
+/* A peer that named a version above the own one. */
 typedef struct {
     GwNodeId id;
     char address[GW_ADDR_MAX];
     uint64_t version;
     int64_t heard_us;
-    int64_t asked_us; /* 0 never */
-    uint32_t tries;
+    int64_t requested_us; /* 0: never */
+    uint32_t request_count;
 } GwSyncPeer;
 
 typedef struct {
@@ -45,17 +50,18 @@
     GwNodeParams params;
     GwRng rng;
     GwConfig *config;
-    int64_t peer_us; /* when the first peer was heard; 0 never */
-    bool head_read;  /* the table answered since the start */
+    int64_t first_peer_us; /* when the first heartbeat arrived; 0: never */
+    bool head_read;        /* the table has answered since the start */
     uint64_t head_version;
     uint64_t head_checksum;
-    uint64_t refused_version; /* the table's document of it can't be used */
-    int64_t behind_us;        /* since when a higher version is known; 0 not */
-    bool served;              /* was ready once */
+    uint64_t refused_version; /* its document in the table was invalid */
+    int64_t
+        behind_since_us; /* since when a higher version is known; 0: none is */
+    bool has_served;     /* has been ready since the start */
     int64_t next_poll_us;
     int64_t next_doc_us;
-    uint32_t table_fails;
-    uint32_t entries; /* live ones, as membership counts */
+    uint32_t table_failures;
+    uint32_t entries; /* live entries, as counted by membership */
     uint64_t next_token;
     struct {
         uint64_t token; /* 0: none in flight */
@@ -66,20 +72,20 @@
         bool active;
         GwNodeId id;
         int64_t sent_us;
-    } ask;
+    } peer_request;
     GwSyncPeer peers[GW_SYNC_PEERS];
 };
 
 /* sync.c */
-uint64_t GwSync_Have(const GwSync *s);
-uint64_t GwSync_Wanted(const GwSync *s, int64_t now_us);
-void GwSync_NoteBehind(GwSync *s, int64_t now_us);
+uint64_t GwSync_Version(const GwSync *s);
+uint64_t GwSync_WantedVersion(const GwSync *s, int64_t now_us);
+void GwSync_UpdateBehind(GwSync *s, int64_t now_us);
 bool GwSync_Adopt(GwSync *s, int64_t now_us, const GwSyncDoc *doc,
                   GwActions *out);
 
 /* fetch.c */
 void GwSync_GetHead(GwSync *s, int64_t now_us, GwActions *out);
 void GwSync_Fetch(GwSync *s, int64_t now_us, GwActions *out);
-void GwSync_TableAway(GwSync *s, int64_t now_us, GwActions *out);
+void GwSync_TableFailed(GwSync *s, int64_t now_us, GwActions *out);
 
 #endif
--- a/tests/property/change.cpp
+++ b/tests/property/change.cpp
@@ -1,10 +1,11 @@
-/* Operators race with changes while the table loses answers.
+/* Concurrent operators' changes while the table loses replies.
  *
- * Each operator sees accepted, refused or pending for a request id. Writes
- * and answers get lost, writes take effect late, entries die over a change
- * and the operator sends it again elsewhere, or sends another one under the
- * same id. In the end the log must hold each accepted change exactly once,
- * no refused one, with dense versions, and no change may undo another. */
+ * Each operator gets accepted, refused or pending for a request id. Writes
+ * and replies get lost, writes take effect late, entries crash during a
+ * change and the operator sends it again to another entry, or sends a
+ * different one under the same id. In the end the log must hold each
+ * accepted change exactly once and no refused one, with dense versions, and
+ * no change may undo another. */
 #include <glib.h>
 #include <rapidcheck.h>
 
@@ -27,7 +28,7 @@
     int step;
     bool has_base;
     uint64_t base;
-    bool resolve; /* only asks what became of the id */
+    bool resolve; /* only queries the outcome of the id */
 };
 
 struct Run {
@@ -36,7 +37,7 @@
     GwChange *change;
 };
 
-struct Said {
+struct Reported {
     Request request;
     GwChangeOutcome outcome;
     uint64_t version;
@@ -71,7 +72,8 @@
     return GwChange_Create(&ask);
 }
 
-/* One request of a change to the table and its reply; false at the end. */
+/* Carries one request of a change to the table and the reply back; returns
+ * false at the end. */
 bool
 advance(ChangeTable *table, GwChange *change, Fate fate)
 {
@@ -87,20 +89,21 @@
     return true;
 }
 
-Said
+Reported
 end(Run *run)
 {
     const GwChangeResult *r = GwChange_Result(run->change);
-    Said said = {run->request, r->outcome, r->version};
+    Reported reported = {run->request, r->outcome, r->version};
     GwChange_Free(run->change);
-    return said;
+    return reported;
 }
 
-/* One schedule: `choices` decide who moves and what the network does. */
+/* One schedule: random choices decide which run proceeds and what the
+ * network does. */
 struct World {
     ChangeTable *table = ChangeTable_Create();
     std::vector<Run *> runs;
-    std::vector<Said> said;
+    std::vector<Reported> reported;
     std::vector<Request> sent;
 
     ~World()
@@ -151,14 +154,14 @@
             send_again(i, choice / 17);
         }
         else if (!advance(table, run->change, fate)) {
-            said.push_back(end(run));
+            reported.push_back(end(run));
             drop(i);
         }
     }
 
-    /* The operator sends the id again, to another entry: the same change,
-     * another one, or the question what became of it. The first entry dies
-     * or goes on. */
+    /* The operator sends the id again, to another entry: the same change, a
+     * different one, or a query of the outcome. The first entry crashes or
+     * continues. */
     void
     send_again(size_t i, uint32_t choice)
     {
@@ -181,13 +184,13 @@
         runs.erase(runs.begin() + static_cast<long>(i));
     }
 
-    /* Lets every change end, then every late write arrive. */
+    /* Lets every change end, then delivers every late write. */
     void
     settle()
     {
         while (!runs.empty()) {
             if (!advance(table, runs[0]->change, FATE_DONE)) {
-                said.push_back(end(runs[0]));
+                reported.push_back(end(runs[0]));
                 drop(0);
             }
         }
@@ -197,8 +200,8 @@
             run.change = start(&run);
             while (advance(table, run.change, FATE_DONE)) {
             }
-            said.push_back(end(&run));
-            RC_ASSERT(said.back().outcome != GW_CHANGE_PENDING);
+            reported.push_back(end(&run));
+            RC_ASSERT(reported.back().outcome != GW_CHANGE_PENDING);
         }
         while (ChangeTable_Deliver(table, 0)) {
         }
@@ -228,7 +231,7 @@
     return step;
 }
 
-/* The log as found, with how far each version moved the counter. */
+/* Reads the log, with the amount by which each version raised the counter. */
 std::vector<Logged>
 read_log(ChangeTable *table)
 {
@@ -259,16 +262,16 @@
         RC_ASSERT(by_id.count(entry.id) == 0u); /* never twice */
         by_id[entry.id] = entry;
     }
-    for (const Said &said : world.said) {
-        auto found = by_id.find(said.request.id);
-        bool applied =
-            found != by_id.end() &&
-            (said.request.resolve || found->second.step == said.request.step);
-        if (said.outcome == GW_CHANGE_ACCEPTED) {
+    for (const Reported &reported : world.reported) {
+        auto found = by_id.find(reported.request.id);
+        bool applied = found != by_id.end() &&
+                       (reported.request.resolve ||
+                        found->second.step == reported.request.step);
+        if (reported.outcome == GW_CHANGE_ACCEPTED) {
             RC_ASSERT(applied);
-            RC_ASSERT(found->second.version == said.version);
+            RC_ASSERT(found->second.version == reported.version);
         }
-        else if (said.outcome == GW_CHANGE_REFUSED) {
+        else if (reported.outcome == GW_CHANGE_REFUSED) {
             RC_ASSERT(!applied);
         }
     }
@@ -293,7 +296,7 @@
 int
 main()
 {
-    bool ok = rc::check("what operators were told stays true", [] {
+    bool ok = rc::check("reported outcomes stay true", [] {
         auto seed = *rc::gen::arbitrary<uint64_t>();
         auto count = *rc::gen::inRange(2, 12);
         auto length = *rc::gen::inRange(200, 500);
--- a/tests/property/sync.cpp
+++ b/tests/property/sync.cpp
@@ -1,7 +1,7 @@
-// The spread of the configuration among several entries, over a table and
-// links that lose, delay and mangle. What callers get is steered by a version
-// that never falls and by a document that somebody published; in the end all
-// have the last one.
+// Synchronisation of the configuration among several entries, over a table
+// and links that lose, delay and corrupt. In every entry the version never
+// falls and the document is one that was published; after the faults all
+// entries hold the last one.
 #include "c_api.hpp"
 
 #include <rapidcheck.h>
@@ -22,19 +22,20 @@
     uint64_t seed;
     uint32_t entries;
     uint32_t loss_percent;
-    uint32_t mangle_percent;
-    uint32_t outage_percent; // of the table, chance of a change a second
+    uint32_t corrupt_percent;
+    uint32_t outage_percent; // chance per second of a table outage
+                             // to begin or to end
 };
 
 void
 showValue(const Plan &p, std::ostream &os)
 {
     os << "seed=" << p.seed << " entries=" << p.entries
-       << " loss=" << p.loss_percent << " mangle=" << p.mangle_percent
+       << " loss=" << p.loss_percent << " corrupt=" << p.corrupt_percent
        << " outage=" << p.outage_percent;
 }
 
-// Braces on both ends, so that only a checksum tells a mangled one.
+// Corruption keeps the outer braces, so that only the checksum detects it.
 std::string
 document(uint64_t version)
 {
@@ -84,16 +85,16 @@
     run(int64_t for_us, bool faults)
     {
         faults_ = faults;
-        away_ = away_ && faults;
+        is_table_down_ = is_table_down_ && faults;
         for (int64_t end_us = now_us_ + for_us; now_us_ < end_us;) {
             now_us_ += 50 * kMs;
             deliver();
             for (uint32_t i = 0; i < syncs_.size(); i++) {
                 GwSync_Tick(syncs_[i], now_us_, &out_);
-                carryOut(i);
+                performActions(i);
             }
             if (now_us_ % kSecond == 0) {
-                everySecond();
+                runEverySecond();
             }
         }
     }
@@ -115,7 +116,7 @@
     }
 
     bool
-    allHaveTheLast() const
+    allHaveTheLastVersion() const
     {
         for (uint32_t i = 0; i < syncs_.size(); i++) {
             if (version(i) != published_ ||
@@ -153,10 +154,10 @@
     }
 
     void
-    everySecond()
+    runEverySecond()
     {
         if (chance(plan_.outage_percent)) {
-            away_ = !away_;
+            is_table_down_ = !is_table_down_;
         }
         if (chance(30)) {
             publish();
@@ -170,13 +171,13 @@
                 std::string address = std::to_string(from);
                 GwSync_Heard(syncs_[i], now_us_, {from + 1U, 1},
                              address.c_str(), version(from), &out_);
-                carryOut(i);
+                performActions(i);
             }
         }
     }
 
-    // What is in force is a document as published, of its version, and the
-    // version did not fall.
+    // The document in force is one that was published, of its version, and
+    // the version did not fall.
     void
     check(uint32_t i)
     {
@@ -197,9 +198,9 @@
     }
 
     void
-    mangle(char *text, uint32_t len)
+    corrupt(char *text, uint32_t len)
     {
-        if (len > 40 && chance(plan_.mangle_percent)) {
+        if (len > 40 && chance(plan_.corrupt_percent)) {
             text[1 + GwRng_Below(&rng_, len - 2)] ^= 1;
         }
     }
@@ -213,14 +214,14 @@
     }
 
     void
-    carryOut(uint32_t i)
+    performActions(uint32_t i)
     {
         for (uint32_t k = 0; k < out_.count; k++) {
             GwAction *action = &out_.items[k];
             Event event{};
             event.entry = i;
             if (action->kind == GW_ACTION_TABLE) {
-                askTable(event, action->u.table);
+                sendToTable(event, action->u.table);
             }
             else if (action->kind == GW_ACTION_SEND &&
                      !chance(plan_.loss_percent)) {
@@ -229,8 +230,8 @@
                 event.message.reset(action->u.send.message, GwMessage_Free);
                 action->u.send.message = nullptr;
                 if (event.message->kind == GW_MSG_CONFIG_DOC) {
-                    mangle(event.message->u.doc.text,
-                           event.message->u.doc.text_len);
+                    corrupt(event.message->u.doc.text,
+                            event.message->u.doc.text_len);
                 }
                 push(event);
             }
@@ -240,17 +241,17 @@
     }
 
     void
-    askTable(Event event, const GwTableRequest *request)
+    sendToTable(Event event, const GwTableRequest *request)
     {
         if (chance(plan_.loss_percent / 2)) {
-            return; // not even told that it is lost
+            return; // no reply at all
         }
-        GwTableReply *reply = away_ || chance(plan_.loss_percent)
+        GwTableReply *reply = is_table_down_ || chance(plan_.loss_percent)
                                   ? GwFakeTable_Lost(request)
                                   : GwFakeTable_Do(table_, request);
         event.reply.reset(reply, GwFakeTable_FreeReply);
         if (reply->row_count > 0) {
-            mangle(reply->rows[0].value, reply->rows[0].len);
+            corrupt(reply->rows[0].value, reply->rows[0].len);
         }
         push(event);
     }
@@ -271,7 +272,7 @@
                 GwSync_Receive(s, now_us_, event.message.get(),
                                address.c_str(), &out_);
             }
-            carryOut(event.entry);
+            performActions(event.entry);
         }
     }
 
@@ -287,7 +288,7 @@
     uint64_t starts_ = 0;
     uint64_t published_ = 0;
     bool faults_ = false;
-    bool away_ = false;
+    bool is_table_down_ = false;
 };
 
 rc::Gen<Plan>
@@ -297,7 +298,8 @@
         rc::gen::set(&Plan::seed, rc::gen::arbitrary<uint64_t>()),
         rc::gen::set(&Plan::entries, rc::gen::inRange<uint32_t>(2, 10)),
         rc::gen::set(&Plan::loss_percent, rc::gen::inRange<uint32_t>(0, 60)),
-        rc::gen::set(&Plan::mangle_percent, rc::gen::inRange<uint32_t>(0, 30)),
+        rc::gen::set(&Plan::corrupt_percent,
+                     rc::gen::inRange<uint32_t>(0, 30)),
         rc::gen::set(&Plan::outage_percent,
                      rc::gen::inRange<uint32_t>(0, 20)));
 }
@@ -314,14 +316,14 @@
         return 1;
     }
     GwConfig_Free(config);
-    bool ok = rc::check("versions rise, only whole documents, all equal", [] {
+    bool ok = rc::check("versions rise, only intact documents, all equal", [] {
         Plan plan = *rc::gen::noShrink(genPlan());
         Model model(plan);
         model.publish();
         model.run(120 * kSecond, true);
         model.publish();
         model.run(40 * kSecond, false);
-        RC_ASSERT(model.allHaveTheLast());
+        RC_ASSERT(model.allHaveTheLastVersion());
     });
     return ok ? 0 : 1;
 }
--- a/tests/unit/test_change.c
+++ b/tests/unit/test_change.c
@@ -1,9 +1,9 @@
-/* One change against a table that loses answers.
+/* One change against a table that loses replies.
  *
- * The operator sees accepted, refused or pending. The write goes out; its
- * answer gets lost, or the write is held up in the network and takes effect
- * seconds later, or another operator's change comes first. Whatever was said
- * must stay true after every late write has arrived. */
+ * The write is sent; its reply gets lost, or the write is delayed and takes
+ * effect later, or another operator's change comes first. The outcome
+ * reported (accepted, refused or pending) must still hold after every late
+ * write has arrived. */
 #include "config/change.h"
 #include "config/sync.h"
 #include "fakes/change_table.h"
@@ -38,7 +38,7 @@
 
 /* Runs a change; each letter is the fate of one request: . done, b lost
  * before effect, a lost after effect, l late, * all from here on lost. L
- * delivers a late write first, x puts another change in between. */
+ * delivers a late write first, x applies another change in between. */
 static GwChangeResult
 run(ChangeTable *t, GwChange *c, const char *script)
 {
@@ -86,7 +86,7 @@
     return t;
 }
 
-/* How many log entries carry the request id. */
+/* Returns how many log entries carry the request id. */
 static int
 logged(const ChangeTable *t, const char *id)
 {
@@ -110,7 +110,7 @@
     GwChangeOutcome outcome;
     GwResultCode code;
     uint64_t version;
-    const char *then;          /* script of asking for the operation */
+    const char *then;          /* script of the later query of the operation */
     GwChangeOutcome then_outcome;
 } cases[] = {
     {"....", false, GW_CHANGE_ACCEPTED, GW_RESULT_OK, 2, "", GW_CHANGE_ACCEPTED},
@@ -135,7 +135,7 @@
 };
 /* clang-format on */
 
-Test(change, what_was_said_stays_true)
+Test(change, reported_outcomes_stay_true)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         ChangeTable *t = table_at_one();
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -54,7 +54,7 @@
     GwConfig_Free(c);
 }
 
-Test(config, the_longest_operation_decides_and_doubt_is_non_idempotent)
+Test(config, the_longest_match_decides_and_ambiguous_paths_are_non_idempotent)
 {
     static const struct {
         const char *method;
@@ -94,9 +94,9 @@
     GwResultCode code;
     const char *message;
 } bad[] = {
-    {"{", GW_RESULT_PARSE, "line 1: the text ends early"},
-    {"{} x", GW_RESULT_PARSE, "line 1: text behind the object"},
-    {"{\n\n}\n/* open", GW_RESULT_PARSE, "line 4: the text ends early"},
+    {"{", GW_RESULT_PARSE, "line 1: unexpected end of text"},
+    {"{} x", GW_RESULT_PARSE, "line 1: text after the object"},
+    {"{\n\n}\n/* open", GW_RESULT_PARSE, "line 4: unexpected end of text"},
     {"{\n\"a\": ]}", GW_RESULT_PARSE, "line 2: unexpected character"},
     {"[]", GW_RESULT_PARSE, "line 1: the text is not an object"},
     {"{}", GW_RESULT_INVALID, "regions: missing, must be given"},
@@ -112,7 +112,7 @@
      "places[0]: must be an object"},
     {"{\"regions\": [{\"name\": \"Ogre\", \"seats\": 1}]}",
      GW_RESULT_INVALID,
-     "regions[0].name: \"Ogre\" is no name: a-z 0-9 - _ . only"},
+     "regions[0].name: \"Ogre\" is not a valid name: only a-z 0-9 - _ ."},
     {"{\"regions\": [{\"name\": \"a\", \"seats\": 1}, {\"name\": \"a\", "
      "\"seats\": 1}]}", GW_RESULT_DUPLICATE,
      "regions[1].name: \"a\" is already regions[0]"},
@@ -137,7 +137,7 @@
      "shifts[0].to: vatdesk has no place in \"ogre\""},
     {"{" REGIONS ", \"links\": [{\"from\": \"riga\", \"to\": \"riga\", "
      "\"cap\": 1}]}", GW_RESULT_INVALID,
-     "links[0].to: \"riga\" is where the link is from"},
+     "links[0].to: \"riga\" is also the region in \"from\""},
     {"{" REGIONS ", \"links\": [{\"from\": \"riga\", \"to\": \"ogre\", "
      "\"cap\": 65537}]}", GW_RESULT_OUT_OF_BOUNDS,
      "links[0].cap: 65537 is above 65536"},
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -17,7 +17,7 @@
     return GwSettings_Parse(text, strlen(text), error);
 }
 
-Test(settings, defaults_fill_what_is_not_given)
+Test(settings, absent_keys_get_their_defaults)
 {
     GError *error = NULL;
     GwSettings *s = parse("{" GIVEN ", // an instance\n \"queue_max\": 9, "
@@ -47,7 +47,7 @@
         GwResultCode code;
         const char *message;
     } cases[] = {
-        {"{", GW_RESULT_PARSE, "line 1: the text ends early"},
+        {"{", GW_RESULT_PARSE, "line 1: unexpected end of text"},
         {"{}", GW_RESULT_INVALID, "name: missing, must be given"},
         {"{" GIVEN ", \"quue_max\": 1}", GW_RESULT_UNKNOWN_KEY,
          "quue_max: unknown key"},
--- a/tests/unit/test_snapshot.c
+++ b/tests/unit/test_snapshot.c
@@ -4,7 +4,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-Test(snapshot, what_was_written_is_read)
+Test(snapshot, decode_inverts_encode)
 {
     char *text = FakeConfig_Text(2, 1, 2, 3, 4, 12);
     uint32_t len = 0;
@@ -19,10 +19,10 @@
     g_free(text);
 }
 
-/* The table is lost and an operator restores from the newest snapshot, which
- * was cut off or damaged on its way. Taken for whole, it would put a part of
- * the configuration in force; refused, the next older one is used. */
-Test(snapshot, no_damaged_one_is_taken)
+/* A snapshot that was truncated or damaged is refused, so that an operator
+ * who restores a lost table uses the next older one. Accepted, it would put
+ * a part of the configuration in force. */
+Test(snapshot, damaged_snapshots_are_refused)
 {
     char *text = FakeConfig_Text(1, 1, 1, 1, 0, 4);
     uint32_t len = 0;
@@ -36,7 +36,7 @@
     uint32_t version_at = (uint32_t)strlen("godwitridge-config 1 ");
     for (uint32_t at = 0; at < len; at++) {
         if (at == version_at) {
-            continue; /* another digit is another version: the name tells */
+            continue; /* a flipped digit is a valid other version */
         }
         bytes[at] ^= 0x01;
         cr_expect_eq(GwSnapshot_Decode(bytes, len, &snapshot), GW_ERR(CORRUPT),
@@ -51,7 +51,7 @@
 {
     const struct {
         const char *name;
-        uint64_t version; /* 0: no name of a snapshot */
+        uint64_t version; /* 0: not a name of a snapshot */
     } cases[] = {{"config-snapshot-00000000000000000012", 12},
                  {"config-snapshot-18446744073709551615", UINT64_MAX},
                  {"config-snapshot-12", 0},
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -14,33 +14,33 @@
 typedef struct {
     GwSync *sync;
     GwFakeTable *table;
-    bool away;
+    bool is_table_down;
     int64_t now_us;
-    uint32_t asks;
+    uint32_t peer_requests;
     GwActions out;
-} Bench;
+} Fixture;
 
 static const GwNodeId peer = {.node = 2, .start = 1};
 
-static Bench
-make_bench(void)
+static Fixture
+make_fixture(void)
 {
     GwNodeParams p = {.id = {.node = 1, .start = 1}, .config_poll_ms = 2000};
-    return (Bench){.sync = GwSync_Create(&p),
-                   .table = GwFakeTable_Create(),
-                   .now_us = SECOND};
+    return (Fixture){.sync = GwSync_Create(&p),
+                     .table = GwFakeTable_Create(),
+                     .now_us = SECOND};
 }
 
 static void
-end_bench(Bench *b)
+free_fixture(Fixture *f)
 {
-    GwSync_Free(b->sync);
-    GwFakeTable_Free(b->table);
-    GwActions_Free(&b->out);
+    GwSync_Free(f->sync);
+    GwFakeTable_Free(f->table);
+    GwActions_Free(&f->out);
 }
 
 static void
-publish(Bench *b, uint64_t version, const char *text)
+publish(Fixture *f, uint64_t version, const char *text)
 {
     char key[GW_ROW_KEY_MAX];
     char head[64];
@@ -48,34 +48,34 @@
     g_snprintf(key, sizeof(key), "config/doc/%020d", (int)version);
     g_snprintf(head, sizeof(head), "%d %016llx", (int)version,
                (unsigned long long)XXH64(DOC, strlen(DOC), 0));
-    GwFakeTable_Put(b->table, key, text);
-    GwFakeTable_Put(b->table, GW_KEY_HEAD, head);
+    GwFakeTable_Put(f->table, key, text);
+    GwFakeTable_Put(f->table, GW_KEY_HEAD, head);
 }
 
 static void
-run(Bench *b, int64_t for_us)
+run(Fixture *f, int64_t for_us)
 {
-    for (int64_t end_us = b->now_us + for_us; b->now_us < end_us;) {
-        b->now_us += GW_TICK_US;
-        GwSync_Tick(b->sync, b->now_us, &b->out);
-        for (uint32_t i = 0; i < b->out.count; i++) {
-            const GwAction *action = &b->out.items[i];
-            b->asks += action->kind == GW_ACTION_SEND;
+    for (int64_t end_us = f->now_us + for_us; f->now_us < end_us;) {
+        f->now_us += GW_TICK_US;
+        GwSync_Tick(f->sync, f->now_us, &f->out);
+        for (uint32_t i = 0; i < f->out.count; i++) {
+            const GwAction *action = &f->out.items[i];
+            f->peer_requests += action->kind == GW_ACTION_SEND;
             if (action->kind != GW_ACTION_TABLE) {
                 continue;
             }
             GwTableReply *reply =
-                b->away ? GwFakeTable_Lost(action->u.table)
-                        : GwFakeTable_Do(b->table, action->u.table);
-            GwSync_TableReply(b->sync, b->now_us, reply, &b->out);
+                f->is_table_down ? GwFakeTable_Lost(action->u.table)
+                                 : GwFakeTable_Do(f->table, action->u.table);
+            GwSync_TableReply(f->sync, f->now_us, reply, &f->out);
             GwFakeTable_FreeReply(reply);
         }
-        GwActions_Clear(&b->out);
+        GwActions_Clear(&f->out);
     }
 }
 
 static bool
-send_doc_from(Bench *b, GwNodeId from, uint64_t version, const char *text,
+send_doc_from(Fixture *f, GwNodeId from, uint64_t version, const char *text,
               uint64_t checksum)
 {
     GwMessage *msg = GwMessage_Create(GW_MSG_CONFIG_DOC, from);
@@ -83,60 +83,61 @@
                                .checksum = checksum,
                                .text_len = (uint32_t)strlen(text),
                                .text = g_strdup(text)};
-    bool adopted = GwSync_Receive(b->sync, b->now_us, msg, "2", &b->out);
+    bool adopted = GwSync_Receive(f->sync, f->now_us, msg, "2", &f->out);
     GwMessage_Free(msg);
     return adopted;
 }
 
 static bool
-send_doc(Bench *b, uint64_t version, const char *text, uint64_t checksum)
+send_doc(Fixture *f, uint64_t version, const char *text, uint64_t checksum)
 {
-    return send_doc_from(b, peer, version, text, checksum);
+    return send_doc_from(f, peer, version, text, checksum);
 }
 
 static uint64_t
-version_of(const Bench *b)
+version_of(const Fixture *f)
 {
-    const GwConfig *config = GwSync_Config(b->sync);
+    const GwConfig *config = GwSync_Config(f->sync);
     return config == NULL ? 0 : config->version;
 }
 
 Test(sync, takes_the_head_from_the_table)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
     GwConfig *parsed = GwConfig_Parse(DOC, strlen(DOC), 1, NULL);
     cr_assert_not_null(parsed);
     GwConfig_Free(parsed);
-    run(&b, SECOND);
-    cr_assert(!GwSync_Ready(b.sync, b.now_us));
-    publish(&b, 3, DOC);
-    run(&b, 5 * SECOND);
-    cr_assert_eq(version_of(&b), 3);
-    cr_assert(GwSync_Ready(b.sync, b.now_us));
-    end_bench(&b);
+    run(&f, SECOND);
+    cr_assert(!GwSync_Ready(f.sync, f.now_us));
+    publish(&f, 3, DOC);
+    run(&f, 5 * SECOND);
+    cr_assert_eq(version_of(&f), 3);
+    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    free_fixture(&f);
 }
 
-/* An operator sends a change to this entry, the table accepts it and goes
- * away. The host offers the document in the own name. When it was left aside,
- * the change was "accepted" and in force nowhere until the table came back. */
-Test(sync, takes_a_change_made_here_while_the_table_is_away)
+/* A table outage follows directly after it accepted a change sent to this
+ * entry. The host passes the document to the entry in the entry's own name;
+ * if the entry ignored it, the change would be accepted but in force
+ * nowhere until the table answers again. */
+Test(sync, own_change_is_in_force_during_a_table_outage)
 {
     const GwNodeId self = {.node = 1, .start = 1};
     const uint64_t checksum = XXH64(DOC, strlen(DOC), 0);
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
-    b.away = true;
-    cr_assert(send_doc_from(&b, self, 4, DOC, checksum));
-    cr_assert_eq(version_of(&b), 4);
-    cr_assert(!send_doc_from(&b, self, 3, DOC, checksum));
-    cr_assert_eq(version_of(&b), 4);
-    end_bench(&b);
+    f.is_table_down = true;
+    cr_assert(send_doc_from(&f, self, 4, DOC, checksum));
+    cr_assert_eq(version_of(&f), 4);
+    cr_assert(!send_doc_from(&f, self, 3, DOC, checksum));
+    cr_assert_eq(version_of(&f), 4);
+    free_fixture(&f);
 }
 
-/* A peer or a stale read offers an older version, a mangled one, or one that
- * can't be read. None of them may be in force. */
-Test(sync, what_is_refused)
+/* Documents of an older version, corrupted ones and invalid ones are never
+ * put in force. */
+Test(sync, old_corrupt_and_invalid_documents_are_refused)
 {
     uint64_t sum = XXH64(DOC, strlen(DOC), 0);
     struct {
@@ -150,116 +151,118 @@
         {6, DOC, sum + 1},
         {6, "nonsense", XXH64("nonsense", 8, 0)},
     };
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
-    cr_assert(send_doc(&b, 5, DOC, sum));
+    cr_assert(send_doc(&f, 5, DOC, sum));
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         cr_assert(
-            !send_doc(&b, cases[i].version, cases[i].text, cases[i].checksum));
-        cr_assert_eq(version_of(&b), 5);
+            !send_doc(&f, cases[i].version, cases[i].text, cases[i].checksum));
+        cr_assert_eq(version_of(&f), 5);
     }
-    cr_assert(send_doc(&b, 6, DOC, sum));
-    end_bench(&b);
+    cr_assert(send_doc(&f, 6, DOC, sum));
+    free_fixture(&f);
 }
 
-/* The table is away when an entry starts. It serves nothing until a peer has
- * told it a version and given it the document. */
-Test(sync, fresh_one_without_table_waits_for_a_peer)
+/* An entry that starts during a table outage serves nothing until a peer
+ * has announced a version and sent the document. */
+Test(sync, a_new_entry_without_table_waits_for_a_peer)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
-    b.away = true;
-    run(&b, 20 * SECOND);
-    cr_assert(!GwSync_Ready(b.sync, b.now_us));
-    GwSync_Heard(b.sync, b.now_us, peer, "2", 8, &b.out);
-    cr_assert_eq(b.out.items[0].u.send.message->kind, GW_MSG_CONFIG_ASK);
-    cr_assert(send_doc(&b, 8, DOC, XXH64(DOC, strlen(DOC), 0)));
-    cr_assert(!GwSync_Ready(b.sync, b.now_us));
-    run(&b, 2 * SECOND);
-    cr_assert(GwSync_Ready(b.sync, b.now_us));
-    end_bench(&b);
+    f.is_table_down = true;
+    run(&f, 20 * SECOND);
+    cr_assert(!GwSync_Ready(f.sync, f.now_us));
+    GwSync_Heard(f.sync, f.now_us, peer, "2", 8, &f.out);
+    cr_assert_eq(f.out.items[0].u.send.message->kind, GW_MSG_CONFIG_ASK);
+    cr_assert(send_doc(&f, 8, DOC, XXH64(DOC, strlen(DOC), 0)));
+    cr_assert(!GwSync_Ready(f.sync, f.now_us));
+    run(&f, 2 * SECOND);
+    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    free_fixture(&f);
 }
 
-/* A serving entry hears of a version that it can't get. It goes on for ten
- * seconds, then takes no work while a peer in reach holds that version. Once
- * that peer is gone too, nobody holds it, and the entry serves again. */
-Test(sync, serving_behind_is_bounded)
+/* A serving entry learns of a version that it cannot obtain. It serves for
+ * ten more seconds, then stops while a reachable peer holds that version.
+ * Once that peer is silent too, no entry holds the version, and the entry
+ * serves again. */
+Test(sync, service_on_an_older_version_is_bounded)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
-    publish(&b, 1, DOC);
-    run(&b, 3 * SECOND);
-    b.away = true;
+    publish(&f, 1, DOC);
+    run(&f, 3 * SECOND);
+    f.is_table_down = true;
     for (uint32_t second = 0; second < 15; second++) {
-        GwSync_Heard(b.sync, b.now_us, peer, "2", 2, &b.out);
-        cr_assert_eq(GwSync_Ready(b.sync, b.now_us), second <= 10, "%u",
+        GwSync_Heard(f.sync, f.now_us, peer, "2", 2, &f.out);
+        cr_assert_eq(GwSync_Ready(f.sync, f.now_us), second <= 10, "%u",
                      second);
-        run(&b, SECOND);
+        run(&f, SECOND);
     }
-    cr_assert_leq(b.asks, 9);
-    run(&b, 10 * SECOND);
-    cr_assert(GwSync_Ready(b.sync, b.now_us));
-    end_bench(&b);
+    cr_assert_leq(f.peer_requests, 9);
+    run(&f, 10 * SECOND);
+    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    free_fixture(&f);
 }
 
-/* The document in the table is mangled: the entry keeps the last good one in
- * force, and takes the new one from a peer that has it. */
-Test(sync, mangled_document_in_the_table)
+/* The document in the table is corrupted: the entry keeps the last valid
+ * one in force, and takes the new one from a peer. */
+Test(sync, a_corrupt_document_in_the_table_is_not_in_force)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
-    publish(&b, 1, DOC);
-    run(&b, 3 * SECOND);
-    publish(&b, 2, "{\"caps\": 1000}");
-    run(&b, 30 * SECOND);
-    cr_assert_eq(version_of(&b), 1);
-    cr_assert(GwSync_Ready(b.sync, b.now_us));
-    GwSync_Heard(b.sync, b.now_us, peer, "2", 2, &b.out);
-    cr_assert(send_doc(&b, 2, DOC, XXH64(DOC, strlen(DOC), 0)));
-    end_bench(&b);
+    publish(&f, 1, DOC);
+    run(&f, 3 * SECOND);
+    publish(&f, 2, "{\"caps\": 1000}");
+    run(&f, 30 * SECOND);
+    cr_assert_eq(version_of(&f), 1);
+    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    GwSync_Heard(f.sync, f.now_us, peer, "2", 2, &f.out);
+    cr_assert(send_doc(&f, 2, DOC, XXH64(DOC, strlen(DOC), 0)));
+    free_fixture(&f);
 }
 
-/* Polls are spread, and slow down while the table is away. */
+/* The number of polls in 200 s stays within the bounds of the period and
+ * its jitter. */
 Test(sync, polls_are_few)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
 
-    publish(&b, 1, DOC);
-    run(&b, 200 * SECOND);
-    cr_assert(b.table->reads > 80 && b.table->reads < 135, "%d",
-              (int)b.table->reads);
-    end_bench(&b);
+    publish(&f, 1, DOC);
+    run(&f, 200 * SECOND);
+    cr_assert(f.table->reads > 80 && f.table->reads < 135, "%d",
+              (int)f.table->reads);
+    free_fixture(&f);
 }
 
-Test(sync, answers_only_who_has_less)
+Test(sync, only_peers_with_a_lower_version_get_the_document)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
     GwMessage *ask = GwMessage_Create(GW_MSG_CONFIG_ASK, peer);
 
-    send_doc(&b, 5, DOC, XXH64(DOC, strlen(DOC), 0));
-    GwActions_Clear(&b.out);
+    send_doc(&f, 5, DOC, XXH64(DOC, strlen(DOC), 0));
+    GwActions_Clear(&f.out);
     ask->u.config_version = 5;
-    GwSync_Receive(b.sync, b.now_us, ask, "2", &b.out);
-    cr_assert_eq(b.out.count, 0);
+    GwSync_Receive(f.sync, f.now_us, ask, "2", &f.out);
+    cr_assert_eq(f.out.count, 0);
     ask->u.config_version = 4;
-    GwSync_Receive(b.sync, b.now_us, ask, "2", &b.out);
-    cr_assert_eq(b.out.items[0].u.send.message->u.doc.version, 5);
+    GwSync_Receive(f.sync, f.now_us, ask, "2", &f.out);
+    cr_assert_eq(f.out.items[0].u.send.message->u.doc.version, 5);
     GwMessage_Free(ask);
-    end_bench(&b);
+    free_fixture(&f);
 }
 
-/* The operator reads "accepted" and the table goes away in that moment. The
- * entry that took the change offers the document to itself; it has to be in
- * force there, and spread, though nobody can read the table. */
-Test(sync, takes_what_its_own_administration_offers)
+/* A table outage begins as an operator's change is accepted. The entry that
+ * took the change passes the document to itself; it must be in force there,
+ * although no entry can read the table. */
+Test(sync, own_change_replaces_the_version_in_force)
 {
-    Bench b = make_bench();
+    Fixture f = make_fixture();
     GwNodeId self = {.node = 1, .start = 1};
 
-    publish(&b, 3, DOC);
-    run(&b, 5 * SECOND);
-    b.away = true;
-    cr_assert(send_doc_from(&b, self, 4, DOC, XXH64(DOC, strlen(DOC), 0)));
-    cr_assert_eq(version_of(&b), 4);
-    end_bench(&b);
+    publish(&f, 3, DOC);
+    run(&f, 5 * SECOND);
+    f.is_table_down = true;
+    cr_assert(send_doc_from(&f, self, 4, DOC, XXH64(DOC, strlen(DOC), 0)));
+    cr_assert_eq(version_of(&f), 4);
+    free_fixture(&f);
 }
