--- a/lib/config/change.c
+++ b/lib/config/change.c
@@ -86,9 +86,9 @@
 }
 
 static void
-init_change(GwChange *c, const GwChangeAsk *ask)
+init_change(GwChange *c, const GwChangeAsk *request)
 {
-    c->request = *ask;
+    c->request = *request;
     c->tries_left = GW_CHANGE_LOST_MAX;
     c->rebases_left = GW_CHANGE_REBASES_MAX;
     c->state = CHANGE_READ_OP;
@@ -97,21 +97,21 @@
 /* Starts a change. A document that is invalid by itself is refused at once,
  * since no transaction can contain it. */
 GwChange *
-GwChange_Create(const GwChangeAsk *ask)
+GwChange_Create(const GwChangeAsk *request)
 {
     GwChange *c = g_new0(GwChange, 1);
-    init_change(c, ask);
-    if (!GwRequestId_IsValid(ask->request_id)) {
+    init_change(c, request);
+    if (!GwRequestId_IsValid(request->request_id)) {
         set_reason(c, GW_RESULT_INVALID,
                    "request_id: 1 to %d of A-Z a-z 0-9 . _ -",
                    GW_REQUEST_ID_MAX - 1);
         finish(c, GW_CHANGE_REFUSED, 0);
         return c;
     }
-    if (ask->kind == GW_CHANGE_DOCUMENT) {
+    if (request->kind == GW_CHANGE_DOCUMENT) {
         GError *error = NULL;
         GwConfig *parsed = GwConfig_Parse(
-            ask->document, (uint32_t)strlen(ask->document), 1, &error);
+            request->document, (uint32_t)strlen(request->document), 1, &error);
         if (parsed == NULL) {
             set_reason_from_error(c, error);
             finish(c, GW_CHANGE_REFUSED, 0);
@@ -124,10 +124,10 @@
 GwChange *
 GwChange_CreateResolve(const char *request_id)
 {
-    GwChangeAsk ask = {.kind = GW_CHANGE_DOCUMENT};
+    GwChangeAsk request = {.kind = GW_CHANGE_DOCUMENT};
     GwChange *c = g_new0(GwChange, 1);
-    g_strlcpy(ask.request_id, request_id, sizeof(ask.request_id));
-    init_change(c, &ask);
+    g_strlcpy(request.request_id, request_id, sizeof(request.request_id));
+    init_change(c, &request);
     c->is_resolving = true;
     c->is_refusing = true;
     set_reason(c, GW_RESULT_NOT_FOUND,
--- a/lib/config/change.h
+++ b/lib/config/change.h
@@ -72,7 +72,7 @@
 typedef struct GwChange_s GwChange;
 
 bool GwRequestId_IsValid(const char *id);
-GwChange *GwChange_Create(const GwChangeAsk *ask);
+GwChange *GwChange_Create(const GwChangeAsk *request);
 /* Determines the outcome of a request id, and makes it a refusal if the id
  * was not used. */
 GwChange *GwChange_CreateResolve(const char *request_id);
--- a/lib/config/fetch.c
+++ b/lib/config/fetch.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static void
-request_row(GwSync *s, int64_t now_us, const char *key, uint64_t doc,
+request_row(GwSync *s, int64_t now_us, const char *key, uint64_t doc_version,
             GwActions *out)
 {
     GwTableRequest *request = g_new0(GwTableRequest, 1);
@@ -16,7 +16,7 @@
     g_strlcpy(request->rows[0].key, key, GW_ROW_KEY_MAX);
     GwActions_Add(out, GW_ACTION_TABLE)->u.table = request;
     s->table.token = request->token;
-    s->table.doc = doc;
+    s->table.doc_version = doc_version;
     s->table.sent_us = now_us;
 }
 
@@ -183,7 +183,7 @@
 GwSync_TableReply(GwSync *s, int64_t now_us, const GwTableReply *reply,
                   GwActions *out)
 {
-    uint64_t doc = s->table.doc;
+    uint64_t doc_version = s->table.doc_version;
     bool adopted = false;
 
     if (s->table.token == 0 || reply->token != s->table.token) {
@@ -202,14 +202,14 @@
                                reply->rows[0].value != NULL
                            ? &reply->rows[0]
                            : NULL;
-    if (doc == 0) {
+    if (doc_version == 0) {
         s->head_read = true;
         if (row != NULL) {
             apply_head(s, row, out);
         }
     }
     else if (row != NULL) {
-        adopted = apply_doc(s, now_us, row, doc, out);
+        adopted = apply_doc(s, now_us, row, doc_version, out);
     }
     GwSync_UpdateBehind(s, now_us);
     GwSync_Fetch(s, now_us, out);
--- a/lib/config/sync_internal.h
+++ b/lib/config/sync_internal.h
@@ -64,8 +64,8 @@
     uint32_t entries; /* live entries, as counted by membership */
     uint64_t next_token;
     struct {
-        uint64_t token; /* 0: none in flight */
-        uint64_t doc;   /* version of the document asked for; 0: the head */
+        uint64_t token;       /* 0: none in flight */
+        uint64_t doc_version; /* of the document requested; 0: the head */
         int64_t sent_us;
     } table;
     struct {
--- a/lib/member/gossip.c
+++ b/lib/member/gossip.c
@@ -287,7 +287,7 @@
         r = GwMembers_FindRecord(m, u.id.node);
     }
     else {
-#if GW_MUTANT == 41 /* breaks: an old ALIVE revives the dead */
+#if GW_MUTANT == 41 /* breaks: an old ALIVE revives a dead member */
         if (u.id.start < r->pub.info.id.start) {
 #else
         if (!supersedes(&u, r->pub.info.id, r->pub.info.incarnation,
--- a/lib/member/member.h
+++ b/lib/member/member.h
@@ -32,8 +32,8 @@
 
 GwMembers *GwMembers_Create(const GwNodeParams *params);
 void GwMembers_Free(GwMembers *m);
-/* Returns false if a tick at `now_us` would send nothing, whatever `cargo`
- * holds. */
+/* Returns false if a tick at `now_us` would send nothing, whatever data it
+ * would carry. */
 bool GwMembers_IsDue(const GwMembers *m, int64_t now_us);
 void GwMembers_Tick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
                     GwActions *out);
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -1,3 +1,5 @@
+/* Parsing of configuration documents: valid ones, and the error for each kind
+ * of invalid one. */
 #include "config/model.h"
 #include "godwitridge_errors.h"
 
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -1,3 +1,4 @@
+/* Membership of several nodes over a simulated network. */
 #include "fakes/member_net.h"
 
 #include <criterion/criterion.h>
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,3 +1,5 @@
+/* Settings of the daemon: defaults, error texts, and the page made from the
+ * table. */
 #include "config/settings_table.h"
 
 #include <criterion/criterion.h>
--- a/tests/unit/test_snapshot.c
+++ b/tests/unit/test_snapshot.c
@@ -1,3 +1,4 @@
+/* Encoding and decoding of configuration snapshots. */
 #include "config/snapshot.h"
 #include "fakes/cluster.h"
 
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -1,3 +1,5 @@
+/* Synchronisation of the configuration in one entry, with a fake table and
+ * peer. */
 #include "common/log_events.h"
 #include "config/sync.h"
 #include "fakes/table.h"
