--- a/lib/edge/control_cost.c
+++ b/lib/edge/control_cost.c
@@ -6,21 +6,21 @@
 GwControlKind_Name(GwControlKind kind)
 {
     static const char *const names[GW_CONTROL_KIND_COUNT] = {
-        [GW_CONTROL_SIGNS] = "signs", [GW_CONTROL_LOADS] = "loads",
-        [GW_CONTROL_SUMS] = "sums",   [GW_CONTROL_PLACES] = "places",
-        [GW_CONTROL_ROWS] = "rows",   [GW_CONTROL_SUSPECTS] = "suspects",
+        [GW_CONTROL_LIVENESS] = "signs", [GW_CONTROL_LOADS] = "loads",
+        [GW_CONTROL_SUMS] = "sums",      [GW_CONTROL_PLACEMENTS] = "places",
+        [GW_CONTROL_ROWS] = "rows",      [GW_CONTROL_SUSPECTS] = "suspects",
     };
 
     return names[kind];
 }
 
 const char *
-GwWay_Name(GwWay distance)
+GwDistance_Name(GwDistance distance)
 {
-    static const char *const names[GW_WAY_COUNT] = {
-        [GW_WAY_DOMAIN] = "domain",
-        [GW_WAY_REGION] = "region",
-        [GW_WAY_FAR] = "far",
+    static const char *const names[GW_DISTANCE_COUNT] = {
+        [GW_DISTANCE_DOMAIN] = "domain",
+        [GW_DISTANCE_REGION] = "region",
+        [GW_DISTANCE_REMOTE] = "far",
     };
 
     return names[distance];
@@ -32,7 +32,7 @@
     uint64_t total = 0;
 
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
-        for (int distance = 0; distance < GW_WAY_COUNT; distance++) {
+        for (int distance = 0; distance < GW_DISTANCE_COUNT; distance++) {
             total += cost->bytes[kind][distance];
         }
     }
@@ -44,12 +44,13 @@
 {
     g_string_append(out, "# TYPE gw_control_bytes_total counter\n");
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
-        for (int distance = 0; distance < GW_WAY_COUNT; distance++) {
+        for (int distance = 0; distance < GW_DISTANCE_COUNT; distance++) {
             g_string_append_printf(
                 out,
                 "gw_control_bytes_total{kind=\"%s\",way=\"%s\"} %" PRIu64 "\n",
                 GwControlKind_Name((GwControlKind)kind),
-                GwWay_Name((GwWay)distance), cost->bytes[kind][distance]);
+                GwDistance_Name((GwDistance)distance),
+                cost->bytes[kind][distance]);
         }
     }
 }
@@ -61,7 +62,7 @@
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
         g_string_append_printf(
             out, " %s=", GwControlKind_Name((GwControlKind)kind));
-        for (int distance = 0; distance < GW_WAY_COUNT; distance++) {
+        for (int distance = 0; distance < GW_DISTANCE_COUNT; distance++) {
             g_string_append_printf(out, "%s%" PRIu64, distance > 0 ? "/" : "",
                                    cost->bytes[kind][distance] -
                                        before->bytes[kind][distance]);
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -113,7 +113,7 @@
 
     if ((state == GW_SUSPECT_HELD || old == GW_SUSPECT_HELD) &&
         GwPeers_IsWriterOf(edge->peers, suspect->fingerprint.lo)) {
-        GwHeldRows_Write(edge->held_rows, suspect);
+        GwQuarantineRows_Write(edge->quarantine_rows, suspect);
     }
     GwFingerprint_Write(&suspect->fingerprint, text);
     GwLog_Event(event, "fingerprint=%s crashes=%u was=%s age_ms=%u", text,
@@ -278,7 +278,7 @@
     GwFeed_Sweep(edge->operator_feed, now_us);
     GwFeed_Sweep(edge->server_feed, now_us);
     GwPeers_Sweep(edge->peers, now_us);
-    GwHeldRows_Sweep(edge->held_rows, now_us);
+    GwQuarantineRows_Sweep(edge->quarantine_rows, now_us);
     GwEdge_Reload(edge, false);
     if (edge->leaving) {
         GwEdge_ContinueStop(edge, now_us);
@@ -357,13 +357,14 @@
     edge->meters = GwMeters_Create();
     edge->actions = g_array_new(FALSE, FALSE, sizeof(GwDo));
     edge->router = GwRouter_Create(&settings->router, GwEdge_Now());
-    edge->held_rows = GwHeldRows_Create(edge);
+    edge->quarantine_rows = GwQuarantineRows_Create(edge);
     GwQuarantine_SetNote(GwRouter_Quarantine(edge->router), on_suspect, edge);
     GwRouter_SetLimitNote(edge->router, on_limit, edge);
     edge->operator_feed = GwFeed_Create(edge, adapter->operator_table,
-                                        GwBeliefs_OnOperatorRow, NULL);
-    edge->server_feed = GwFeed_Create(edge, adapter->server_table,
-                                      GwBeliefs_OnServerRow, GwBeliefs_IsNews);
+                                        GwRouterRows_OnOperatorRow, NULL);
+    edge->server_feed =
+        GwFeed_Create(edge, adapter->server_table, GwRouterRows_OnServerRow,
+                      GwRouterRows_IsChange);
     edge->peers = GwPeers_Create(edge, &why);
     start_timers(edge);
     if (why != NULL || !open_listeners(edge, &why)) {
@@ -398,7 +399,7 @@
     GwServerLink_CloseAll(edge);
     GwFeed_Close(edge->operator_feed);
     GwFeed_Close(edge->server_feed);
-    GwHeldRows_Close(edge->held_rows);
+    GwQuarantineRows_Close(edge->quarantine_rows);
     GwPeers_Close(edge->peers);
     GwTurns_Close(edge->turns);
     if (edge->call_listener != NULL) {
@@ -419,7 +420,7 @@
     GwFeed_Free(edge->operator_feed);
     GwFeed_Free(edge->server_feed);
     GwPeers_Free(edge->peers);
-    GwHeldRows_Free(edge->held_rows);
+    GwQuarantineRows_Free(edge->quarantine_rows);
     GwRouter_Free(edge->router);
     g_array_free(edge->actions, TRUE);
     g_ptr_array_free(edge->controls, TRUE);
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -28,7 +28,7 @@
 typedef struct GwServerLink_s GwServerLink;
 typedef struct GwFeed_s GwFeed;
 typedef struct GwPeers_s GwPeers;
-typedef struct GwHeldRows_s GwHeldRows;
+typedef struct GwQuarantineRows_s GwQuarantineRows;
 
 /* A caller's request, from its arrival to its answer. */
 typedef struct {
@@ -77,7 +77,7 @@
     GwFeed *operator_feed;
     GwFeed *server_feed;
     GwPeers *peers;
-    GwHeldRows *held_rows;
+    GwQuarantineRows *quarantine_rows;
     uint32_t sweeps;
     bool servers_known; /* the registry has been read once */
     int64_t started_us;
@@ -203,11 +203,11 @@
                           uint16_t *status);
 
 /* router_rows.c */
-void GwBeliefs_OnOperatorRow(void *ctx, const GwStoreRow *row);
-void GwBeliefs_OnServerRow(void *ctx, const GwStoreRow *row);
+void GwRouterRows_OnOperatorRow(void *ctx, const GwStoreRow *row);
+void GwRouterRows_OnServerRow(void *ctx, const GwStoreRow *row);
 /* GwRowIsNews for rows of servers. */
-bool GwBeliefs_IsNews(void *ctx, const char *key, const char *old,
-                      int64_t age_us, const char *value);
+bool GwRouterRows_IsChange(void *ctx, const char *key, const char *old,
+                           int64_t age_us, const char *value);
 
 /* status.c */
 void GwStatus_WriteMetrics(GwEdge *edge, GString *out);
@@ -234,17 +234,17 @@
  * regular report. */
 void GwPeers_Announce(GwPeers *peers);
 /* Number of peers that read the store and saw no outage. */
-uint32_t GwPeers_CountReadingWell(const GwPeers *peers);
+uint32_t GwPeers_CountHealthyReaders(const GwPeers *peers);
 /* Makes the next reports to the region go out soon, after updates from the
  * store. */
-void GwPeers_Hurry(GwPeers *peers);
+void GwPeers_ExpediteRegion(GwPeers *peers);
 /* The same for peers in this failure domain. */
-void GwPeers_HurryDomain(GwPeers *peers);
+void GwPeers_ExpediteDomain(GwPeers *peers);
 /* Whether this entry is one of the few that write the row of that name. All
  * entries agree on them by a hash of the name. */
 bool GwPeers_IsWriterOf(const GwPeers *peers, uint64_t name);
 /* Distance class of the traffic with the peer at that address. */
-GwWay GwPeers_WayTo(const GwPeers *peers, const char *address);
+GwDistance GwPeers_DistanceTo(const GwPeers *peers, const char *address);
 /* Entry addresses for callers in the region and failure domain, best first. */
 GPtrArray *GwPeers_Directory(const GwPeers *peers, const char *region,
                              const char *domain);
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -131,7 +131,7 @@
     GwStoreSight sight = {
         .failed = failed,
         .reads_well = reads_well,
-        .peers_reading_well = GwPeers_CountReadingWell(feed->edge->peers),
+        .peers_reading_well = GwPeers_CountHealthyReaders(feed->edge->peers),
     };
 
     if (!GwStoreSight_WasAway(&sight)) {
@@ -215,7 +215,7 @@
         feed->next_poll_us = now_us + POLL_PAUSE_US;
     }
     if (has_rows) {
-        GwPeers_Hurry(feed->edge->peers);
+        GwPeers_ExpediteRegion(feed->edge->peers);
     }
     GwEdge_Carry(feed->edge);
 }
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -118,7 +118,8 @@
         return;
     }
     if (!feed->peer_is_store) {
-        GwWay distance = GwPeers_WayTo(feed->edge->peers, feed->peer_address);
+        GwDistance distance =
+            GwPeers_DistanceTo(feed->edge->peers, feed->peer_address);
         feed->edge->cost.bytes[GW_CONTROL_ROWS][distance] += msg->body->len;
     }
     if (msg->status == 200) {
@@ -137,7 +138,7 @@
     if (set != NULL) {
         apply_rows(feed, set);
         GwRowSet_Free(set);
-        GwPeers_HurryDomain(feed->edge->peers);
+        GwPeers_ExpediteDomain(feed->edge->peers);
         GwEdge_Carry(feed->edge);
     }
 }
--- a/lib/edge/gossip.c
+++ b/lib/edge/gossip.c
@@ -12,25 +12,25 @@
 #define PAGE_MIN_MS 500
 #define PAGE_MAX_MS 64000
 
-GwRumorTells
-GwRumorPeer_Next(GwRumorPeer *peer, int64_t now_us, int64_t *since_us)
+GwGossipAction
+GwGossipPeer_Next(GwGossipPeer *peer, int64_t now_us, int64_t *since_us)
 {
     if (peer->sends_page) {
         peer->sends_page = false;
-        return GW_RUMOR_PAGE;
+        return GW_GOSSIP_PAGE;
     }
     if (!peer->news) {
-        return GW_RUMOR_NOTHING;
+        return GW_GOSSIP_NOTHING;
     }
     *since_us = MAX(peer->sent_us, now_us - CHANGE_LIFE_US);
     peer->news = false;
     peer->sent_us = now_us;
-    return GW_RUMOR_NEWS;
+    return GW_GOSSIP_CHANGES;
 }
 
 bool
-GwRumorPeer_Heard(GwRumorPeer *peer, int64_t now_us, uint64_t checksum,
-                  uint64_t own_checksum, int64_t changed_us)
+GwGossipPeer_OnChecksum(GwGossipPeer *peer, int64_t now_us, uint64_t checksum,
+                        uint64_t own_checksum, int64_t changed_us)
 {
     if (checksum != peer->checksum) {
         peer->checksum = checksum;
--- a/lib/edge/gossip.h
+++ b/lib/edge/gossip.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 /* Peers to which a change is sent at once. */
-#define GW_RUMOR_FAN 4
+#define GW_GOSSIP_FANOUT 4
 
 /* State of the exchange with a peer. All zero: nothing was sent. */
 typedef struct {
@@ -25,21 +25,22 @@
     bool sends_page;   /* the next report carries a page of everything */
     int64_t next_page_us;  /* no page before this time */
     uint32_t page_wait_ms; /* interval between pages */
-} GwRumorPeer;
+} GwGossipPeer;
 
 typedef enum {
-    GW_RUMOR_NOTHING = 0,
-    GW_RUMOR_NEWS, /* what changed since `since_us` */
-    GW_RUMOR_PAGE  /* a page of everything */
-} GwRumorTells;
+    GW_GOSSIP_NOTHING = 0,
+    GW_GOSSIP_CHANGES, /* what changed since `since_us` */
+    GW_GOSSIP_PAGE     /* a page of everything */
+} GwGossipAction;
 
 /* Decides what the next report to the peer carries, and marks that as sent. */
-GwRumorTells GwRumorPeer_Next(GwRumorPeer *peer, int64_t now_us,
-                              int64_t *since_us);
+GwGossipAction GwGossipPeer_Next(GwGossipPeer *peer, int64_t now_us,
+                                 int64_t *since_us);
 /* The peer's report carried `checksum`; this entry's state has the
  * checksum `own_checksum` and last changed at `changed_us`. Returns whether the
  * peer lacks state and needs a report at once. */
-bool GwRumorPeer_Heard(GwRumorPeer *peer, int64_t now_us, uint64_t checksum,
-                       uint64_t own_checksum, int64_t changed_us);
+bool GwGossipPeer_OnChecksum(GwGossipPeer *peer, int64_t now_us,
+                             uint64_t checksum, uint64_t own_checksum,
+                             int64_t changed_us);
 
 #endif
--- a/lib/edge/limits.c
+++ b/lib/edge/limits.c
@@ -9,14 +9,14 @@
     int64_t since_us = 0;
     uint32_t count = 0;
 
-    switch (
-        GwRumorPeer_Next(&peer->gossip[GW_GOSSIP_LIMITS], now_us, &since_us)) {
-    case GW_RUMOR_NOTHING:
+    switch (GwGossipPeer_Next(&peer->gossip[GW_GOSSIP_LIMITS], now_us,
+                              &since_us)) {
+    case GW_GOSSIP_NOTHING:
         break;
-    case GW_RUMOR_NEWS:
+    case GW_GOSSIP_CHANGES:
         count = GwRouter_Limits(router, now_us, since_us, out, GW_LIMITS_MAX);
         break;
-    case GW_RUMOR_PAGE:
+    case GW_GOSSIP_PAGE:
         count = GwRouter_Limits(router, now_us, 0, out, GW_LIMITS_MAX);
         break;
     }
@@ -53,9 +53,9 @@
                          .age_ms = report->limits[i]->age_ms};
         GwRouter_PutLimit(router, now_us, &limit);
     }
-    if (GwRumorPeer_Heard(&peer->gossip[GW_GOSSIP_LIMITS], now_us,
-                          report->limits_sum, GwRouter_LimitsSum(router),
-                          GwRouter_LimitsChangedUs(router))) {
+    if (GwGossipPeer_OnChecksum(&peer->gossip[GW_GOSSIP_LIMITS], now_us,
+                                report->limits_sum, GwRouter_LimitsSum(router),
+                                GwRouter_LimitsChangedUs(router))) {
         peer->is_urgent = true;
     }
 }
--- a/lib/edge/peers.c
+++ b/lib/edge/peers.c
@@ -79,24 +79,25 @@
            now_us - peer->last_report_us < MAX(limit_us, DEAD_MIN_US);
 }
 
-GwWay
-GwPeerEntry_Way(const GwPeers *peers, const GwPeerEntry *peer)
+GwDistance
+GwPeerEntry_Distance(const GwPeers *peers, const GwPeerEntry *peer)
 {
     const GwRouterParams *own = &peers->edge->settings->router;
 
     if (strcmp(peer->region, own->region) != 0) {
-        return GW_WAY_FAR;
+        return GW_DISTANCE_REMOTE;
     }
-    return strcmp(peer->domain, own->domain) == 0 ? GW_WAY_DOMAIN
-                                                  : GW_WAY_REGION;
+    return strcmp(peer->domain, own->domain) == 0 ? GW_DISTANCE_DOMAIN
+                                                  : GW_DISTANCE_REGION;
 }
 
-GwWay
-GwPeers_WayTo(const GwPeers *peers, const char *address)
+GwDistance
+GwPeers_DistanceTo(const GwPeers *peers, const char *address)
 {
     const GwPeerEntry *peer = g_hash_table_lookup(peers->by_address, address);
 
-    return peer != NULL ? GwPeerEntry_Way(peers, peer) : GW_WAY_FAR;
+    return peer != NULL ? GwPeerEntry_Distance(peers, peer)
+                        : GW_DISTANCE_REMOTE;
 }
 
 GwPeerScan
--- a/lib/edge/peers_internal.h
+++ b/lib/edge/peers_internal.h
@@ -64,7 +64,7 @@
     GwSumAck ack;              /* its acknowledgement of the sum sent to it */
     GArray *backlog;           /* GwPlacement not sent to it yet; or NULL */
     uint64_t backlog_process_id; /* process it was built for */
-    GwRumorPeer gossip[GW_GOSSIP_KIND_COUNT];
+    GwGossipPeer gossip[GW_GOSSIP_KIND_COUNT];
 } GwPeerEntry;
 
 typedef enum {
@@ -178,7 +178,7 @@
 
 /* placements.c */
 bool GwPeers_IsInRegion(const GwPeers *peers, const GwPeerEntry *peer);
-GwWay GwPeerEntry_Way(const GwPeers *peers, const GwPeerEntry *peer);
+GwDistance GwPeerEntry_Distance(const GwPeers *peers, const GwPeerEntry *peer);
 /* Replaces `out` with the GwPlacement of the next report to the peer.
  * Returns how many of them, from the front, are known to be warm. */
 uint32_t GwPeers_PlacementsFor(GwPeers *peers, GwPeerEntry *peer,
@@ -209,8 +209,8 @@
 /* Adds the suspects for the peer to the report, which points into `arrays`. */
 void GwPeers_FillSuspects(GwPeers *peers, GwPeerEntry *peer,
                           Gw__Peer__Report *report, GwSuspectArrays *arrays);
-void GwPeers_TakeSuspects(GwPeers *peers, GwPeerEntry *peer,
-                          const Gw__Peer__Report *report);
+void GwPeers_ApplySuspects(GwPeers *peers, GwPeerEntry *peer,
+                           const Gw__Peer__Report *report);
 /* Gossips changed suspects. */
 void GwPeers_GossipSuspects(GwPeers *peers, int64_t now_us);
 
--- a/lib/edge/quarantine_rows.c
+++ b/lib/edge/quarantine_rows.c
@@ -11,7 +11,7 @@
 /* Maximum rows waiting to be written. */
 #define WAITING_MAX 256
 
-struct GwHeldRows_s {
+struct GwQuarantineRows_s {
     GwEdge *edge;
     GwConn *conn;
     bool has_read;
@@ -24,7 +24,7 @@
 /* ---- Values -------------------------------------------------------------- */
 
 char *
-GwHeldRow_WriteValue(const GwSuspect *suspect, int64_t now_s)
+GwQuarantineRow_WriteValue(const GwSuspect *suspect, int64_t now_s)
 {
     GString *out = g_string_new(NULL);
 
@@ -53,8 +53,8 @@
 }
 
 bool
-GwHeldRow_Read(const char *key, const char *value, int64_t now_s,
-               GwSuspect *out)
+GwQuarantineRow_Read(const char *key, const char *value, int64_t now_s,
+                     GwSuspect *out)
 {
     char **words = g_strsplit(value, " ", -1);
     int64_t at_s = 0;
@@ -83,20 +83,20 @@
 /* ---- Calls --------------------------------------------------------------- */
 
 static void
-retry(GwHeldRows *rows)
+retry(GwQuarantineRows *rows)
 {
     GwConn_CloseAt(&rows->conn);
     rows->at_us = GwEdge_Now() + RETRY_US;
 }
 
 static void
-write_row(GwHeldRows *rows, const GwSuspect *suspect)
+write_row(GwQuarantineRows *rows, const GwSuspect *suspect)
 {
     const GwAdapter *a = rows->edge->adapter;
     char key[GW_FINGERPRINT_TEXT];
 
     GwFingerprint_Write(&suspect->fingerprint, key);
-    char *value = GwHeldRow_WriteValue(suspect, now_s());
+    char *value = GwQuarantineRow_WriteValue(suspect, now_s());
     char *body = a->write_body(HELD_TABLE, key, value);
     GwConn_WritePost(rows->conn, a->write_target,
                      rows->edge->settings->store_address, body);
@@ -106,7 +106,7 @@
 
 /* Starts the next call, or closes the connection when none is left. */
 static void
-start_call(GwHeldRows *rows)
+start_call(GwQuarantineRows *rows)
 {
     const GwEdge *edge = rows->edge;
     const GwSuspect *next = g_queue_peek_head(&rows->waiting);
@@ -127,7 +127,7 @@
 }
 
 static bool
-apply_rows(GwHeldRows *rows, const GwHttpMessage *msg)
+apply_rows(GwQuarantineRows *rows, const GwHttpMessage *msg)
 {
     GwRowSet *set =
         rows->edge->adapter->read_rows(msg->body->str, msg->body->len, NULL);
@@ -139,7 +139,7 @@
         const GwStoreRow *row = set->rows->pdata[i];
         GwSuspect suspect;
         if (!row->removed &&
-            GwHeldRow_Read(row->key, row->value, now_s(), &suspect)) {
+            GwQuarantineRow_Read(row->key, row->value, now_s(), &suspect)) {
             GwQuarantine_Merge(GwRouter_Quarantine(rows->edge->router),
                                GwEdge_Now(), &suspect);
         }
@@ -156,7 +156,7 @@
 static void
 on_message(void *owner, GwHttpMessage *msg)
 {
-    GwHeldRows *rows = owner;
+    GwQuarantineRows *rows = owner;
     bool ok = msg->status == 200;
 
     if (ok && rows->has_read) {
@@ -183,7 +183,7 @@
 static void
 on_ended(void *owner, GwConnEnd end)
 {
-    GwHeldRows *rows = owner;
+    GwQuarantineRows *rows = owner;
 
     if (end != GW_CONN_BAD) {
         rows->conn = NULL;
@@ -198,7 +198,7 @@
 };
 
 void
-GwHeldRows_Sweep(GwHeldRows *rows, int64_t now_us)
+GwQuarantineRows_Sweep(GwQuarantineRows *rows, int64_t now_us)
 {
     GwConnParams params = {
         .loop = &rows->edge->loop,
@@ -221,7 +221,7 @@
 }
 
 void
-GwHeldRows_Write(GwHeldRows *rows, const GwSuspect *suspect)
+GwQuarantineRows_Write(GwQuarantineRows *rows, const GwSuspect *suspect)
 {
     if (g_queue_get_length(&rows->waiting) < WAITING_MAX) {
         g_queue_push_tail(&rows->waiting,
@@ -230,10 +230,10 @@
 }
 
 /* At the first start of the whole system, there are no rows to read. */
-GwHeldRows *
-GwHeldRows_Create(GwEdge *edge)
+GwQuarantineRows *
+GwQuarantineRows_Create(GwEdge *edge)
 {
-    GwHeldRows *rows = g_new0(GwHeldRows, 1);
+    GwQuarantineRows *rows = g_new0(GwQuarantineRows, 1);
 
     rows->edge = edge;
     rows->has_read = edge->settings->first_start;
@@ -241,13 +241,13 @@
 }
 
 void
-GwHeldRows_Close(GwHeldRows *rows)
+GwQuarantineRows_Close(GwQuarantineRows *rows)
 {
     GwConn_CloseAt(&rows->conn);
 }
 
 void
-GwHeldRows_Free(GwHeldRows *rows)
+GwQuarantineRows_Free(GwQuarantineRows *rows)
 {
     if (rows == NULL) {
         return;
--- a/lib/edge/quarantine_rows.h
+++ b/lib/edge/quarantine_rows.h
@@ -1,23 +1,23 @@
 /* Stores quarantined requests in the store, so that a quarantine survives
  * the stop of every entry that knows it. */
-#ifndef GW_EDGE_HELD_ROWS_H
-#define GW_EDGE_HELD_ROWS_H
+#ifndef GW_EDGE_QUARANTINE_ROWS_H
+#define GW_EDGE_QUARANTINE_ROWS_H
 
 #include "edge/edge_internal.h"
 
-GwHeldRows *GwHeldRows_Create(GwEdge *edge);
-void GwHeldRows_Close(GwHeldRows *rows);
-void GwHeldRows_Free(GwHeldRows *rows);
+GwQuarantineRows *GwQuarantineRows_Create(GwEdge *edge);
+void GwQuarantineRows_Close(GwQuarantineRows *rows);
+void GwQuarantineRows_Free(GwQuarantineRows *rows);
 /* Reads the rows after a start; writes queued rows. */
-void GwHeldRows_Sweep(GwHeldRows *rows, int64_t now_us);
+void GwQuarantineRows_Sweep(GwQuarantineRows *rows, int64_t now_us);
 /* Queues a row for a request that was quarantined or released. Dropped when
  * too many rows are waiting. */
-void GwHeldRows_Write(GwHeldRows *rows, const GwSuspect *suspect);
+void GwQuarantineRows_Write(GwQuarantineRows *rows, const GwSuspect *suspect);
 
 /* Returns a row's value; free with g_free(). The key is the fingerprint.
  * `now_s` is the wall clock, as rows outlive monotonic clocks. */
-char *GwHeldRow_WriteValue(const GwSuspect *suspect, int64_t now_s);
-bool GwHeldRow_Read(const char *key, const char *value, int64_t now_s,
-                    GwSuspect *out);
+char *GwQuarantineRow_WriteValue(const GwSuspect *suspect, int64_t now_s);
+bool GwQuarantineRow_Read(const char *key, const char *value, int64_t now_s,
+                          GwSuspect *out);
 
 #endif
--- a/lib/edge/readers.c
+++ b/lib/edge/readers.c
@@ -153,7 +153,7 @@
 }
 
 uint32_t
-GwPeers_CountReadingWell(const GwPeers *peers)
+GwPeers_CountHealthyReaders(const GwPeers *peers)
 {
     int64_t now_us = GwEdge_Now();
     GHashTableIter iter;
--- a/lib/edge/reports.c
+++ b/lib/edge/reports.c
@@ -43,10 +43,10 @@
 static uint32_t
 base_period_ms(const GwPeers *peers, const GwPeerEntry *peer)
 {
-    switch (GwPeerEntry_Way(peers, peer)) {
-    case GW_WAY_DOMAIN:
+    switch (GwPeerEntry_Distance(peers, peer)) {
+    case GW_DISTANCE_DOMAIN:
         return DOMAIN_PERIOD_MS;
-    case GW_WAY_REGION:
+    case GW_DISTANCE_REGION:
         return REGION_PERIOD_MS;
     default:
         return REMOTE_PERIOD_MS;
@@ -265,7 +265,7 @@
            size_t len)
 {
     GwControlCost *cost = &peers->edge->cost;
-    GwWay distance = GwPeerEntry_Way(peers, peer);
+    GwDistance distance = GwPeerEntry_Distance(peers, peer);
     size_t loads = loads_size(report);
     size_t placements =
         report->n_placed_objects * (sizeof(uint64_t) + sizeof(uint32_t));
@@ -278,9 +278,9 @@
     GwControlKind kind =
         report->loads_of == GW_LOADS_ALL ? GW_CONTROL_SUMS : GW_CONTROL_LOADS;
     cost->bytes[kind][distance] += loads;
-    cost->bytes[GW_CONTROL_PLACES][distance] += placements;
+    cost->bytes[GW_CONTROL_PLACEMENTS][distance] += placements;
     cost->bytes[GW_CONTROL_SUSPECTS][distance] += suspects;
-    cost->bytes[GW_CONTROL_SIGNS][distance] +=
+    cost->bytes[GW_CONTROL_LIVENESS][distance] +=
         len - loads - placements - suspects;
 }
 
@@ -391,7 +391,7 @@
 }
 
 void
-GwPeers_HurryDomain(GwPeers *peers)
+GwPeers_ExpediteDomain(GwPeers *peers)
 {
     const char *own = peers->edge->settings->router.domain;
     GHashTableIter iter;
@@ -405,7 +405,7 @@
 }
 
 void
-GwPeers_Hurry(GwPeers *peers)
+GwPeers_ExpediteRegion(GwPeers *peers)
 {
     GHashTableIter iter;
     gpointer value;
--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -189,7 +189,7 @@
     store_state(peer, report);
     apply_loads(peers, peer, report);
     apply_placements(peers, peer, report);
-    GwPeers_TakeSuspects(peers, peer, report);
+    GwPeers_ApplySuspects(peers, peer, report);
     GwPeers_ApplyLimits(peers, peer, report);
     for (size_t i = 0; i < report->n_known; i++) {
         (void)GwPeers_Add(peers, report->known[i]);
--- a/lib/edge/router_rows.c
+++ b/lib/edge/router_rows.c
@@ -28,7 +28,7 @@
 }
 
 void
-GwBeliefs_OnOperatorRow(void *ctx, const GwStoreRow *row)
+GwRouterRows_OnOperatorRow(void *ctx, const GwStoreRow *row)
 {
     GwEdge *edge = ctx;
     const char *name = NULL;
@@ -64,8 +64,8 @@
 }
 
 bool
-GwBeliefs_IsNews(void *ctx, const char *key, const char *old, int64_t age_us,
-                 const char *value)
+GwRouterRows_IsChange(void *ctx, const char *key, const char *old,
+                      int64_t age_us, const char *value)
 {
     const GwAdapter *adapter = ((GwEdge *)ctx)->adapter;
     GwRegistered old_server;
@@ -82,7 +82,7 @@
 }
 
 void
-GwBeliefs_OnServerRow(void *ctx, const GwStoreRow *row)
+GwRouterRows_OnServerRow(void *ctx, const GwStoreRow *row)
 {
     GwEdge *edge = ctx;
     GwRegistered server;
--- a/lib/edge/suspects.c
+++ b/lib/edge/suspects.c
@@ -39,19 +39,19 @@
 select_suspects(GwPeers *peers, GwPeerEntry *peer, GwSuspect *out)
 {
     GwQuarantine *q = GwRouter_Quarantine(peers->edge->router);
-    GwRumorPeer *gossip = &peer->gossip[GW_GOSSIP_SUSPECTS];
+    GwGossipPeer *gossip = &peer->gossip[GW_GOSSIP_SUSPECTS];
     int64_t now_us = GwEdge_Now();
     int64_t since_us;
     uint32_t count = 0;
 
-    switch (GwRumorPeer_Next(gossip, now_us, &since_us)) {
-    case GW_RUMOR_NOTHING:
+    switch (GwGossipPeer_Next(gossip, now_us, &since_us)) {
+    case GW_GOSSIP_NOTHING:
         break;
-    case GW_RUMOR_NEWS:
+    case GW_GOSSIP_CHANGES:
         count = GwQuarantine_News(q, now_us, since_us, out, GW_SUSPECTS_MAX);
         gossip->sends_page = count == GW_SUSPECTS_MAX;
         break;
-    case GW_RUMOR_PAGE:
+    case GW_GOSSIP_PAGE:
         count = GwQuarantine_Page(q, now_us, &peers->suspects_cursor, out,
                                   GW_SUSPECTS_MAX);
         break;
@@ -74,8 +74,8 @@
 }
 
 void
-GwPeers_TakeSuspects(GwPeers *peers, GwPeerEntry *peer,
-                     const Gw__Peer__Report *report)
+GwPeers_ApplySuspects(GwPeers *peers, GwPeerEntry *peer,
+                      const Gw__Peer__Report *report)
 {
     GwQuarantine *q = GwRouter_Quarantine(peers->edge->router);
     int64_t now_us = GwEdge_Now();
@@ -86,9 +86,9 @@
             GwQuarantine_Merge(q, now_us, &s);
         }
     }
-    if (GwRumorPeer_Heard(&peer->gossip[GW_GOSSIP_SUSPECTS], now_us,
-                          report->suspects_sum, GwQuarantine_Sum(q),
-                          GwQuarantine_ChangedUs(q))) {
+    if (GwGossipPeer_OnChecksum(&peer->gossip[GW_GOSSIP_SUSPECTS], now_us,
+                                report->suspects_sum, GwQuarantine_Sum(q),
+                                GwQuarantine_ChangedUs(q))) {
         peer->is_urgent = true;
     }
 }
--- a/tests/fakes/outages_entries.c
+++ b/tests/fakes/outages_entries.c
@@ -97,8 +97,8 @@
                e->number / REGIONS % 2);
     e->router = GwRouter_Create(&params, w->now_us);
     e->actions = g_array_new(FALSE, FALSE, sizeof(GwDo));
-    e->peers = g_new0(GwRumorPeer, w->p->entries);
-    e->limit_peers = g_new0(GwRumorPeer, w->p->entries);
+    e->peers = g_new0(GwGossipPeer, w->p->entries);
+    e->limit_peers = g_new0(GwGossipPeer, w->p->entries);
     e->limits_spread_us = 0;
     e->hurry = g_new0(bool, w->p->entries);
     e->handles = g_hash_table_new(NULL, NULL);
--- a/tests/fakes/outages_faults.c
+++ b/tests/fakes/outages_faults.c
@@ -146,8 +146,8 @@
         e->life++;
         OutageEntry_Start(w, e);
         for (uint32_t i = 0; i < w->p->entries; i++) {
-            w->entries[i].peers[e->number] = (GwRumorPeer){0};
-            w->entries[i].limit_peers[e->number] = (GwRumorPeer){0};
+            w->entries[i].peers[e->number] = (GwGossipPeer){0};
+            w->entries[i].limit_peers[e->number] = (GwGossipPeer){0};
         }
         break;
     }
--- a/tests/fakes/outages_host.c
+++ b/tests/fakes/outages_host.c
@@ -163,14 +163,14 @@
 {
     int64_t now_us = e->world->now_us;
     int64_t since_us = 0;
-    GwRumorTells tells =
-        GwRumorPeer_Next(&e->limit_peers[to], now_us, &since_us);
+    GwGossipAction tells =
+        GwGossipPeer_Next(&e->limit_peers[to], now_us, &since_us);
 
     d->limits_sum = GwRouter_LimitsSum(e->router);
-    if (tells != GW_RUMOR_NOTHING) {
-        d->limit_count = GwRouter_Limits(e->router, now_us,
-                                         tells == GW_RUMOR_NEWS ? since_us : 0,
-                                         d->limits, LIMITS_MAX);
+    if (tells != GW_GOSSIP_NOTHING) {
+        d->limit_count = GwRouter_Limits(
+            e->router, now_us, tells == GW_GOSSIP_CHANGES ? since_us : 0,
+            d->limits, LIMITS_MAX);
     }
 }
 
@@ -184,9 +184,9 @@
     for (uint32_t i = 0; i < d->limit_count; i++) {
         GwRouter_PutLimit(e->router, now_us, &d->limits[i]);
     }
-    if (GwRumorPeer_Heard(&e->limit_peers[from], now_us, d->limits_sum,
-                          GwRouter_LimitsSum(e->router),
-                          GwRouter_LimitsChangedUs(e->router))) {
+    if (GwGossipPeer_OnChecksum(&e->limit_peers[from], now_us, d->limits_sum,
+                                GwRouter_LimitsSum(e->router),
+                                GwRouter_LimitsChangedUs(e->router))) {
         e->hurry[from] = true;
     }
 }
@@ -201,14 +201,14 @@
 
     e->hurry[to] = false;
     *d = (Datagram){.from = e, .to = &w->entries[to]};
-    switch (GwRumorPeer_Next(&e->peers[to], w->now_us, &since_us)) {
-    case GW_RUMOR_NOTHING:
+    switch (GwGossipPeer_Next(&e->peers[to], w->now_us, &since_us)) {
+    case GW_GOSSIP_NOTHING:
         break;
-    case GW_RUMOR_NEWS:
+    case GW_GOSSIP_CHANGES:
         d->count = GwQuarantine_News(q, w->now_us, since_us, d->suspects,
                                      SUSPECTS_MAX);
         break;
-    case GW_RUMOR_PAGE:
+    case GW_GOSSIP_PAGE:
         d->count = GwQuarantine_Page(q, w->now_us, &e->from, d->suspects,
                                      SUSPECTS_MAX);
         break;
@@ -235,8 +235,9 @@
     for (uint32_t i = 0; i < d->count; i++) {
         GwQuarantine_Merge(q, w->now_us, &d->suspects[i]);
     }
-    if (GwRumorPeer_Heard(&e->peers[from], w->now_us, d->sum,
-                          GwQuarantine_Sum(q), GwQuarantine_ChangedUs(q))) {
+    if (GwGossipPeer_OnChecksum(&e->peers[from], w->now_us, d->sum,
+                                GwQuarantine_Sum(q),
+                                GwQuarantine_ChangedUs(q))) {
         e->hurry[from] = true;
     }
     take_limits(d);
@@ -251,7 +252,7 @@
 
     if (GwRouter_LimitsChangedUs(e->router) > e->limits_spread_us) {
         e->limits_spread_us = w->now_us;
-        for (int i = 0; i < GW_RUMOR_FAN; i++) {
+        for (int i = 0; i < GW_GOSSIP_FANOUT; i++) {
             uint32_t to = Outages_Below(w, w->p->entries);
             e->limit_peers[to].news = true;
             e->hurry[to] = true;
@@ -263,7 +264,7 @@
     GwQuarantine_Tick(q, w->now_us);
     if (GwQuarantine_ChangedUs(q) > e->spread_us) {
         e->spread_us = w->now_us;
-        for (int i = 0; i < GW_RUMOR_FAN; i++) {
+        for (int i = 0; i < GW_GOSSIP_FANOUT; i++) {
             uint32_t to = Outages_Below(w, w->p->entries);
             e->peers[to].news = true;
             e->hurry[to] = true;
--- a/tests/fakes/outages_internal.h
+++ b/tests/fakes/outages_internal.h
@@ -66,8 +66,8 @@
     uint32_t region;
     GwRouter *router;
     GArray *actions;
-    GwRumorPeer *peers;
-    GwRumorPeer *limit_peers;
+    GwGossipPeer *peers;
+    GwGossipPeer *limit_peers;
     uint32_t from;
     uint32_t next_peer;
     int64_t spread_us;
--- a/tests/unit/test_control_cost.c
+++ b/tests/unit/test_control_cost.c
@@ -12,7 +12,7 @@
     uint64_t next = 1;
 
     for (int kind = 0; kind < GW_CONTROL_KIND_COUNT; kind++) {
-        for (int way = 0; way < GW_WAY_COUNT; way++) {
+        for (int way = 0; way < GW_DISTANCE_COUNT; way++) {
             cost.bytes[kind][way] = next++;
         }
     }
@@ -32,10 +32,10 @@
     GwControlCost before = {{{0}}};
     GString *out = g_string_new(NULL);
 
-    before.bytes[GW_CONTROL_ROWS][GW_WAY_REGION] = 100;
+    before.bytes[GW_CONTROL_ROWS][GW_DISTANCE_REGION] = 100;
     GwControlCost now = before;
-    now.bytes[GW_CONTROL_ROWS][GW_WAY_REGION] += 5;
-    now.bytes[GW_CONTROL_SIGNS][GW_WAY_DOMAIN] += 7;
+    now.bytes[GW_CONTROL_ROWS][GW_DISTANCE_REGION] += 5;
+    now.bytes[GW_CONTROL_LIVENESS][GW_DISTANCE_DOMAIN] += 7;
     GwControlCost_WriteLine(&now, &before, out);
     cr_expect_str_eq(out->str, " signs=7/0/0 loads=0/0/0 sums=0/0/0 "
                                "places=0/0/0 rows=0/5/0 suspects=0/0/0");
--- a/tests/unit/test_edge_crashes.c
+++ b/tests/unit/test_edge_crashes.c
@@ -105,7 +105,7 @@
         report.n_suspects = 1;
         report.suspects = list;
 
-        GwPeers_TakeSuspects(&peers, &peer, &report);
+        GwPeers_ApplySuspects(&peers, &peer, &report);
 
         cr_expect_eq(GwQuarantine_Crashes(q, &f), records[i].crashes,
                      "record %zu", i);
--- a/tests/unit/test_quarantine_rows.c
+++ b/tests/unit/test_quarantine_rows.c
@@ -15,9 +15,9 @@
                          .server_count = 2,
                          .servers = {7, UINT64_MAX}};
     GwSuspect back;
-    char *value = GwHeldRow_WriteValue(&suspect, 1000);
+    char *value = GwQuarantineRow_WriteValue(&suspect, 1000);
 
-    cr_assert(GwHeldRow_Read(KEY, value, 1100, &back));
+    cr_assert(GwQuarantineRow_Read(KEY, value, 1100, &back));
     cr_expect_eq(back.fingerprint.hi, 1);
     cr_expect_eq(back.fingerprint.lo, 15);
     cr_expect_eq(back.generation, 3);
@@ -55,7 +55,8 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         GwSuspect s;
-        bool good = GwHeldRow_Read(cases[i].key, cases[i].value, 1000, &s);
+        bool good =
+            GwQuarantineRow_Read(cases[i].key, cases[i].value, 1000, &s);
         cr_expect_eq(good, cases[i].good, "case %zu", i);
         cr_expect(!good || s.age_ms == cases[i].age_ms, "case %zu: %u", i,
                   s.age_ms);
