--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -32,7 +32,7 @@
         return 0;
     }
     char *text = g_strndup((const char *)data + 1, size - 1);
-    GwRegistered server;
+    GwServerRegistration server;
 
     switch (data[0] % 3) {
     case 0:
--- a/lib/edge/adapter.h
+++ b/lib/edge/adapter.h
@@ -17,7 +17,7 @@
     uint32_t slots;
     bool draining;
     uint32_t warmup_left_ms;
-} GwRegistered;
+} GwServerRegistration;
 
 typedef enum {
     GW_ROW_CONFIG = 1, /* the whole configuration */
@@ -52,8 +52,8 @@
     /* Rows. */
     GwOperatorRow (*operator_row)(const char *key, const char **name);
     GwRouting *(*read_config)(const char *text, GError **error);
-    bool (*read_server)(const char *key, const char *text, GwRegistered *out,
-                        GError **error);
+    bool (*read_server)(const char *key, const char *text,
+                        GwServerRegistration *out, GError **error);
     /* Body of a directory answer. */
     char *(*write_directory)(const GPtrArray *addresses, uint32_t ttl_ms);
     const char *directory_region; /* query parameters of the directory */
--- a/lib/edge/callers.c
+++ b/lib/edge/callers.c
@@ -226,7 +226,7 @@
     for (GList *at = caller->exchanges.head; at != NULL; at = at->next) {
         GwExchange *x = at->data;
         bool first = at == caller->exchanges.head;
-        if (!x->started && !first && (!x->idempotent || edge->leaving)) {
+        if (!x->started && !first && (!x->idempotent || edge->is_stopping)) {
             return;
         }
         if (!x->started) {
@@ -253,7 +253,7 @@
         bool last =
             is_last_exchange(caller, x) && !GwConn_IsInside(caller->conn);
         close = last && caller->error_status == 0 &&
-                (edge->leaving || !x->msg->keep_alive);
+                (edge->is_stopping || !x->msg->keep_alive);
         if (close) {
             /* Inserted after the start line. */
             const char *eol = strstr(x->out->str, "\r\n");
@@ -326,7 +326,7 @@
 {
     GwCaller *caller = owner;
 
-    GwEdge_Carry(caller->edge);
+    GwEdge_RunActions(caller->edge);
 }
 
 static void
@@ -338,7 +338,7 @@
     if (end != GW_CONN_BAD) {
         GwEdge_CheckStopSignal(edge);
         GwCaller_Free(caller, GW_END_DISCONNECTED);
-        GwEdge_Carry(edge);
+        GwEdge_RunActions(edge);
         return;
     }
     switch (GwConn_Error(caller->conn)) {
@@ -356,7 +356,7 @@
         break;
     }
     GwCaller_ScheduleFlush(caller);
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
 }
 
 /* Dropping a request is correct only after an answer with "Connection: close":
--- a/lib/edge/callers_idle.c
+++ b/lib/edge/callers_idle.c
@@ -57,8 +57,8 @@
 bool
 GwCallers_HasFreeSlot(const GwEdge *edge)
 {
-    return edge->leaving || g_queue_get_length((GQueue *)&edge->callers) <
-                                edge->settings->fd_limit / FD_PARTS;
+    return edge->is_stopping || g_queue_get_length((GQueue *)&edge->callers) <
+                                    edge->settings->fd_limit / FD_PARTS;
 }
 
 /* Closes the longest-idle connection to free a slot: callers keep connections
--- a/lib/edge/control.c
+++ b/lib/edge/control.c
@@ -44,7 +44,7 @@
         char *body =
             a->write_directory(addresses, edge->settings->lookup_ttl_ms);
         GwServeAnswer answer = {
-            .status = 200, .body = body, .close = edge->leaving};
+            .status = 200, .body = body, .close = edge->is_stopping};
         GwClient_Answer(client, &answer);
         g_free(body);
     }
@@ -78,7 +78,7 @@
     if (GwRowsAsk_ReadTarget(target, &ask)) {
         for (size_t i = 0; i < G_N_ELEMENTS(feeds) && answer.status == 404;
              i++) {
-            rows = GwFeed_Answer(feeds[i], &ask, &answer.status);
+            rows = GwFeed_AnswerPeer(feeds[i], &ask, &answer.status);
         }
     }
     if (rows != NULL) {
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -24,7 +24,7 @@
 GwEdge_IsReady(const GwEdge *edge)
 {
     return GwStopSignal_At() == 0 && GwRouter_Routing(edge->router) != NULL &&
-           GwFeed_IsKnown(edge->server_feed);
+           GwFeed_IsLoaded(edge->server_feed);
 }
 
 const char *
@@ -196,7 +196,7 @@
     edge->armed_us = INT64_MAX;
     GwEdge_CheckStopSignal(edge);
     GwRouter_Tick(edge->router, GwEdge_Now(), edge->actions);
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
 }
 
 static void
@@ -217,7 +217,7 @@
 }
 
 void
-GwEdge_Carry(GwEdge *edge)
+GwEdge_RunActions(GwEdge *edge)
 {
     if (edge->is_running_actions) {
         return;
@@ -280,10 +280,10 @@
     GwPeers_Sweep(edge->peers, now_us);
     GwQuarantineRows_Sweep(edge->quarantine_rows, now_us);
     GwEdge_Reload(edge, false);
-    if (edge->leaving) {
+    if (edge->is_stopping) {
         GwEdge_ContinueStop(edge, now_us);
     }
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
     if (now_us - edge->cost_logged_us >= COST_PERIOD_US) {
         log_control_cost(edge, now_us);
     }
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -65,7 +65,7 @@
     GwHttpBudget bodies; /* shared by callers and servers */
     GwRouter *router;
     GArray *actions;         /* GwDo; pending actions of the router */
-    bool is_running_actions; /* GwEdge_Carry is running */
+    bool is_running_actions; /* GwEdge_RunActions is running */
     GQueue callers;          /* GwCaller, longest idle first */
     bool is_accept_paused;   /* accepting is paused at the connection limit */
     GQueue flush_queue;      /* GwCaller with answers to send */
@@ -81,7 +81,7 @@
     uint32_t sweeps;
     bool servers_known; /* the registry has been read once */
     int64_t started_us;
-    bool leaving;
+    bool is_stopping;
     int64_t stop_signal_us;
     int64_t accept_until_us;
     int64_t armed_us; /* time at which the deadline timer fires */
@@ -104,7 +104,7 @@
 /* Runs the actions appended by the router and sends the answers that become
  * ready, until none are left; then arms the router's timer. Must be the last
  * call of each callback of the loop. */
-void GwEdge_Carry(GwEdge *edge);
+void GwEdge_RunActions(GwEdge *edge);
 /* stop.c */
 /* Sets up the handling of the stop signals. */
 void GwEdge_InitStop(GwEdge *edge);
@@ -177,30 +177,30 @@
 bool GwFeed_IsHealthy(const GwFeed *feed);
 /* Whether this entry recently saw an outage of the store during which no peer
  * could read it either. */
-bool GwFeed_WasAway(const GwFeed *feed, int64_t now_us);
+bool GwFeed_HadOutage(const GwFeed *feed, int64_t now_us);
 /* Handles a peer's report; `saw_away`: the peer observed an outage of the
  * store. */
-void GwFeed_NotePeer(GwFeed *feed, int64_t now_us, bool saw_away);
+void GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_away);
 uint64_t GwFeed_Version(const GwFeed *feed);
 /* Time since the last answer about the table, from the store or a peer. */
 int64_t GwFeed_AgeMs(const GwFeed *feed, int64_t now_us);
-bool GwFeed_IsKnown(const GwFeed *feed);
+bool GwFeed_IsLoaded(const GwFeed *feed);
 /* Reads the missing rows from a peer that has a newer version. */
-void GwFeed_AskPeer(GwFeed *feed, const char *address, uint64_t version);
+void GwFeed_ReadFromPeer(GwFeed *feed, const char *address, uint64_t version);
 /* Reads the missing rows from the store, once: for rows too large to be
  * exchanged between peers. */
-void GwFeed_AskStore(GwFeed *feed, uint64_t version);
+void GwFeed_ReadFromStore(GwFeed *feed, uint64_t version);
 /* Whether such a read may be tried: the store has not failed one recently, and
  * this entry does not read the table from the store anyway. */
-bool GwFeed_MayAskStore(const GwFeed *feed);
+bool GwFeed_MayReadFromStore(const GwFeed *feed);
 /* Approximate size of the rows, in bytes, that a peer with that version
  * lacks. */
 uint64_t GwFeed_BytesAfter(const GwFeed *feed, uint64_t version);
 /* Answers a peer's read of this entry's copy: 200 with packed rows; 404 for
  * another table or one not read yet; 410 when the peer has to read the whole
  * table. */
-GByteArray *GwFeed_Answer(const GwFeed *feed, const GwRowsAsk *ask,
-                          uint16_t *status);
+GByteArray *GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsAsk *ask,
+                              uint16_t *status);
 
 /* router_rows.c */
 void GwRouterRows_OnOperatorRow(void *ctx, const GwStoreRow *row);
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -28,7 +28,7 @@
     feed->phase = PHASE_READ;
     feed->retry_ms = GW_POLL_RETRY_MIN_MS;
     feed->answered_us = GwEdge_Now();
-    feed->fresh_us = feed->answered_us;
+    feed->updated_us = feed->answered_us;
     return feed;
 }
 
@@ -68,11 +68,11 @@
 int64_t
 GwFeed_AgeMs(const GwFeed *feed, int64_t now_us)
 {
-    return (now_us - feed->fresh_us) / 1000;
+    return (now_us - feed->updated_us) / 1000;
 }
 
 bool
-GwFeed_IsKnown(const GwFeed *feed)
+GwFeed_IsLoaded(const GwFeed *feed)
 {
     return feed->known;
 }
@@ -115,7 +115,7 @@
 }
 
 bool
-GwFeed_WasAway(const GwFeed *feed, int64_t now_us)
+GwFeed_HadOutage(const GwFeed *feed, int64_t now_us)
 {
     return now_us < feed->outage_grace_until_us;
 }
@@ -142,9 +142,10 @@
 }
 
 void
-GwFeed_NotePeer(GwFeed *feed, int64_t now_us, bool saw_away)
+GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_away)
 {
-    bool reads_well = GwFeed_IsHealthy(feed) && !GwFeed_WasAway(feed, now_us);
+    bool reads_well =
+        GwFeed_IsHealthy(feed) && !GwFeed_HadOutage(feed, now_us);
 
     (void)set_grace_after_outage(feed, now_us, saw_away, reads_well);
 }
@@ -193,7 +194,7 @@
     int64_t now_us = GwEdge_Now();
 
     note_store_answer(feed);
-    feed->fresh_us = now_us;
+    feed->updated_us = now_us;
     bool has_rows = set->rows->len > 0;
     if (feed->phase == PHASE_FEED) {
         GwRowCache_ApplyChanges(feed->cache, now_us, set);
@@ -217,7 +218,7 @@
     if (has_rows) {
         GwPeers_ExpediteRegion(feed->edge->peers);
     }
-    GwEdge_Carry(feed->edge);
+    GwEdge_RunActions(feed->edge);
 }
 
 static void
--- a/lib/edge/feed_internal.h
+++ b/lib/edge/feed_internal.h
@@ -17,7 +17,7 @@
     GwRowSet *pages;      /* rows of the full read in progress */
     uint64_t version;     /* version after which the next poll reads */
     int64_t next_poll_us; /* time of the next poll; 0: none is due */
-    int64_t fresh_us;     /* last answer, from the store or a peer */
+    int64_t updated_us;   /* last answer, from the store or a peer */
     int64_t polled_us;
     int64_t retry_at_us;
     int64_t answered_us;           /* last valid answer of the store */
@@ -32,7 +32,7 @@
     bool peer_full;     /* reads the whole table */
     bool peer_is_store; /* reads from the store */
     GwConn *peer;
-    int64_t peer_asked_us;
+    int64_t peer_sent_us;
     int64_t store_failed_us; /* last time such a read failed; 0: never */
     char peer_address[64];
 };
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -67,7 +67,7 @@
 {
     GwFeed *feed = owner;
 
-    feed->peer_full = GwEdge_Now() - feed->fresh_us > STALE_US;
+    feed->peer_full = GwEdge_Now() - feed->updated_us > STALE_US;
     request_rows(feed);
 }
 
@@ -83,7 +83,7 @@
                     "took_ms=%" PRId64,
                     set->rows->len, set->version,
                     feed->peer_is_store ? "store" : "peer", feed->peer_address,
-                    (GwEdge_Now() - feed->peer_asked_us) / 1000);
+                    (GwEdge_Now() - feed->peer_sent_us) / 1000);
     }
 }
 
@@ -100,7 +100,7 @@
     else {
         GwRowCache_Apply(feed->cache, now_us, set);
     }
-    feed->fresh_us = now_us;
+    feed->updated_us = now_us;
     feed->known = true;
 }
 
@@ -139,7 +139,7 @@
         apply_rows(feed, set);
         GwRowSet_Free(set);
         GwPeers_ExpediteDomain(feed->edge->peers);
-        GwEdge_Carry(feed->edge);
+        GwEdge_RunActions(feed->edge);
     }
 }
 
@@ -171,14 +171,14 @@
         .head_max = 64 << 10,
         .body_max = GW_ROWS_MAX_BYTES,
     };
-    feed->peer_asked_us = GwEdge_Now();
+    feed->peer_sent_us = GwEdge_Now();
     feed->peer_is_store = is_store;
     g_strlcpy(feed->peer_address, address, sizeof(feed->peer_address));
     feed->peer = GwConn_Connect(&params, address);
 }
 
 void
-GwFeed_AskPeer(GwFeed *feed, const char *address, uint64_t version)
+GwFeed_ReadFromPeer(GwFeed *feed, const char *address, uint64_t version)
 {
     if (feed->peer == NULL && version > GwFeed_Version(feed)) {
         fetch_once(feed, address, false);
@@ -186,7 +186,7 @@
 }
 
 void
-GwFeed_AskStore(GwFeed *feed, uint64_t version)
+GwFeed_ReadFromStore(GwFeed *feed, uint64_t version)
 {
     if (feed->peer == NULL && version > GwFeed_Version(feed)) {
         fetch_once(feed, feed->edge->settings->store_address, true);
@@ -194,7 +194,7 @@
 }
 
 bool
-GwFeed_MayAskStore(const GwFeed *feed)
+GwFeed_MayReadFromStore(const GwFeed *feed)
 {
     return !feed->reads &&
            (feed->store_failed_us == 0 ||
@@ -217,7 +217,7 @@
 }
 
 GByteArray *
-GwFeed_Answer(const GwFeed *feed, const GwRowsAsk *ask, uint16_t *status)
+GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsAsk *ask, uint16_t *status)
 {
     uint64_t after = ask->after;
 
@@ -243,10 +243,10 @@
 is_timed_out(const GwFeed *feed, int64_t now_us)
 {
     int64_t received_us =
-        MAX(feed->peer_asked_us, GwConn_LastHeard(feed->peer));
+        MAX(feed->peer_sent_us, GwConn_LastHeard(feed->peer));
 
     return now_us - received_us > PEER_ANSWER_MS * 1000 ||
-           now_us - feed->peer_asked_us > PEER_TRANSFER_MS * 1000;
+           now_us - feed->peer_sent_us > PEER_TRANSFER_MS * 1000;
 }
 
 void
--- a/lib/edge/fetch.c
+++ b/lib/edge/fetch.c
@@ -19,7 +19,7 @@
                              ? GwEntryRank_IsBefore(&own_rank, &provider_rank)
                              : GW_FETCH_OUTSIDE,
         .waited_us = GwEdge_Now() - peers->awaits_rows_since_us,
-        .is_bootstrapping = !GwFeed_IsKnown(peers->edge->server_feed),
+        .is_bootstrapping = !GwFeed_IsLoaded(peers->edge->server_feed),
     };
     GwPeerScan scan = GwPeers_Scan(peers, NULL, own->domain);
     const GwPeerEntry *peer;
@@ -54,7 +54,7 @@
     };
 
     return GwFetchCopy_IsLarge(&copy) &&
-           GwFeed_MayAskStore(peers->edge->operator_feed);
+           GwFeed_MayReadFromStore(peers->edge->operator_feed);
 }
 
 void
@@ -66,7 +66,7 @@
         return;
     }
     if (reads_from_store(peers, peer)) {
-        GwFeed_AskStore(edge->operator_feed, peer->operator_version);
+        GwFeed_ReadFromStore(edge->operator_feed, peer->operator_version);
     }
     if (!peers->awaits_rows) {
         peers->awaits_rows = true;
@@ -79,10 +79,10 @@
         return;
     }
     peers->awaits_rows = false;
-    GwFeed_AskPeer(edge->operator_feed, peer->peer_address,
-                   peer->operator_version);
-    GwFeed_AskPeer(edge->server_feed, peer->peer_address,
-                   peer->server_version);
+    GwFeed_ReadFromPeer(edge->operator_feed, peer->peer_address,
+                        peer->operator_version);
+    GwFeed_ReadFromPeer(edge->server_feed, peer->peer_address,
+                        peer->server_version);
 }
 
 void
--- a/lib/edge/readers.c
+++ b/lib/edge/readers.c
@@ -142,7 +142,7 @@
     bool reads = is_region_first ||
                  other_readers < (is_settling ? 1 : OTHER_READERS_MIN);
 
-    if (!edge->leaving && !GwEdge_IsReady(edge)) {
+    if (!edge->is_stopping && !GwEdge_IsReady(edge)) {
         reads = reads_at_start(peers, now_us);
     }
     GwFeed_SetReads(edge->operator_feed, reads);
--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -194,7 +194,8 @@
     for (size_t i = 0; i < report->n_known; i++) {
         (void)GwPeers_Add(peers, report->known[i]);
     }
-    GwFeed_NotePeer(edge->server_feed, GwEdge_Now(), report->store_was_away);
+    GwFeed_NotePeerReport(edge->server_feed, GwEdge_Now(),
+                          report->store_was_away);
     if (report->is_new) {
         GwPeers_MakeBacklog(peers, peer);
     }
@@ -242,7 +243,7 @@
     if (report != NULL) {
         handle_report(peers, address, report);
         gw__peer__report__free_unpacked(report, NULL);
-        GwEdge_Carry(peers->edge);
+        GwEdge_RunActions(peers->edge);
     }
 }
 
--- a/lib/edge/router_rows.c
+++ b/lib/edge/router_rows.c
@@ -55,7 +55,7 @@
 #define WARM_SOONER_MS 2000
 
 static bool
-is_same_server(const GwRegistered *a, const GwRegistered *b)
+is_same_server(const GwServerRegistration *a, const GwServerRegistration *b)
 {
     return a->born_ms == b->born_ms && a->slots == b->slots &&
            a->draining == b->draining && strcmp(a->service, b->service) == 0 &&
@@ -68,8 +68,8 @@
                       int64_t age_us, const char *value)
 {
     const GwAdapter *adapter = ((GwEdge *)ctx)->adapter;
-    GwRegistered old_server;
-    GwRegistered new_server;
+    GwServerRegistration old_server;
+    GwServerRegistration new_server;
 
     if (!adapter->read_server(key, old, &old_server, NULL) ||
         !adapter->read_server(key, value, &new_server, NULL) ||
@@ -85,7 +85,7 @@
 GwRouterRows_OnServerRow(void *ctx, const GwStoreRow *row)
 {
     GwEdge *edge = ctx;
-    GwRegistered server;
+    GwServerRegistration server;
     const char *region = NULL;
     int64_t now_us = GwEdge_Now();
 
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -357,7 +357,7 @@
     else {
         finish_probe(link);
     }
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
 }
 
 /* ---- Receiving answers --------------------------------------------------- */
@@ -397,7 +397,7 @@
 {
     const GwServerLink *link = owner;
 
-    GwEdge_Carry(link->edge);
+    GwEdge_RunActions(link->edge);
 }
 
 static void
@@ -410,7 +410,7 @@
     if (x == NULL) {
         GwHttpMessage_Free(msg);
         close_link(link); /* unsolicited answer */
-        GwEdge_Carry(edge);
+        GwEdge_RunActions(edge);
         return;
     }
     if (msg->status < 200) {
@@ -428,7 +428,7 @@
     bool kept = return_answered(link, msg);
     report_attempt(x, &end);
     if (!kept) {
-        GwEdge_Carry(edge);
+        GwEdge_RunActions(edge);
     }
 }
 
@@ -456,7 +456,7 @@
         end.closed = sent && how != GW_CONN_BAD;
         report_attempt(x, &end);
     }
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
 }
 
 static bool
--- a/lib/edge/status.c
+++ b/lib/edge/status.c
@@ -52,7 +52,7 @@
         "gw_table_read_here{table=\"%s\"} %d\n"
         "gw_table_store_was_away{table=\"%s\"} %d\n",
         table, GwFeed_Version(feed), table, GwFeed_AgeMs(feed, now_us), table,
-        GwFeed_IsHealthy(feed), table, GwFeed_WasAway(feed, now_us));
+        GwFeed_IsHealthy(feed), table, GwFeed_HadOutage(feed, now_us));
 }
 
 static void
@@ -162,7 +162,7 @@
 static const char *
 state_name(const GwEdge *edge)
 {
-    if (edge->leaving) {
+    if (edge->is_stopping) {
         return "leaving";
     }
     return GwEdge_IsReady(edge) ? "ready" : "not-ready";
@@ -191,7 +191,7 @@
                   (uint64_t)GwFeed_AgeMs(servers, now_us));
     GwJson_SetU64(root, "loads_ms_ago", (uint64_t)peers.loads_age_ms);
     GwJson_SetBool(root, "reads_store", GwFeed_IsHealthy(servers));
-    GwJson_SetBool(root, "store_was_away", GwFeed_WasAway(servers, now_us));
+    GwJson_SetBool(root, "store_was_away", GwFeed_HadOutage(servers, now_us));
     json_object_object_add(root, "members", GwPeers_Members(edge->peers));
     g_string_append(
         out, json_object_to_json_string_ext(root, JSON_C_TO_STRING_PLAIN));
--- a/lib/edge/stop.c
+++ b/lib/edge/stop.c
@@ -63,7 +63,7 @@
     stop_listening(edge, now_us);
     GwServerLink_AbortConnecting(edge);
     GwRouter_Stop(edge->router, now_us, now_us, edge->actions);
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
     if (edge->end_polls < END_POLLS) {
         edge->end_polls++;
         (void)uv_timer_start(timer, on_grace_end, GW_AFTER_POLL_MS, 0);
@@ -77,14 +77,14 @@
 {
     int64_t signalled_us = GwStopSignal_At();
 
-    if (edge->leaving || signalled_us == 0) {
+    if (edge->is_stopping || signalled_us == 0) {
         return;
     }
     int64_t now_us = GwEdge_Now();
     double grace_us = edge->settings->grace_ms * 1000.0;
     int64_t end_us = signalled_us + (int64_t)(grace_us * END_PART);
     edge->accept_until_us = signalled_us + (int64_t)(grace_us * LISTEN_PART);
-    edge->leaving = true;
+    edge->is_stopping = true;
     edge->stop_signal_us = signalled_us;
     GwLog_Event(GW_LOG_STOP_BEGIN, "open=%u noticed_ms=%" PRId64,
                 GwRouter_OpenCount(edge->router),
@@ -103,7 +103,7 @@
     GwEdge *edge = owner;
 
     GwEdge_CheckStopSignal(edge);
-    GwEdge_Carry(edge);
+    GwEdge_RunActions(edge);
 }
 
 /* Advances the stop, and ends the loop early once no caller is connected.
--- a/tests/fakes/edge_entry.c
+++ b/tests/fakes/edge_entry.c
@@ -82,7 +82,7 @@
     info.address = address;
     GwRouter_PutServer(entry.edge->router, GwEdge_Now(), &info,
                        entry.edge->actions);
-    GwEdge_Carry(entry.edge);
+    GwEdge_RunActions(entry.edge);
     return entry;
 }
 
--- a/tests/fakes/edge_host.c
+++ b/tests/fakes/edge_host.c
@@ -87,7 +87,7 @@
 
     info.address = s->address;
     GwRouter_PutServer(h->edge->router, GwEdge_Now(), &info, h->edge->actions);
-    GwEdge_Carry(h->edge);
+    GwEdge_RunActions(h->edge);
 }
 
 void
--- a/tests/unit/test_edge_callers.c
+++ b/tests/unit/test_edge_callers.c
@@ -107,7 +107,7 @@
 sweep_after(EdgeEntry *entry, int64_t ms)
 {
     GwCallers_Sweep(entry->edge, GwEdge_Now() + ms * 1000);
-    GwEdge_Carry(entry->edge);
+    GwEdge_RunActions(entry->edge);
 }
 
 /* Gets a request answered and makes the entry note the arrival of the
