--- a/bench/decision_cost.c
+++ b/bench/decision_cost.c
@@ -50,7 +50,8 @@
 decide(GwNode *node, int64_t now_us, uint32_t rounds, uint32_t *picked)
 {
     GwAttemptEvent end = {.outcome = GW_OUTCOME_ANSWERED};
-    GwPickAsk ask = {.idempotent = true, .deadline_us = now_us + 2 * FAKE_SEC};
+    GwPickRequest ask = {.idempotent = true,
+                         .deadline_us = now_us + 2 * FAKE_SEC};
 
     for (uint32_t i = 0; i < rounds; i++) {
         GwPick pick;
--- a/lib/entry/calls_start.c
+++ b/lib/entry/calls_start.c
@@ -190,13 +190,13 @@
 static void
 pick_for(const GwCallsEnv *env, const GwCall *call, GwPick *pick)
 {
-    GwPickAsk ask = {.service = call->service,
-                     .idempotent = call->idempotent,
-                     .relayed = call->relayed && !call->to_owner,
-                     .grant = call->grant,
-                     .relay_from = call->relay_from,
-                     .deadline_us = call->deadline_us,
-                     .avoid_backend = call->last_backend};
+    GwPickRequest ask = {.service = call->service,
+                         .idempotent = call->idempotent,
+                         .relayed = call->relayed && !call->to_owner,
+                         .grant = call->grant,
+                         .relay_from = call->relay_from,
+                         .deadline_us = call->deadline_us,
+                         .avoid_backend = call->last_backend};
 
     memset(pick, 0, sizeof(*pick));
     GwSteer_Pick(env->steer, env->now_us, &ask, env->members, env->seats,
--- a/lib/entry/node.c
+++ b/lib/entry/node.c
@@ -74,8 +74,8 @@
 {
     GwCargo c = {0};
     c.config_version = n->config == NULL ? 0 : n->config->version;
-    GwSteer_Cargo(n->steer, now_us, n->params.id, n->seats,
-                  GwCalls_Queued(n->calls), &c);
+    GwSteer_FillHeartbeat(n->steer, now_us, n->params.id, n->seats,
+                          GwCalls_Queued(n->calls), &c);
     return c;
 }
 
@@ -105,8 +105,8 @@
 static void
 borrow(GwNode *n, int64_t now_us, GwActions *out)
 {
-    GwSteer_Borrow(n->steer, now_us, n->members, n->seats,
-                   GwCalls_Queued(n->calls), out);
+    GwSteer_RequestSlots(n->steer, now_us, n->members, n->seats,
+                         GwCalls_Queued(n->calls), out);
 }
 
 static void
@@ -127,7 +127,7 @@
 static void
 check_stopped(GwNode *n, int64_t now_us, GwActions *out)
 {
-    bool idle = GwSteer_Leave(n->steer, now_us, n->members, out);
+    bool idle = GwSteer_ReturnAll(n->steer, now_us, n->members, out);
     int64_t since_ms = (now_us - n->leave_at_us) / 1000;
     bool handed = idle && GwSeats_HeldCount(n->seats) == 0;
 
@@ -192,8 +192,8 @@
 
     bool changed = GwMembers_Receive(n->members, now_us, msg, &c, out);
     for (uint32_t i = 0; i < beat->drain_count; i++) {
-        GwSteer_DrainHint(n->steer, now_us, beat->drains[i].backend,
-                          beat->drains[i].ttl_ms);
+        GwSteer_ApplyDrainHint(n->steer, now_us, beat->drains[i].backend,
+                               beat->drains[i].ttl_ms);
     }
     GwSync_Heard(n->sync, now_us, msg->from, address_of(n, msg->from),
                  beat->config_version, out);
@@ -252,7 +252,7 @@
     n->leave_at_us = now_us;
     GwCargo c = cargo(n, now_us);
     GwMembers_Leave(n->members, now_us, &c, out);
-    GwSeats_Leave(n->seats, now_us);
+    GwSeats_HandOverAll(n->seats, now_us);
     GwCallsEnv env = calls_env(n, now_us, out);
     GwCalls_Leave(n->calls, &env);
     GwActions_Log(out, GW_LOG_STOP_BEGIN, "open_calls=%u",
@@ -302,7 +302,7 @@
         GwCalls_Attempt(n->calls, &env, &event->u.attempt);
         break;
     case GW_EVENT_HEALTH:
-        GwSteer_Health(n->steer, now_us, &event->u.health);
+        GwSteer_ApplyHealth(n->steer, now_us, &event->u.health);
         break;
     case GW_EVENT_TABLE:
         on_table(n, now_us, event->u.table, out);
--- a/lib/entry/node_dump.c
+++ b/lib/entry/node_dump.c
@@ -55,7 +55,7 @@
     uint32_t total = GW_SEATS_MAX;
 
     for (uint32_t i = 0; i < total; i++) {
-        if (GwSeats_Usable(n->seats, i)) {
+        if (GwSeats_IsUsable(n->seats, i)) {
             json_object_array_add(usable, json_object_new_int((int)i));
         }
     }
--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -18,7 +18,7 @@
 /* Records the earliest deadline among the waiting calls, as of the last
  * pass over the queue. A loan that ends before it cannot be used. */
 void
-GwService_NoteWait(GwServiceState *service, const GwPickAsk *request,
+GwService_NoteWait(GwServiceState *service, const GwPickRequest *request,
                    const GwPick *out)
 {
     if (out->kind != GW_PICK_WAIT) {
--- a/lib/steer/choose.c
+++ b/lib/steer/choose.c
@@ -59,7 +59,7 @@
  * that has recovered is found before its ejections end. */
 static bool
 is_panic(const GwSteer *s, int64_t now_us, GwServiceState *service,
-         const GwPickAsk *request)
+         const GwPickRequest *request)
 {
     if (!mostly_ejected(service, now_us)) {
         return false;
@@ -112,7 +112,7 @@
 
 static uint32_t
 collect_candidates(GwSteer *s, int64_t now_us, GwServiceState *service,
-                   const GwPickAsk *request, bool panic, bool avoid)
+                   const GwPickRequest *request, bool panic, bool avoid)
 {
     uint32_t count = 0;
 
@@ -174,7 +174,7 @@
  * attempt is used only when no other has capacity. */
 GwBackendState *
 GwSteer_ChooseBackend(GwSteer *s, int64_t now_us, GwServiceState *service,
-                      const GwPickAsk *request)
+                      const GwPickRequest *request)
 {
     bool panic = is_panic(s, now_us, service, request);
     uint32_t count = collect_candidates(s, now_us, service, request, panic,
--- a/lib/steer/grants.c
+++ b/lib/steer/grants.c
@@ -179,7 +179,8 @@
  * have a unit left. The source enforces the same; this check also holds if
  * it does not. */
 bool
-GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us, const GwPickAsk *request)
+GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us,
+                    const GwPickRequest *request)
 {
     const GwLent *lent = GwSteer_FindLent(s, request->grant);
     const GwServiceState *service = s->by_index[request->service];
@@ -300,7 +301,7 @@
  * well. */
 bool
 GwSteer_PickPeer(GwSteer *s, int64_t now_us, GwServiceState *service,
-                 const GwPickAsk *request, const GwMembers *members,
+                 const GwPickRequest *request, const GwMembers *members,
                  GwPick *out)
 {
     uint32_t n = s->borrowed->len;
--- a/lib/steer/seats.c
+++ b/lib/steer/seats.c
@@ -265,7 +265,7 @@
 }
 
 bool
-GwSeats_Usable(const GwSeats *s, uint32_t seat)
+GwSeats_IsUsable(const GwSeats *s, uint32_t seat)
 {
     return seat < s->total && !s->fenced &&
            s->seats[seat].state == GW_SEAT_HELD && !s->seats[seat].contested;
@@ -279,7 +279,7 @@
 
 /* Starts the handover of every seat; no new ones are claimed. */
 void
-GwSeats_Leave(GwSeats *s, int64_t now_us)
+GwSeats_HandOverAll(GwSeats *s, int64_t now_us)
 {
     s->leaving = true;
     for (uint32_t i = 0; i < s->max_total; i++) {
--- a/lib/steer/seats.h
+++ b/lib/steer/seats.h
@@ -31,8 +31,8 @@
 /* True while this process may use the units of `seat`: it holds the row, is
  * not handing it over, no reclaim notice is open, and the process is not
  * fenced. */
-bool GwSeats_Usable(const GwSeats *s, uint32_t seat);
-/* True while `seat` is being handed over: GwSeats_Usable() is already
+bool GwSeats_IsUsable(const GwSeats *s, uint32_t seat);
+/* True while `seat` is being handed over: GwSeats_IsUsable() is already
  * false, and the caller calls GwSeats_Release() once no unit of the seat is
  * in use or on loan. */
 bool GwSeats_IsParting(const GwSeats *s, uint32_t seat);
@@ -40,7 +40,7 @@
                      const GwMembers *members, GwActions *out);
 /* Starts the handover of every seat; it is complete when
  * GwSeats_HeldCount() returns 0. */
-void GwSeats_Leave(GwSeats *s, int64_t now_us);
+void GwSeats_HandOverAll(GwSeats *s, int64_t now_us);
 uint32_t GwSeats_HeldCount(const GwSeats *s);
 /* A counter that increases whenever the set of usable seats may have
  * changed: by a fence, its end, or a change of holder. */
--- a/lib/steer/steer.c
+++ b/lib/steer/steer.c
@@ -91,7 +91,7 @@
 sync_units(const GwSeats *seats, GwSlot *units, uint32_t cap, uint32_t count)
 {
     for (uint32_t i = 0; i < count; i++) {
-        units[i].is_own = i < cap && GwSeats_Usable(seats, units[i].seat);
+        units[i].is_own = i < cap && GwSeats_IsUsable(seats, units[i].seat);
     }
 }
 
@@ -291,8 +291,8 @@
 }
 
 void
-GwSteer_Borrow(GwSteer *s, int64_t now_us, const GwMembers *members,
-               GwSeats *seats, const uint32_t *queued, GwActions *out)
+GwSteer_RequestSlots(GwSteer *s, int64_t now_us, const GwMembers *members,
+                     GwSeats *seats, const uint32_t *queued, GwActions *out)
 {
     if (s->config == NULL || s->region == GW_NONE) {
         return;
@@ -338,7 +338,7 @@
 
 static void
 start_local(GwSteer *s, int64_t now_us, GwServiceState *service,
-            GwBackendState *b, const GwPickAsk *request, GwPick *out)
+            GwBackendState *b, const GwPickRequest *request, GwPick *out)
 {
     GwUse *use = GwSteer_BeginUse(s, now_us, service, &out->use);
 
@@ -364,7 +364,7 @@
  * refuses with the reason. */
 static void
 wait_or_refuse(const GwSteer *s, int64_t now_us, const GwServiceState *service,
-               const GwPickAsk *request, GwPick *out)
+               const GwPickRequest *request, GwPick *out)
 {
     if (!request->relayed && GwSteer_HasShift(s, request->service)) {
         return;
@@ -384,7 +384,7 @@
  * refused: a second relay could form a loop while its unit is counted
  * twice. */
 void
-GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *request,
+GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickRequest *request,
              const GwMembers *members, GwSeats *seats, GwPick *out)
 {
     memset(out, 0, sizeof(*out));
@@ -478,7 +478,7 @@
  * endpoint counts as a failure only if the server has not answered a call
  * for GW_LOAD_FRESH_US. */
 void
-GwSteer_Health(GwSteer *s, int64_t now_us, const GwHealthEvent *health)
+GwSteer_ApplyHealth(GwSteer *s, int64_t now_us, const GwHealthEvent *health)
 {
     GwBackendState *b = GwSteer_FindBackend(s, health->backend);
 
@@ -505,8 +505,8 @@
 /* Applies a peer's drain hint. Hints are not forwarded, so that they
  * expire. */
 void
-GwSteer_DrainHint(GwSteer *s, int64_t now_us, uint64_t backend,
-                  uint32_t ttl_ms)
+GwSteer_ApplyDrainHint(GwSteer *s, int64_t now_us, uint64_t backend,
+                       uint32_t ttl_ms)
 {
     GwBackendState *b = GwSteer_FindBackend(s, backend);
 
@@ -538,8 +538,8 @@
 }
 
 void
-GwSteer_Cargo(const GwSteer *s, int64_t now_us, GwNodeId self, GwSeats *seats,
-              const uint32_t *queued, GwCargo *cargo)
+GwSteer_FillHeartbeat(const GwSteer *s, int64_t now_us, GwNodeId self,
+                      GwSeats *seats, const uint32_t *queued, GwCargo *cargo)
 {
     cargo->digest_count = 0;
     cargo->drain_count = 0;
@@ -568,8 +568,8 @@
 }
 
 bool
-GwSteer_Leave(GwSteer *s, int64_t now_us, const GwMembers *members,
-              GwActions *out)
+GwSteer_ReturnAll(GwSteer *s, int64_t now_us, const GwMembers *members,
+                  GwActions *out)
 {
     s->leaving = true;
     GwSteer_EndHeldUses(s, now_us);
--- a/lib/steer/steer.h
+++ b/lib/steer/steer.h
@@ -48,7 +48,7 @@
     GwNodeId relay_from;
     int64_t deadline_us;
     uint64_t avoid_backend; /* server of an earlier attempt; 0 none */
-} GwPickAsk;
+} GwPickRequest;
 
 GwSteer *GwSteer_Create(const GwNodeParams *params);
 void GwSteer_Free(GwSteer *s);
@@ -64,31 +64,34 @@
 bool GwSteer_Tick(GwSteer *s, int64_t now_us, const GwMembers *members,
                   GwSeats *seats, const uint32_t *queued, GwActions *out);
 /* Requests slots from peers for the waiting calls, between ticks. */
-void GwSteer_Borrow(GwSteer *s, int64_t now_us, const GwMembers *members,
-                    GwSeats *seats, const uint32_t *queued, GwActions *out);
+void GwSteer_RequestSlots(GwSteer *s, int64_t now_us, const GwMembers *members,
+                          GwSeats *seats, const uint32_t *queued,
+                          GwActions *out);
 /* Handles LOAN_ASK, LOAN_GIVE and LOAN_RETURN. Returns true when units
  * became free here. */
 bool GwSteer_Receive(GwSteer *s, int64_t now_us, const GwMessage *msg,
                      const GwMembers *members, GwSeats *seats,
                      const uint32_t *queued, GwActions *out);
 
-void GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickAsk *request,
+void GwSteer_Pick(GwSteer *s, int64_t now_us, const GwPickRequest *request,
                   const GwMembers *members, GwSeats *seats, GwPick *out);
 /* Reports the end of an attempt that GwSteer_Pick() returned.
  * `hold_until_us` is when the backend server has certainly stopped running
  * the call: the call's deadline after an UNKNOWN end, else now_us. */
 void GwSteer_Done(GwSteer *s, int64_t now_us, uint32_t use,
                   const GwAttemptEvent *end, int64_t hold_until_us);
-void GwSteer_Health(GwSteer *s, int64_t now_us, const GwHealthEvent *health);
-void GwSteer_DrainHint(GwSteer *s, int64_t now_us, uint64_t backend,
-                       uint32_t ttl_ms);
+void GwSteer_ApplyHealth(GwSteer *s, int64_t now_us,
+                         const GwHealthEvent *health);
+void GwSteer_ApplyDrainHint(GwSteer *s, int64_t now_us, uint64_t backend,
+                            uint32_t ttl_ms);
 
 /* Fills in the digests and drain hints of a heartbeat. */
-void GwSteer_Cargo(const GwSteer *s, int64_t now_us, GwNodeId self,
-                   GwSeats *seats, const uint32_t *queued, GwCargo *cargo);
+void GwSteer_FillHeartbeat(const GwSteer *s, int64_t now_us, GwNodeId self,
+                           GwSeats *seats, const uint32_t *queued,
+                           GwCargo *cargo);
 /* Returns all loans; true once nothing is in flight, lent or borrowed. */
-bool GwSteer_Leave(GwSteer *s, int64_t now_us, const GwMembers *members,
-                   GwActions *out);
+bool GwSteer_ReturnAll(GwSteer *s, int64_t now_us, const GwMembers *members,
+                       GwActions *out);
 /* False when the service has no place in this region, or the place or all
  * of its servers are draining. */
 bool GwSteer_CanServe(const GwSteer *s, int64_t now_us, uint32_t service);
--- a/lib/steer/steer_internal.h
+++ b/lib/steer/steer_internal.h
@@ -249,7 +249,7 @@
 /* choose.c */
 GwBackendState *GwSteer_ChooseBackend(GwSteer *s, int64_t now_us,
                                       GwServiceState *service,
-                                      const GwPickAsk *request);
+                                      const GwPickRequest *request);
 void GwSteer_SelectSubset(GwSteer *s, GwServiceState *service);
 bool GwService_AllDraining(const GwServiceState *service, int64_t now_us);
 bool GwService_HasSlots(const GwServiceState *service);
@@ -291,7 +291,7 @@
                         const uint32_t *queued, GwActions *out);
 bool GwSteer_IsPeer(const GwMembers *members, GwNodeId id,
                     uint32_t region_hash);
-void GwService_NoteWait(GwServiceState *service, const GwPickAsk *request,
+void GwService_NoteWait(GwServiceState *service, const GwPickRequest *request,
                         const GwPick *out);
 uint32_t GwSteer_CountFreeUnits(const GwServiceState *service, int64_t now_us);
 
@@ -304,9 +304,9 @@
 GwCapState *GwSteer_FindCap(const GPtrArray *caps, uint64_t owner);
 bool GwSteer_HasShift(const GwSteer *s, uint32_t service);
 bool GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us,
-                         const GwPickAsk *request);
+                         const GwPickRequest *request);
 bool GwSteer_PickPeer(GwSteer *s, int64_t now_us, GwServiceState *service,
-                      const GwPickAsk *request, const GwMembers *members,
+                      const GwPickRequest *request, const GwMembers *members,
                       GwPick *out);
 bool GwSteer_DrawShift(GwSteer *s, uint32_t service);
 void GwSteer_TickGrants(GwSteer *s, int64_t now_us, const GwMembers *members,
--- a/tests/property/calls.cpp
+++ b/tests/property/calls.cpp
@@ -88,7 +88,7 @@
 extern "C" {
 
 void
-GwSteer_Pick(GwSteer *, int64_t, const GwPickAsk *ask, const GwMembers *,
+GwSteer_Pick(GwSteer *, int64_t, const GwPickRequest *ask, const GwMembers *,
              GwSeats *, GwPick *out)
 {
     const GwConfig *config = world->configs[world->config];
--- a/tests/property/seats.cpp
+++ b/tests/property/seats.cpp
@@ -278,7 +278,7 @@
             }
             else if (!p.leaving && chance(plan_.churn_percent)) {
                 p.leaving = true;
-                GwSeats_Leave(p.seats, now_us_);
+                GwSeats_HandOverAll(p.seats, now_us_);
             }
             if (plan_.excluded == Excluded::kList && chance(10)) {
                 p.table_cut = !p.table_cut;
@@ -320,7 +320,7 @@
     {
         uint32_t count = 0;
         for (const auto &p : processes_) {
-            count += p.up && !p.paused && GwSeats_Usable(p.seats, seat);
+            count += p.up && !p.paused && GwSeats_IsUsable(p.seats, seat);
         }
         return count;
     }
--- a/tests/property/seats_explore.cpp
+++ b/tests/property/seats_explore.cpp
@@ -225,7 +225,7 @@
         for (int i = 0; i < 2; i++) {
             const auto *seats =
                 reinterpret_cast<const GwSeats *>(s.seats[i].data());
-            users += !s.paused[i] && GwSeats_Usable(seats, 0);
+            users += !s.paused[i] && GwSeats_IsUsable(seats, 0);
         }
         has_user_ = has_user_ || users > 0;
         if (users > 1) {
@@ -388,7 +388,7 @@
             }
             GwSeats_Tick(load(s, i), s.now_us, members_[i], &out_);
             if (i == 0 && stops) {
-                GwSeats_Leave(seats_[i], s.now_us);
+                GwSeats_HandOverAll(seats_[i], s.now_us);
                 s.leaving = true;
             }
             GwSeats_Release(seats_[i], s.now_us, 0, members_[i], &out_);
--- a/tests/property/steer_cases.cpp
+++ b/tests/property/steer_cases.cpp
@@ -58,7 +58,7 @@
     }
 
     GwPick
-    pick(const GwPickAsk &ask)
+    pick(const GwPickRequest &ask)
     {
         GwPick got{};
         GwSteer_Pick(steer, now_us, &ask, &members, &seats, &got);
@@ -68,7 +68,7 @@
     GwPick
     pick()
     {
-        GwPickAsk ask{};
+        GwPickRequest ask{};
         ask.deadline_us = now_us + GW_MS(1000);
         return pick(ask);
     }
@@ -152,7 +152,7 @@
 
     for (const auto &c : cases) {
         Entry e(TestConfig(c.slots, c.shift_cap, 0, c.drain, c.servers));
-        GwPickAsk ask{};
+        GwPickRequest ask{};
         ask.deadline_us = e.now_us + GW_MS(1000);
         ask.relayed = c.relayed;
         ask.grant = c.grant;
@@ -190,7 +190,7 @@
         for (uint32_t i = 0; i < c.failing * c.failures_each; i++) {
             GwHealthEvent h{};
             h.backend = 1000 + i % c.failing;
-            GwSteer_Health(e.steer, e.now_us, &h);
+            GwSteer_ApplyHealth(e.steer, e.now_us, &h);
         }
         bool seen = false;
         for (uint32_t i = 0; i < 12; i++) {
@@ -209,9 +209,9 @@
     Entry e(TestConfig(3, 0, 0, false, 2));
     GwCargo cargo{};
 
-    GwSteer_DrainHint(e.steer, e.now_us, 1000, 5000);
-    GwSteer_Cargo(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats, e.queued.data(),
-                  &cargo);
+    GwSteer_ApplyDrainHint(e.steer, e.now_us, 1000, 5000);
+    GwSteer_FillHeartbeat(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats,
+                          e.queued.data(), &cargo);
     expect(cargo.drain_count == 0, name, "a peer's hint is not forwarded");
     for (uint32_t i = 0; i < 3; i++) {
         expect(e.pick().backend == 1001, name, "no new calls");
@@ -223,9 +223,9 @@
     h.backend = 1001;
     h.reachable = true;
     h.draining = true;
-    GwSteer_Health(e.steer, e.now_us, &h);
-    GwSteer_Cargo(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats, e.queued.data(),
-                  &cargo);
+    GwSteer_ApplyHealth(e.steer, e.now_us, &h);
+    GwSteer_FillHeartbeat(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats,
+                          e.queued.data(), &cargo);
     expect(cargo.drain_count == 1 && cargo.drains[0].backend == 1001, name,
            "an own observation is forwarded");
 }
@@ -235,7 +235,7 @@
 {
     const char *name = "avoid_backend";
     Entry e(TestConfig(2, 0, 0, false, 2));
-    GwPickAsk ask{};
+    GwPickRequest ask{};
 
     ask.deadline_us = e.now_us + GW_MS(1000);
     ask.avoid_backend = 1000;
@@ -322,7 +322,7 @@
 {
     const char *name = "grants";
     Entry e(TestConfig(3, 1, 0, false, 2), "there");
-    GwPickAsk ask{};
+    GwPickRequest ask{};
 
     e.receive(ask_message(GwNodeId{3, 1}, GW_UNIT_SHIFT, 4));
     expect(e.sent(GW_MSG_LOAN_GIVE)->u.give.unit_count == 1, name, "cap");
@@ -378,7 +378,7 @@
     e.receive(GwMessage_Copy(give));
     expect(e.sent(GW_MSG_LOAN_RETURN) == nullptr, name,
            "a duplicate is ignored");
-    GwPickAsk pick{};
+    GwPickRequest pick{};
     pick.deadline_us = e.now_us + GW_MS(3800);
     expect(e.pick(pick).kind == GW_PICK_WAIT, name, "outlives the loan");
     expect(e.pick().backend == 1000, name, "runs on the loan");
@@ -400,7 +400,7 @@
 {
     const char *name = "short loans";
     Entry e(TestConfig(3, 0, 0, false, 2));
-    GwPickAsk pick{};
+    GwPickRequest pick{};
 
     e.holder.fill(2);
     e.seats.epoch++;
@@ -460,8 +460,8 @@
         back->u.giveback.units[0].index += c.index_off;
         e.receive(back);
         expect((e.pick().kind == GW_PICK_BACKEND) == c.freed, c.name, "freed");
-        expect(!GwSteer_Leave(e.steer, e.now_us, &e.members, &e.out), c.name,
-               "a loan is still out");
+        expect(!GwSteer_ReturnAll(e.steer, e.now_us, &e.members, &e.out),
+               c.name, "a loan is still out");
         e.tick(GW_MS(4301));
         expect(e.pick().kind == GW_PICK_BACKEND, c.name,
                "freed at its expiry");
--- a/tests/property/steer_fake.hpp
+++ b/tests/property/steer_fake.hpp
@@ -38,7 +38,7 @@
 extern "C" {
 
 bool
-GwSeats_Usable(const GwSeats *s, uint32_t seat)
+GwSeats_IsUsable(const GwSeats *s, uint32_t seat)
 {
     return (*s->holder)[seat] == s->node && !s->fenced && !s->parting[seat];
 }
--- a/tests/property/steer_units.cpp
+++ b/tests/property/steer_units.cpp
@@ -188,7 +188,7 @@
     }
 
     bool
-    pick(uint32_t i, const GwPickAsk &ask, const Relay *relay)
+    pick(uint32_t i, const GwPickRequest &ask, const Relay *relay)
     {
         Node &n = nodes[i];
         GwPick out{};
@@ -207,7 +207,7 @@
     }
 
     void
-    record_local(uint32_t i, const GwPickAsk &ask, const GwPick &out,
+    record_local(uint32_t i, const GwPickRequest &ask, const GwPick &out,
                  const Relay *relay)
     {
         const GwUse *use = GwSteer_FindUse(nodes[i].steer, out.use);
@@ -219,7 +219,7 @@
     }
 
     void
-    record_relay(uint32_t i, const GwPickAsk &ask, const GwPick &out)
+    record_relay(uint32_t i, const GwPickRequest &ask, const GwPick &out)
     {
         GwSteer *s = nodes[i].steer;
         const GwUse *use = GwSteer_FindUse(s, out.use);
@@ -243,7 +243,7 @@
     add_call(uint32_t i, int64_t deadline_us)
     {
         Node &n = nodes[i];
-        GwPickAsk ask{};
+        GwPickRequest ask{};
         ask.deadline_us = deadline_us;
         ask.idempotent = true;
         if (n.paused) {
@@ -475,7 +475,7 @@
             }
         }
         for (auto &r : due) {
-            GwPickAsk ask{};
+            GwPickRequest ask{};
             ask.relayed = true;
             ask.grant = r.grant;
             ask.relay_from = r.from_id;
@@ -520,7 +520,7 @@
         std::vector<int64_t> old;
         old.swap(nodes[i].waiting);
         for (int64_t deadline_us : old) {
-            GwPickAsk ask{};
+            GwPickRequest ask{};
             ask.deadline_us = deadline_us;
             if (deadline_us > now_us && !pick(i, ask, nullptr)) {
                 nodes[i].waiting.push_back(deadline_us);
@@ -532,8 +532,8 @@
     publish(uint32_t i)
     {
         GwCargo cargo{};
-        GwSteer_Cargo(nodes[i].steer, now_us, members.all[i].info.id,
-                      &nodes[i].seats, queued(i), &cargo);
+        GwSteer_FillHeartbeat(nodes[i].steer, now_us, members.all[i].info.id,
+                              &nodes[i].seats, queued(i), &cargo);
         std::vector<GwDigest> kept;
         for (auto &d : members.digests) {
             if (d.id.node != i + 1) {
--- a/tests/unit/test_seats.c
+++ b/tests/unit/test_seats.c
@@ -164,7 +164,7 @@
     uint32_t count = 0;
 
     for (uint32_t seat = 0; seat < SEATS; seat++) {
-        count += GwSeats_Usable(b->entries[i].seats, seat);
+        count += GwSeats_IsUsable(b->entries[i].seats, seat);
     }
     return count;
 }
@@ -277,7 +277,7 @@
         run_for(&b, 10 * SECOND);
         b.are_links_down = cases[i].are_links_down;
         set_view(&b, 1, GW_MEMBER_LEAVING, true);
-        GwSeats_Leave(b.entries[0].seats, b.now_us);
+        GwSeats_HandOverAll(b.entries[0].seats, b.now_us);
         run_for(&b, cases[i].given_us);
         cr_assert_eq(GwSeats_HeldCount(b.entries[0].seats), 0, "case %zu", i);
         run_for(&b, cases[i].used_us);
