--- a/lib/admin/apply.c
+++ b/lib/admin/apply.c
@@ -61,7 +61,7 @@
 }
 
 static void
-log_result(const GwRpc *rpc, const GwChangeAsk *ask,
+log_result(const GwRpc *rpc, const GwChangeRequest *ask,
            const GwChangeResult *result)
 {
     uint32_t event =
@@ -96,7 +96,7 @@
 
 /* Fills what is asked for; the returned text is the summary. */
 static char *
-read_what(const Gw__Admin__ApplyRequest *request, GwChangeAsk *ask)
+read_what(const Gw__Admin__ApplyRequest *request, GwChangeRequest *ask)
 {
     switch (request->what_case) {
     case GW__ADMIN__APPLY_REQUEST__WHAT_DOCUMENT:
@@ -122,7 +122,7 @@
  * change at all. */
 static bool
 read_ask(const GwRpc *rpc, const Gw__Admin__ApplyRequest *request,
-         GwChangeAsk *ask, char **summary, const char **fault)
+         GwChangeRequest *ask, char **summary, const char **fault)
 {
     if (!GwRequestId_IsValid(request->request_id)) {
         *fault = "request_id: must be 1 to 64 of A-Z a-z 0-9 . _ -";
@@ -193,7 +193,7 @@
     if (request == NULL) {
         return GW_RPC_BAD_BODY;
     }
-    GwChangeAsk ask = {0};
+    GwChangeRequest ask = {0};
     char *summary = NULL;
     const char *fault = "";
     if (read_ask(rpc, request, &ask, &summary, &fault)) {
--- a/lib/admin/edit.h
+++ b/lib/admin/edit.h
@@ -7,7 +7,7 @@
 #include "admin/admin.pb-c.h"
 #include "config/model.h"
 
-/* A GwChangeMake; ctx is a Gw__Admin__Batch. Comments of the text are lost. */
+/* A GwChangeEditFn; ctx is a Gw__Admin__Batch. Comments of the text are lost. */
 char *GwEdit_Make(void *ctx, const char *text, GError **error);
 /* One line for the log of changes; free with g_free. */
 char *GwEdit_Describe(const Gw__Admin__Batch *batch);
--- a/lib/config/change.c
+++ b/lib/config/change.c
@@ -86,7 +86,7 @@
 }
 
 static void
-init_change(GwChange *c, const GwChangeAsk *request)
+init_change(GwChange *c, const GwChangeRequest *request)
 {
     c->request = *request;
     c->tries_left = GW_CHANGE_LOST_MAX;
@@ -97,7 +97,7 @@
 /* Starts a change. A document that is invalid by itself is refused at once,
  * since no transaction can contain it. */
 GwChange *
-GwChange_Create(const GwChangeAsk *request)
+GwChange_Create(const GwChangeRequest *request)
 {
     GwChange *c = g_new0(GwChange, 1);
     init_change(c, request);
@@ -124,7 +124,7 @@
 GwChange *
 GwChange_CreateResolve(const char *request_id)
 {
-    GwChangeAsk request = {.kind = GW_CHANGE_DOCUMENT};
+    GwChangeRequest request = {.kind = GW_CHANGE_DOCUMENT};
     GwChange *c = g_new0(GwChange, 1);
     g_strlcpy(request.request_id, request_id, sizeof(request.request_id));
     init_change(c, &request);
--- a/lib/config/change.h
+++ b/lib/config/change.h
@@ -44,7 +44,7 @@
 /* Computes the new document from the one in force. Returns text to be freed
  * with g_free, or NULL with `error` set. Must be deterministic: a run that
  * meets a conflict calls it again. */
-typedef char *(*GwChangeMake)(void *ctx, const char *text, GError **error);
+typedef char *(*GwChangeEditFn)(void *ctx, const char *text, GError **error);
 
 typedef struct {
     char request_id[GW_REQUEST_ID_MAX];
@@ -56,10 +56,10 @@
     uint64_t base_version; /* the change applies to this version only */
     GwChangeKind kind;
     const char *document; /* DOCUMENT; borrowed */
-    GwChangeMake make;    /* EDIT */
+    GwChangeEditFn make;  /* EDIT */
     void *ctx;
     uint64_t rollback_version; /* ROLLBACK */
-} GwChangeAsk;
+} GwChangeRequest;
 
 typedef struct {
     GwChangeOutcome outcome;
@@ -72,7 +72,7 @@
 typedef struct GwChange_s GwChange;
 
 bool GwRequestId_IsValid(const char *id);
-GwChange *GwChange_Create(const GwChangeAsk *request);
+GwChange *GwChange_Create(const GwChangeRequest *request);
 /* Determines the outcome of a request id, and makes it a refusal if the id
  * was not used. */
 GwChange *GwChange_CreateResolve(const char *request_id);
--- a/lib/config/change_internal.h
+++ b/lib/config/change_internal.h
@@ -19,7 +19,7 @@
 } ChangeState;
 
 struct GwChange_s {
-    GwChangeAsk request;
+    GwChangeRequest request;
     ChangeState state;
     bool is_resolving; /* has no change; only settles the request id */
     bool is_refusing;  /* the reason is set; the void row must be written */
--- a/lib/config/checks.c
+++ b/lib/config/checks.c
@@ -5,7 +5,7 @@
 /* Rejects an operation with the method and path of an earlier one: the two
  * could disagree on whether a call may be repeated. */
 bool
-GwChecks_Operation(const GwService *service, const GwReadAt *at,
+GwChecks_Operation(const GwService *service, const GwReadContext *at,
                    GError **error)
 {
     uint32_t last = service->operation_count - 1;
@@ -23,10 +23,10 @@
 }
 
 /* Returns the position of a backend server in the document. */
-static GwReadAt
+static GwReadContext
 backend_at(const GwConfig *c, uint32_t i)
 {
-    GwReadAt at = {0};
+    GwReadContext at = {0};
     uint32_t place = c->backends[i].place;
     g_snprintf(at.path, sizeof(at.path), "places[%u].backends[%u]", place,
                i - c->places[place].first_backend);
@@ -39,7 +39,7 @@
               GHashTable *addresses, GError **error)
 {
     GwBackend *b = &c->backends[i];
-    const GwReadAt at = backend_at(c, i);
+    const GwReadContext at = backend_at(c, i);
     const GwBackend *same_id = g_hash_table_lookup(ids, &b->id);
     const GwBackend *same_address = g_hash_table_lookup(addresses, b->address);
     if (same_id != NULL) {
@@ -76,7 +76,8 @@
 
 /* Rejects a second region of one name. */
 bool
-GwChecks_Region(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+GwChecks_Region(GwConfig *c, uint32_t i, const GwReadContext *at,
+                GError **error)
 {
     const char *name = c->regions[i].name;
     uint32_t first = GwConfig_FindRegion(c, name);
@@ -87,7 +88,8 @@
 
 /* Rejects a second service of one name. */
 bool
-GwChecks_Service(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+GwChecks_Service(GwConfig *c, uint32_t i, const GwReadContext *at,
+                 GError **error)
 {
     const char *name = c->services[i].name;
     uint32_t first = GwConfig_FindService(c, name);
@@ -98,7 +100,8 @@
 
 /* Rejects a second place of one service in one region. */
 bool
-GwChecks_Place(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+GwChecks_Place(GwConfig *c, uint32_t i, const GwReadContext *at,
+               GError **error)
 {
     const GwPlace *place = &c->places[i];
     uint32_t first = GwConfig_FindPlace(c, place->service, place->region);
@@ -112,7 +115,8 @@
  * a shift to a region without a place of the service, and shifts of more
  * than 100 percent in total. */
 bool
-GwChecks_Shift(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+GwChecks_Shift(GwConfig *c, uint32_t i, const GwReadContext *at,
+               GError **error)
 {
     const GwShift *shift = &c->shifts[i];
     const char *to = c->regions[shift->to].name;
@@ -147,7 +151,7 @@
 
 /* Rejects a second limit of one link, and a link within a region. */
 bool
-GwChecks_Link(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+GwChecks_Link(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     const GwLink *link = &c->links[i];
     uint32_t first = GwConfig_FindLink(c, link->from, link->to);
--- a/lib/config/checks.h
+++ b/lib/config/checks.h
@@ -7,18 +7,18 @@
 
 #include "config/reader.h"
 
-bool GwChecks_Operation(const GwService *service, const GwReadAt *at,
+bool GwChecks_Operation(const GwService *service, const GwReadContext *at,
                         GError **error);
 bool GwChecks_Backends(const GwConfig *c, GError **error);
-bool GwChecks_Region(GwConfig *c, uint32_t i, const GwReadAt *at,
+bool GwChecks_Region(GwConfig *c, uint32_t i, const GwReadContext *at,
                      GError **error);
-bool GwChecks_Service(GwConfig *c, uint32_t i, const GwReadAt *at,
+bool GwChecks_Service(GwConfig *c, uint32_t i, const GwReadContext *at,
                       GError **error);
-bool GwChecks_Place(GwConfig *c, uint32_t i, const GwReadAt *at,
+bool GwChecks_Place(GwConfig *c, uint32_t i, const GwReadContext *at,
                     GError **error);
-bool GwChecks_Shift(GwConfig *c, uint32_t i, const GwReadAt *at,
+bool GwChecks_Shift(GwConfig *c, uint32_t i, const GwReadContext *at,
                     GError **error);
-bool GwChecks_Link(GwConfig *c, uint32_t i, const GwReadAt *at,
+bool GwChecks_Link(GwConfig *c, uint32_t i, const GwReadContext *at,
                    GError **error);
 
 #endif
--- a/lib/config/parse.c
+++ b/lib/config/parse.c
@@ -16,7 +16,7 @@
 #define WARMUP_MAX          65536
 
 static bool
-read_region(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+read_region(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     static const char *const keys[] = {"name", "seats", NULL};
     GwRegion *region = &c->regions[i];
@@ -29,7 +29,7 @@
 
 /* Reads the HTTP method of an operation: upper-case letters. */
 static bool
-read_method(const GwReadAt *at, GwOperation *op, GError **error)
+read_method(const GwReadContext *at, GwOperation *op, GError **error)
 {
     if (!GwRead_String(at, "method", sizeof(op->method), op->method, error)) {
         return false;
@@ -45,7 +45,7 @@
 
 /* Reads the path of an operation, which begins with '/' and may end in '*'. */
 static bool
-read_path(const GwReadAt *at, GwOperation *op, GError **error)
+read_path(const GwReadContext *at, GwOperation *op, GError **error)
 {
     if (!GwRead_String(at, "path", sizeof(op->path), op->path, error)) {
         return false;
@@ -60,7 +60,7 @@
 }
 
 static bool
-read_operation(GwService *service, uint32_t i, const GwReadAt *at,
+read_operation(GwService *service, uint32_t i, const GwReadContext *at,
                GError **error)
 {
     static const char *const keys[] = {"method", "path", "idempotent", NULL};
@@ -71,7 +71,7 @@
 }
 
 static bool
-read_operations(GwService *service, const GwReadAt *at, GError **error)
+read_operations(GwService *service, const GwReadContext *at, GError **error)
 {
     uint32_t count = 0;
     if (!GwRead_Array(
@@ -82,7 +82,7 @@
     }
     service->operations = g_new0(GwOperation, count);
     for (uint32_t i = 0; i < count; i++) {
-        GwReadAt item;
+        GwReadContext item;
         if (!GwRead_Item(at, "operations", i, &item, error) ||
             !read_operation(service, i, &item, error)) {
             return false;
@@ -97,7 +97,7 @@
 
 /* Reads the hedging percentile: 0 (off) or 50 to 99. */
 static bool
-read_hedge(GwService *service, const GwReadAt *at, GError **error)
+read_hedge(GwService *service, const GwReadContext *at, GError **error)
 {
     if (!GwRead_U32(at, "hedge_percentile",
                     &(GwReadBound){.max = 99, .optional = true},
@@ -111,7 +111,7 @@
 }
 
 static bool
-read_service(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+read_service(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     static const char *const keys[] = {"name", "deadline_max_ms",
                                        "hedge_percentile", "operations", NULL};
@@ -136,7 +136,7 @@
 }
 
 static bool
-read_backend(GwBackend *b, const GwReadAt *at, GError **error)
+read_backend(GwBackend *b, const GwReadContext *at, GError **error)
 {
     static const char *const keys[] = {"name",        "address", "slots",
                                        "connections", "drain",   NULL};
@@ -156,7 +156,7 @@
 
 /* Appends the backend servers of place `i` to the array of all. */
 static bool
-read_backends(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+read_backends(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     GwPlace *place = &c->places[i];
     uint32_t left = GW_MAX_BACKENDS - c->backend_count;
@@ -168,7 +168,7 @@
     place->first_backend = c->backend_count;
     for (uint32_t j = 0; j < count; j++) {
         GwBackend *b = &c->backends[c->backend_count];
-        GwReadAt item;
+        GwReadContext item;
         if (!GwRead_Item(at, "backends", j, &item, error) ||
             !read_backend(b, &item, error)) {
             return false;
@@ -183,7 +183,7 @@
 
 /* Reads a service name and resolves it to an index. */
 static bool
-read_service_ref(const GwConfig *c, const GwReadAt *at, uint32_t *out,
+read_service_ref(const GwConfig *c, const GwReadContext *at, uint32_t *out,
                  GError **error)
 {
     char name[GW_NAME_MAX];
@@ -198,7 +198,7 @@
 
 /* Reads a region name and resolves it to an index. */
 static bool
-read_region_ref(const GwConfig *c, const GwReadAt *at, const char *key,
+read_region_ref(const GwConfig *c, const GwReadContext *at, const char *key,
                 uint32_t *out, GError **error)
 {
     char name[GW_NAME_MAX];
@@ -211,7 +211,7 @@
 }
 
 static bool
-read_place(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+read_place(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     static const char *const keys[] = {"service", "region", "drain",
                                        "backends", NULL};
@@ -224,7 +224,7 @@
 }
 
 static bool
-read_shift(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+read_shift(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     static const char *const keys[] = {"service", "from",    "to",
                                        "cap",     "percent", NULL};
@@ -241,7 +241,7 @@
 }
 
 static bool
-read_link(GwConfig *c, uint32_t i, const GwReadAt *at, GError **error)
+read_link(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
     static const char *const keys[] = {"from", "to", "cap", NULL};
     GwLink *link = &c->links[i];
@@ -252,7 +252,7 @@
                       error);
 }
 
-typedef bool (*ReadFn)(GwConfig *c, uint32_t i, const GwReadAt *at,
+typedef bool (*ReadFn)(GwConfig *c, uint32_t i, const GwReadContext *at,
                        GError **error);
 
 /* One array of the document, with the functions that read an item and check
@@ -268,11 +268,11 @@
 } Section;
 
 static bool
-read_section(GwConfig *c, const Section *section, const GwReadAt *root,
+read_section(GwConfig *c, const Section *section, const GwReadContext *root,
              uint32_t total, GError **error)
 {
     for (uint32_t i = 0; i < total; i++) {
-        GwReadAt item;
+        GwReadContext item;
         *section->count = i + 1;
         if (!GwRead_Item(root, section->key, i, &item, error) ||
             !section->read(c, i, &item, error)) {
@@ -288,7 +288,7 @@
 /* Reads all arrays, those that define names before those that refer to
  * them. */
 static bool
-read_sections(GwConfig *c, const GwReadAt *root, GError **error)
+read_sections(GwConfig *c, const GwReadContext *root, GError **error)
 {
     const Section sections[] = {
         {"regions",
@@ -345,7 +345,7 @@
     static const char *const keys[] = {"warmup_step", "regions", "services",
                                        "places",      "shifts",  "links",
                                        NULL};
-    const GwReadAt root = {.object = object};
+    const GwReadContext root = {.object = object};
     c->warmup_step = WARMUP_DEFAULT;
     return GwRead_Keys(&root, keys, error) &&
            GwRead_U32(
--- a/lib/config/reader.c
+++ b/lib/config/reader.c
@@ -125,7 +125,7 @@
 
 /* Sets an error "path.key: message" and returns false. */
 bool
-GwRead_Fail(const GwReadAt *at, const char *key, GwResultCode code,
+GwRead_Fail(const GwReadContext *at, const char *key, GwResultCode code,
             GError **error, const char *format, ...)
 {
     va_list args;
@@ -142,7 +142,7 @@
 /* Rejects a key that is not in the NULL-terminated list: otherwise a
  * misspelt key would silently leave its default in force. */
 bool
-GwRead_Keys(const GwReadAt *at, const char *const *known, GError **error)
+GwRead_Keys(const GwReadContext *at, const char *const *known, GError **error)
 {
     json_object_object_foreach(at->object, key, value)
     {
@@ -162,7 +162,7 @@
 /* Finds a member of the given type. If it is absent, *out is NULL, which is
  * an error unless `optional`. */
 static bool
-find_typed(const GwReadAt *at, const char *key, enum json_type type,
+find_typed(const GwReadContext *at, const char *key, enum json_type type,
            bool optional, struct json_object **out, GError **error)
 {
     *out = NULL;
@@ -184,7 +184,7 @@
 
 /* Reads an integer within its bounds, both ends included. */
 bool
-GwRead_U32(const GwReadAt *at, const char *key, const GwReadBound *bound,
+GwRead_U32(const GwReadContext *at, const char *key, const GwReadBound *bound,
            uint32_t *out, GError **error)
 {
     struct json_object *value = NULL;
@@ -209,7 +209,8 @@
 
 /* Reads an optional boolean; if absent, *out is unchanged. */
 bool
-GwRead_Bool(const GwReadAt *at, const char *key, bool *out, GError **error)
+GwRead_Bool(const GwReadContext *at, const char *key, bool *out,
+            GError **error)
 {
     struct json_object *value = NULL;
     if (!find_typed(at, key, json_type_boolean, true, &value, error)) {
@@ -224,7 +225,7 @@
 /* Reads a required string of at most size - 1 bytes into `out`. An embedded
  * NUL escape is rejected: the rest would be silently dropped. */
 bool
-GwRead_String(const GwReadAt *at, const char *key, size_t size, char *out,
+GwRead_String(const GwReadContext *at, const char *key, size_t size, char *out,
               GError **error)
 {
     struct json_object *value = NULL;
@@ -266,7 +267,7 @@
 
 /* Reads a required name. */
 bool
-GwRead_Name(const GwReadAt *at, const char *key, char out[GW_NAME_MAX],
+GwRead_Name(const GwReadContext *at, const char *key, char out[GW_NAME_MAX],
             GError **error)
 {
     if (!GwRead_String(at, key, GW_NAME_MAX, out, error)) {
@@ -304,7 +305,7 @@
 
 /* Reads a required ip:port. */
 bool
-GwRead_Address(const GwReadAt *at, const char *key, char out[GW_ADDR_MAX],
+GwRead_Address(const GwReadContext *at, const char *key, char out[GW_ADDR_MAX],
                GError **error)
 {
     if (!GwRead_String(at, key, GW_ADDR_MAX, out, error)) {
@@ -317,8 +318,8 @@
 
 /* Reads the length of an array within its bounds; 0 if optional and absent. */
 bool
-GwRead_Array(const GwReadAt *at, const char *key, const GwReadBound *bound,
-             uint32_t *count, GError **error)
+GwRead_Array(const GwReadContext *at, const char *key,
+             const GwReadBound *bound, uint32_t *count, GError **error)
 {
     struct json_object *value = NULL;
     *count = 0;
@@ -344,8 +345,8 @@
 
 /* Sets `out` to item `i` of an array member; the item must be an object. */
 bool
-GwRead_Item(const GwReadAt *at, const char *key, uint32_t i, GwReadAt *out,
-            GError **error)
+GwRead_Item(const GwReadContext *at, const char *key, uint32_t i,
+            GwReadContext *out, GError **error)
 {
     struct json_object *array = json_object_object_get(at->object, key);
     out->object = json_object_array_get_idx(array, i);
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -29,7 +29,7 @@
 /* Reads a 64-bit number. Only 63 bits are allowed: JSON libraries handle no
  * more reliably. */
 static bool
-read_u64(const GwReadAt *at, const GwSettingRow *row, uint64_t *out,
+read_u64(const GwReadContext *at, const GwSettingRow *row, uint64_t *out,
          GError **error)
 {
     struct json_object *value = json_object_object_get(at->object, row->key);
@@ -47,7 +47,7 @@
 }
 
 static bool
-read_level(const GwReadAt *at, const GwSettingRow *row, char *out,
+read_level(const GwReadContext *at, const GwSettingRow *row, char *out,
            GError **error)
 {
     if (!GwRead_String(at, row->key, row->size, out, error)) {
@@ -60,7 +60,7 @@
 }
 
 static bool
-read_text(const GwReadAt *at, const GwSettingRow *row, char *out,
+read_text(const GwReadContext *at, const GwSettingRow *row, char *out,
           GError **error)
 {
     if (!GwRead_String(at, row->key, row->size, out, error)) {
@@ -73,7 +73,7 @@
 /* Reads one key of the table into its field. An absent key keeps its
  * default, or is an error if it has none. */
 static bool
-read_row(GwSettings *s, const GwReadAt *at, const GwSettingRow *row,
+read_row(GwSettings *s, const GwReadContext *at, const GwSettingRow *row,
          GError **error)
 {
     bool absent = !json_object_object_get_ex(at->object, row->key, NULL);
@@ -103,7 +103,7 @@
 
 /* Rejects keys that are neither in the table nor test_delays. */
 static bool
-check_keys(const GwReadAt *at, GError **error)
+check_keys(const GwReadContext *at, GError **error)
 {
     uint32_t count = 0;
     const GwSettingRow *rows = GwSettings_Rows(&count);
@@ -120,9 +120,9 @@
 /* Reads the test hook: a map of region names ("" for other failure domains
  * of the own region) to one-way delays in microseconds. */
 static bool
-read_delays(GwSettings *s, const GwReadAt *root, GError **error)
+read_delays(GwSettings *s, const GwReadContext *root, GError **error)
 {
-    GwReadAt at = {.path = DELAYS_KEY};
+    GwReadContext at = {.path = DELAYS_KEY};
     if (!json_object_object_get_ex(root->object, DELAYS_KEY, &at.object)) {
         return true;
     }
@@ -155,7 +155,7 @@
  * leave time to be used, and a paused holder must fence itself before its
  * seat can be claimed. */
 static bool
-check_related(const GwSettings *s, const GwReadAt *at, GError **error)
+check_related(const GwSettings *s, const GwReadContext *at, GError **error)
 {
     const GwNodeParams *p = &s->node;
     if (p->probe_timeout_ms >= p->probe_period_ms) {
@@ -190,7 +190,7 @@
 }
 
 static bool
-read_settings(GwSettings *s, const GwReadAt *root, GError **error)
+read_settings(GwSettings *s, const GwReadContext *root, GError **error)
 {
     uint32_t count = 0;
     const GwSettingRow *rows = GwSettings_Rows(&count);
@@ -216,7 +216,7 @@
 GwSettings *
 GwSettings_Parse(const char *text, size_t len, GError **error)
 {
-    GwReadAt root = {.object = GwRead_Text(text, len, error)};
+    GwReadContext root = {.object = GwRead_Text(text, len, error)};
     if (root.object == NULL) {
         return NULL;
     }
--- a/lib/config/sync.c
+++ b/lib/config/sync.c
@@ -158,7 +158,7 @@
     if (s->table.token == 0 && now_us >= s->next_poll_us) {
         GwSync_GetHead(s, now_us, out);
     }
-    s->has_served = s->has_served || GwSync_Ready(s, now_us);
+    s->has_served = s->has_served || GwSync_IsReady(s, now_us);
 }
 
 /* Returns whether this node may serve. A node that has just started must
@@ -172,7 +172,7 @@
  * entries together. After that it is cut off from the configuration that
  * the others follow, so it stops taking work. */
 bool
-GwSync_Ready(const GwSync *s, int64_t now_us)
+GwSync_IsReady(const GwSync *s, int64_t now_us)
 {
     bool settled =
         s->head_read || (s->first_peer_us != 0 &&
@@ -193,7 +193,7 @@
  * the node would send new work there until it learns of the change. So it
  * returns to the state after a start, and discards earlier requests. */
 void
-GwSync_Woke(GwSync *s, int64_t now_us)
+GwSync_Resume(GwSync *s, int64_t now_us)
 {
     s->head_read = false;
     s->has_served = false;
@@ -222,8 +222,8 @@
 /* Handles a heartbeat of `from` that names `version`; requests the document
  * if the version is higher. */
 void
-GwSync_Heard(GwSync *s, int64_t now_us, GwNodeId from, const char *address,
-             uint64_t version, GwActions *out)
+GwSync_NotePeerVersion(GwSync *s, int64_t now_us, GwNodeId from,
+                       const char *address, uint64_t version, GwActions *out)
 {
     if (from.node == s->params.id.node) {
         return;
--- a/lib/config/sync.h
+++ b/lib/config/sync.h
@@ -26,11 +26,12 @@
 void GwSync_Tick(GwSync *s, int64_t now_us, GwActions *out);
 /* Handles a pause of this process above the fence time: the node is not
  * ready until the table or peers have answered again. */
-void GwSync_Woke(GwSync *s, int64_t now_us);
+void GwSync_Resume(GwSync *s, int64_t now_us);
 /* Handles a heartbeat of `from` that names `version`; requests the document
  * if the version is higher. */
-void GwSync_Heard(GwSync *s, int64_t now_us, GwNodeId from,
-                  const char *address, uint64_t version, GwActions *out);
+void GwSync_NotePeerVersion(GwSync *s, int64_t now_us, GwNodeId from,
+                            const char *address, uint64_t version,
+                            GwActions *out);
 /* Handles CONFIG_ASK (answered with the document) and CONFIG_DOC. Returns
  * true if a new configuration is in force. */
 bool GwSync_Receive(GwSync *s, int64_t now_us, const GwMessage *msg,
@@ -40,6 +41,6 @@
 const GwConfig *GwSync_Config(const GwSync *s);
 /* Returns whether this node may serve: it holds the highest version named
  * since its start by the table or by any reachable peer. */
-bool GwSync_Ready(const GwSync *s, int64_t now_us);
+bool GwSync_IsReady(const GwSync *s, int64_t now_us);
 
 #endif
--- a/lib/edge/settings.c
+++ b/lib/edge/settings.c
@@ -22,7 +22,7 @@
 #define CPU_SHARE_MAX 1024.0
 
 static bool
-read_text(const GwReadAt *at, const char *key, char *out, size_t size,
+read_text(const GwReadContext *at, const char *key, char *out, size_t size,
           GError **error)
 {
     return GwRead_String(at, key, size, out, error);
@@ -31,7 +31,7 @@
 /* Replaces the ports of the seeds with the port at which entries reach each
  * other. */
 static bool
-override_seed_ports(const GwReadAt *at, GPtrArray *seeds, GError **error)
+override_seed_ports(const GwReadContext *at, GPtrArray *seeds, GError **error)
 {
     static const GwReadBound ports = {
         .min = 1, .max = 65535, .optional = true};
@@ -51,7 +51,7 @@
 
 /* Reads a duration with its unit; keeps `out` when the key is absent. */
 static bool
-read_duration(const GwReadAt *at, const char *key, uint32_t *out,
+read_duration(const GwReadContext *at, const char *key, uint32_t *out,
               GError **error)
 {
     struct json_object *member;
@@ -69,7 +69,7 @@
 }
 
 static bool
-read_number(const GwReadAt *at, const char *key, double max, double *out,
+read_number(const GwReadContext *at, const char *key, double max, double *out,
             GError **error)
 {
     struct json_object *member;
@@ -89,7 +89,7 @@
 }
 
 static bool
-read_regions(const GwReadAt *at, GHashTable *out, GError **error)
+read_regions(const GwReadContext *at, GHashTable *out, GError **error)
 {
     struct json_object *member;
 
@@ -112,7 +112,7 @@
 }
 
 static bool
-read_seeds(const GwReadAt *at, GPtrArray *out, GError **error)
+read_seeds(const GwReadContext *at, GPtrArray *out, GError **error)
 {
     struct json_object *member;
 
@@ -136,7 +136,7 @@
 }
 
 static bool
-read_optional_address(const GwReadAt *at, const char *key, char out[64],
+read_optional_address(const GwReadContext *at, const char *key, char out[64],
                       GError **error)
 {
     return !json_object_object_get_ex(at->object, key, NULL) ||
@@ -145,7 +145,7 @@
 
 /* Reads the capacity of the instance. */
 static bool
-read_capacity(const GwReadAt *at, GwEdgeSettings *s, GError **error)
+read_capacity(const GwReadContext *at, GwEdgeSettings *s, GError **error)
 {
     static const GwReadBound memory = {
         .min = 16, .max = 1 << 20, .optional = true};
@@ -166,7 +166,7 @@
 }
 
 static bool
-read_bounds(const GwReadAt *at, GwEdgeSettings *s, GError **error)
+read_bounds(const GwReadContext *at, GwEdgeSettings *s, GError **error)
 {
     static const GwReadBound extra = {.max = 1000000, .optional = true};
     static const GwReadBound entries = {
@@ -184,7 +184,7 @@
 }
 
 static bool
-read_log_level(const GwReadAt *at, GwEdgeSettings *s, GError **error)
+read_log_level(const GwReadContext *at, GwEdgeSettings *s, GError **error)
 {
     struct json_object *member;
 
@@ -203,7 +203,7 @@
 }
 
 static bool
-read_all(const GwReadAt *at, GwEdgeSettings *s, GError **error)
+read_all(const GwReadContext *at, GwEdgeSettings *s, GError **error)
 {
     static const char *const known[] = {
         "name",
@@ -287,7 +287,7 @@
         return NULL;
     }
     GwEdgeSettings *s = create_default();
-    GwReadAt at = {.object = root};
+    GwReadContext at = {.object = root};
     bool ok = read_all(&at, s, error);
     json_object_put(root);
     if (!ok) {
--- a/lib/entry/node.c
+++ b/lib/entry/node.c
@@ -64,15 +64,15 @@
                         .members = n->members,
                         .seats = n->seats,
                         .steer = n->steer,
-                        .ready = GwSync_Ready(n->sync, now_us),
+                        .ready = GwSync_IsReady(n->sync, now_us),
                         .leaving = n->leaving,
                         .out = out};
 }
 
-static GwCargo
-cargo(GwNode *n, int64_t now_us)
+static GwPiggyback
+piggyback(GwNode *n, int64_t now_us)
 {
-    GwCargo c = {0};
+    GwPiggyback c = {0};
     c.config_version = n->config == NULL ? 0 : n->config->version;
     GwSteer_FillHeartbeat(n->steer, now_us, n->params.id, n->seats,
                           GwCalls_Queued(n->calls), &c);
@@ -95,8 +95,8 @@
     GwSeats_Configure(n->seats, seats_of_region(n->config, n->params.region));
     GwSteer_Configure(n->steer, now_us, n->config);
     GwCalls_Configure(n->calls, now_us, n->config);
-    GwCargo c = cargo(n, now_us);
-    GwMembers_Hurry(n->members, now_us, HURRY_PEERS, &c, out);
+    GwPiggyback c = piggyback(n, now_us);
+    GwMembers_ProbeNow(n->members, now_us, HURRY_PEERS, &c, out);
     publish(n, now_us, out);
 }
 
@@ -148,13 +148,13 @@
 static void
 tick_members(GwNode *n, int64_t now_us, GwActions *out)
 {
-    static const GwCargo none = {0};
+    static const GwPiggyback none = {0};
 
     if (!GwMembers_IsDue(n->members, now_us)) {
         GwMembers_Tick(n->members, now_us, &none, out);
         return;
     }
-    GwCargo c = cargo(n, now_us);
+    GwPiggyback c = piggyback(n, now_us);
     GwMembers_Tick(n->members, now_us, &c, out);
 }
 
@@ -188,15 +188,16 @@
 on_heartbeat(GwNode *n, int64_t now_us, const GwMessage *msg, GwActions *out)
 {
     const GwHeartbeat *beat = &msg->u.heartbeat;
-    GwCargo c = cargo(n, now_us);
+    GwPiggyback c = piggyback(n, now_us);
 
     bool changed = GwMembers_Receive(n->members, now_us, msg, &c, out);
     for (uint32_t i = 0; i < beat->drain_count; i++) {
         GwSteer_ApplyDrainHint(n->steer, now_us, beat->drains[i].backend,
                                beat->drains[i].ttl_ms);
     }
-    GwSync_Heard(n->sync, now_us, msg->from, address_of(n, msg->from),
-                 beat->config_version, out);
+    GwSync_NotePeerVersion(n->sync, now_us, msg->from,
+                           address_of(n, msg->from), beat->config_version,
+                           out);
     if (changed) {
         publish(n, now_us, out);
     }
@@ -250,8 +251,8 @@
     }
     n->leaving = true;
     n->leave_at_us = now_us;
-    GwCargo c = cargo(n, now_us);
-    GwMembers_Leave(n->members, now_us, &c, out);
+    GwPiggyback c = piggyback(n, now_us);
+    GwMembers_AnnounceLeaving(n->members, now_us, &c, out);
     GwSeats_HandOverAll(n->seats, now_us);
     GwCallsEnv env = calls_env(n, now_us, out);
     GwCalls_Leave(n->calls, &env);
@@ -271,7 +272,7 @@
         int64_t gap_us = now_us - n->last_beat_us;
         if (n->last_beat_us != 0 &&
             gap_us > (int64_t)n->params.fence_ms * 1000) {
-            GwSync_Woke(n->sync, now_us);
+            GwSync_Resume(n->sync, now_us);
         }
 #endif
         n->last_beat_us = now_us;
@@ -308,7 +309,7 @@
         on_table(n, now_us, event->u.table, out);
         break;
     case GW_EVENT_LIST:
-        GwMembers_Listed(n->members, now_us, event->u.list, out);
+        GwMembers_ApplyList(n->members, now_us, event->u.list, out);
         break;
     case GW_EVENT_LEAVE:
         on_leave(n, now_us, out);
@@ -325,7 +326,7 @@
     if (n->leaving) {
         return GW_ERR(LEAVING);
     }
-    if (!GwSync_Ready(n->sync, now_us)) {
+    if (!GwSync_IsReady(n->sync, now_us)) {
         return GW_ERR(NOT_READY);
     }
     return GwCalls_Mint(n->calls, now_us, count, out);
--- a/lib/entry/node_dump.c
+++ b/lib/entry/node_dump.c
@@ -99,7 +99,8 @@
     GwJson_SetU64(top, "config_version",
                   n->config == NULL ? 0 : n->config->version);
     json_object_object_add(
-        top, "ready", json_object_new_boolean(GwSync_Ready(n->sync, now_us)));
+        top, "ready",
+        json_object_new_boolean(GwSync_IsReady(n->sync, now_us)));
     json_object_object_add(top, "leaving",
                            json_object_new_boolean(n->leaving));
     GwJson_SetU64(top, "open_calls", GwCalls_Open(n->calls));
--- a/lib/member/digests.c
+++ b/lib/member/digests.c
@@ -97,14 +97,15 @@
  * regions get fewer, since they send requests to only one or two of our
  * members. */
 void
-GwMembers_FillDigests(GwMembers *m, const GwRecord *to, const GwCargo *cargo,
-                      GwHeartbeat *hb)
+GwMembers_FillDigests(GwMembers *m, const GwRecord *to,
+                      const GwPiggyback *piggyback, GwHeartbeat *hb)
 {
     bool near = to != NULL && to->pub.info.region == m->self.region;
     uint32_t want = near ? 8 : 2;
 
-    for (uint32_t i = 0; i < cargo->digest_count && i < GW_DIGESTS_MAX; i++) {
-        hb->digests[hb->digest_count++] = cargo->digests[i];
+    for (uint32_t i = 0; i < piggyback->digest_count && i < GW_DIGESTS_MAX;
+         i++) {
+        hb->digests[hb->digest_count++] = piggyback->digests[i];
     }
     for (uint32_t i = 0; i < want && m->visible > 0; i++) {
         const GwRecord *r =
--- a/lib/member/gossip.c
+++ b/lib/member/gossip.c
@@ -229,7 +229,8 @@
  * the update must not be applied. */
 static bool
 accept_indirect_claim(GwMembers *m, int64_t now_us, GwRecord *r,
-                      GwMemberInfo *u, const GwCargo *cargo, GwActions *out)
+                      GwMemberInfo *u, const GwPiggyback *piggyback,
+                      GwActions *out)
 {
 #if GW_MUTANT == 42 /* breaks: an indirect claim overrides direct messages */
     return true;
@@ -239,7 +240,7 @@
         return true;
     }
     if (now_us - r->pub.heard_us < m->params.suspect_timeout_ms * 1000LL) {
-        GwMembers_SendClaim(m, now_us, r, u, cargo, out);
+        GwMembers_SendClaim(m, now_us, r, u, piggyback, out);
         return false;
     }
     if (r->gossip_state == GW_MEMBER_ALIVE ||
@@ -272,7 +273,8 @@
  * the table changed. */
 bool
 GwMembers_ApplyUpdate(GwMembers *m, int64_t now_us, const GwMemberInfo *update,
-                      bool direct, const GwCargo *cargo, GwActions *out)
+                      bool direct, const GwPiggyback *piggyback,
+                      GwActions *out)
 {
     GwMemberInfo u = *update;
     GwRecord *r = GwMembers_FindRecord(m, u.id.node);
@@ -295,13 +297,14 @@
 #endif
             return false;
         }
-        if (!direct && !accept_indirect_claim(m, now_us, r, &u, cargo, out)) {
+        if (!direct &&
+            !accept_indirect_claim(m, now_us, r, &u, piggyback, out)) {
             return false;
         }
         overwrite_record(m, now_us, r, &u, out);
     }
     if (u.state == GW_MEMBER_SUSPECT) {
-        GwMembers_Suspect(m, now_us, r, cargo, out);
+        GwMembers_Suspect(m, now_us, r, piggyback, out);
     }
     return true;
 }
--- a/lib/member/member.h
+++ b/lib/member/member.h
@@ -21,7 +21,7 @@
     GwDigest digests[GW_DIGESTS_MAX];
     uint32_t drain_count;
     GwDrainHint drains[GW_DRAINS_MAX];
-} GwCargo;
+} GwPiggyback;
 
 typedef struct {
     GwMemberInfo info;
@@ -35,23 +35,23 @@
 /* Returns false if a tick at `now_us` would send nothing, whatever data it
  * would carry. */
 bool GwMembers_IsDue(const GwMembers *m, int64_t now_us);
-void GwMembers_Tick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
+void GwMembers_Tick(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
                     GwActions *out);
 /* Handles PROBE, ACK and PING_REQ. Returns true if the table changed. */
 bool GwMembers_Receive(GwMembers *m, int64_t now_us, const GwMessage *msg,
-                       const GwCargo *cargo, GwActions *out);
+                       const GwPiggyback *piggyback, GwActions *out);
 /* Replaces the platform's list of instances: names and addresses to join
  * through. A "leaving" mark takes effect at once. */
-void GwMembers_Listed(GwMembers *m, int64_t now_us, const GwListEvent *list,
-                      GwActions *out);
+void GwMembers_ApplyList(GwMembers *m, int64_t now_us, const GwListEvent *list,
+                         GwActions *out);
 /* Announces that this node is leaving to its whole region and to some
  * members of other regions. */
-void GwMembers_Leave(GwMembers *m, int64_t now_us, const GwCargo *cargo,
-                     GwActions *out);
+void GwMembers_AnnounceLeaving(GwMembers *m, int64_t now_us,
+                               const GwPiggyback *piggyback, GwActions *out);
 /* Sends `count` probes to random members now, to spread a change such as a
  * new configuration version. */
-void GwMembers_Hurry(GwMembers *m, int64_t now_us, uint32_t count,
-                     const GwCargo *cargo, GwActions *out);
+void GwMembers_ProbeNow(GwMembers *m, int64_t now_us, uint32_t count,
+                        const GwPiggyback *piggyback, GwActions *out);
 
 /* Returns the number of members that are not dead, unconfirmed ones
  * included. */
--- a/lib/member/member_internal.h
+++ b/lib/member/member_internal.h
@@ -120,31 +120,31 @@
 void GwMembers_FillUpdates(GwMembers *m, const GwRecord *to, GwHeartbeat *hb);
 bool GwMembers_ApplyUpdate(GwMembers *m, int64_t now_us,
                            const GwMemberInfo *update, bool direct,
-                           const GwCargo *cargo, GwActions *out);
+                           const GwPiggyback *piggyback, GwActions *out);
 
 /* digests.c */
 void GwMembers_StoreDigest(GwMembers *m, int64_t now_us, const GwDigest *d);
 void GwMembers_FillDigests(GwMembers *m, const GwRecord *to,
-                           const GwCargo *cargo, GwHeartbeat *hb);
+                           const GwPiggyback *piggyback, GwHeartbeat *hb);
 
 /* probe.c */
 GwHeartbeat *GwMembers_Send(GwMembers *m, GwMessageKind kind,
                             const GwRecord *to, GwNodeId id,
-                            const char *address, const GwCargo *cargo,
+                            const char *address, const GwPiggyback *piggyback,
                             GwActions *out);
 void GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwRecord *r,
-                         const GwMemberInfo *claim, const GwCargo *cargo,
-                         GwActions *out);
+                         const GwMemberInfo *claim,
+                         const GwPiggyback *piggyback, GwActions *out);
 void GwMembers_Suspect(GwMembers *m, int64_t now_us, GwRecord *r,
-                       const GwCargo *cargo, GwActions *out);
+                       const GwPiggyback *piggyback, GwActions *out);
 void GwMembers_JoinRound(GwMembers *m, const GwRecord *r);
-void GwMembers_ProbeTick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
-                         GwActions *out);
+void GwMembers_ProbeTick(GwMembers *m, int64_t now_us,
+                         const GwPiggyback *piggyback, GwActions *out);
 void GwMembers_ReceiveAck(GwMembers *m, const GwMessage *msg,
-                          const GwCargo *cargo, GwActions *out);
+                          const GwPiggyback *piggyback, GwActions *out);
 void GwMembers_ReceivePingReq(GwMembers *m, const GwMessage *msg,
-                              const GwRecord *requester, const GwCargo *cargo,
-                              GwActions *out);
+                              const GwRecord *requester,
+                              const GwPiggyback *piggyback, GwActions *out);
 GwRecord *GwMembers_DrawLive(GwMembers *m);
 
 #endif
--- a/lib/member/members.c
+++ b/lib/member/members.c
@@ -56,10 +56,10 @@
 
 /* Runs the probes, suspicion time-outs and partition healing that are due. */
 void
-GwMembers_Tick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
+GwMembers_Tick(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
                GwActions *out)
 {
-    GwMembers_ProbeTick(m, now_us, cargo, out);
+    GwMembers_ProbeTick(m, now_us, piggyback, out);
 }
 
 /* Records a message received directly from a member, which proves that the
@@ -88,7 +88,7 @@
  * an earlier start or from an unknown node. */
 static GwRecord *
 resolve_sender(GwMembers *m, int64_t now_us, const GwMessage *msg,
-               const GwCargo *cargo, bool *changed, GwActions *out)
+               const GwPiggyback *piggyback, bool *changed, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
     GwRecord *r = GwMembers_FindRecord(m, msg->from.node);
@@ -100,7 +100,7 @@
     for (uint32_t i = 0; i < hb->update_count; i++) {
         if (GwNodeId_Equal(hb->updates[i].id, msg->from)) {
             *changed |= GwMembers_ApplyUpdate(m, now_us, &hb->updates[i], true,
-                                              cargo, out);
+                                              piggyback, out);
             break;
         }
     }
@@ -114,11 +114,11 @@
 /* Handles PROBE, ACK and PING_REQ. Returns true if the table changed. */
 bool
 GwMembers_Receive(GwMembers *m, int64_t now_us, const GwMessage *msg,
-                  const GwCargo *cargo, GwActions *out)
+                  const GwPiggyback *piggyback, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
     bool changed = false;
-    GwRecord *from = resolve_sender(m, now_us, msg, cargo, &changed, out);
+    GwRecord *from = resolve_sender(m, now_us, msg, piggyback, &changed, out);
 
     if (from == NULL) {
         return false;
@@ -127,7 +127,7 @@
     for (uint32_t i = 0; i < hb->update_count; i++) {
         if (hb->updates[i].id.node != msg->from.node) {
             changed |= GwMembers_ApplyUpdate(m, now_us, &hb->updates[i], false,
-                                             cargo, out);
+                                             piggyback, out);
         }
     }
     for (uint32_t i = 0; i < hb->digest_count; i++) {
@@ -140,14 +140,14 @@
     }
     if (msg->kind == GW_MSG_PROBE) {
         GwMembers_Send(m, GW_MSG_ACK, from, msg->from,
-                       from->pub.info.peer_address, cargo, out)
+                       from->pub.info.peer_address, piggyback, out)
             ->seq = hb->seq;
     }
     else if (msg->kind == GW_MSG_ACK) {
-        GwMembers_ReceiveAck(m, msg, cargo, out);
+        GwMembers_ReceiveAck(m, msg, piggyback, out);
     }
     else {
-        GwMembers_ReceivePingReq(m, msg, from, cargo, out);
+        GwMembers_ReceivePingReq(m, msg, from, piggyback, out);
     }
     return changed;
 }
@@ -170,8 +170,8 @@
 
 /* Replaces the platform's list of instances; see member.h. */
 void
-GwMembers_Listed(GwMembers *m, int64_t now_us, const GwListEvent *list,
-                 GwActions *out)
+GwMembers_ApplyList(GwMembers *m, int64_t now_us, const GwListEvent *list,
+                    GwActions *out)
 {
     bool first = m->list_read_us == 0;
 
@@ -197,8 +197,8 @@
  * take over its work, and to a few of the others, which spread the update
  * by gossip. */
 void
-GwMembers_Leave(GwMembers *m, int64_t now_us, const GwCargo *cargo,
-                GwActions *out)
+GwMembers_AnnounceLeaving(GwMembers *m, int64_t now_us,
+                          const GwPiggyback *piggyback, GwActions *out)
 {
     uint32_t foreign = 0;
 
@@ -212,15 +212,15 @@
             continue;
         }
         GwMembers_Send(m, GW_MSG_PROBE, r, r->pub.info.id,
-                       r->pub.info.peer_address, cargo, out)
+                       r->pub.info.peer_address, piggyback, out)
             ->seq = m->next_seq++;
     }
 }
 
 /* Sends `count` probes to random members now, to spread a change. */
 void
-GwMembers_Hurry(GwMembers *m, int64_t now_us, uint32_t count,
-                const GwCargo *cargo, GwActions *out)
+GwMembers_ProbeNow(GwMembers *m, int64_t now_us, uint32_t count,
+                   const GwPiggyback *piggyback, GwActions *out)
 {
     for (uint32_t i = 0; i < count; i++) {
         const GwRecord *r = GwMembers_DrawLive(m);
@@ -228,7 +228,7 @@
             return;
         }
         GwMembers_Send(m, GW_MSG_PROBE, r, r->pub.info.id,
-                       r->pub.info.peer_address, cargo, out)
+                       r->pub.info.peer_address, piggyback, out)
             ->seq = m->next_seq++;
     }
 }
--- a/lib/member/probe.c
+++ b/lib/member/probe.c
@@ -15,7 +15,7 @@
  * only the address is known. */
 GwHeartbeat *
 GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwRecord *to,
-               GwNodeId id, const char *address, const GwCargo *cargo,
+               GwNodeId id, const char *address, const GwPiggyback *piggyback,
                GwActions *out)
 {
     GwAction *action = GwActions_Add(out, GW_ACTION_SEND);
@@ -25,22 +25,22 @@
     g_strlcpy(action->u.send.address, address, GW_ADDR_MAX);
     action->u.send.to = id;
     action->u.send.message = msg;
-    hb->config_version = cargo->config_version;
+    hb->config_version = piggyback->config_version;
     GwMembers_FillUpdates(m, to, hb);
-    GwMembers_FillDigests(m, to, cargo, hb);
-    hb->drain_count = MIN(cargo->drain_count, GW_DRAINS_MAX);
+    GwMembers_FillDigests(m, to, piggyback, hb);
+    hb->drain_count = MIN(piggyback->drain_count, GW_DRAINS_MAX);
     for (uint32_t i = 0; i < hb->drain_count; i++) {
-        hb->drains[i] = cargo->drains[i];
+        hb->drains[i] = piggyback->drains[i];
     }
     return hb;
 }
 
 static GwHeartbeat *
 send_to(GwMembers *m, GwMessageKind kind, const GwRecord *to,
-        const GwCargo *cargo, GwActions *out)
+        const GwPiggyback *piggyback, GwActions *out)
 {
     return GwMembers_Send(m, kind, to, to->pub.info.id,
-                          to->pub.info.peer_address, cargo, out);
+                          to->pub.info.peer_address, piggyback, out);
 }
 
 /* Inserts a member into the current probe round. A member of the own region
@@ -115,14 +115,14 @@
  * period, so that one received message cannot make this node send many. */
 void
 GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwRecord *r,
-                    const GwMemberInfo *claim, const GwCargo *cargo,
+                    const GwMemberInfo *claim, const GwPiggyback *piggyback,
                     GwActions *out)
 {
     if (r->claim_sent_us != 0 && now_us - r->claim_sent_us < period_us(m)) {
         return;
     }
     r->claim_sent_us = now_us;
-    GwHeartbeat *hb = send_to(m, GW_MSG_PROBE, r, cargo, out);
+    GwHeartbeat *hb = send_to(m, GW_MSG_PROBE, r, piggyback, out);
     hb->seq = m->next_seq++;
     if (hb->update_count == GW_UPDATES_MAX) {
         hb->update_count--;
@@ -136,7 +136,7 @@
  * claim. */
 void
 GwMembers_Suspect(GwMembers *m, int64_t now_us, GwRecord *r,
-                  const GwCargo *cargo, GwActions *out)
+                  const GwPiggyback *piggyback, GwActions *out)
 {
     if (r->suspected_us != 0 || r->gossip_state == GW_MEMBER_DEAD) {
         return;
@@ -149,7 +149,7 @@
     }
     GwMemberInfo claim = r->pub.info;
     claim.state = r->gossip_state;
-    GwMembers_SendClaim(m, now_us, r, &claim, cargo, out);
+    GwMembers_SendClaim(m, now_us, r, &claim, piggyback, out);
 }
 
 /* The suspicion time-out. The suspicion must reach its subject and the
@@ -170,7 +170,7 @@
  * came from the member since the suspicion began, only the refutation was
  * lost; then the suspicion restarts and the claim is sent again. */
 static void
-expire_suspicions(GwMembers *m, int64_t now_us, const GwCargo *cargo,
+expire_suspicions(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
                   GwActions *out)
 {
     while (m->suspicions.head != NULL) {
@@ -181,7 +181,7 @@
         bool is_reachable = r->pub.heard_us > r->suspected_us;
         GwMembers_ClearSuspicion(m, r);
         if (is_reachable) {
-            GwMembers_Suspect(m, now_us, r, cargo, out);
+            GwMembers_Suspect(m, now_us, r, piggyback, out);
             continue;
         }
         GwMembers_SetState(m, now_us, r, GW_MEMBER_DEAD, out);
@@ -211,7 +211,8 @@
  * rest of the period. The last one may be of any region, for when the own
  * region and the target's cannot reach each other. */
 static void
-send_indirect_probes(GwMembers *m, const GwCargo *cargo, GwActions *out)
+send_indirect_probes(GwMembers *m, const GwPiggyback *piggyback,
+                     GwActions *out)
 {
     const GwRecord *target = GwMembers_FindRecord(m, m->probe.target.node);
     uint64_t asked[16];
@@ -221,7 +222,7 @@
     if (target == NULL) {
         return;
     }
-    send_to(m, GW_MSG_PROBE, target, cargo, out)->seq = m->probe.seq;
+    send_to(m, GW_MSG_PROBE, target, piggyback, out)->seq = m->probe.seq;
     uint32_t want = MIN(m->params.indirect_probes, G_N_ELEMENTS(asked));
     for (uint32_t draw = 0; draw < 8 * want && count < want; draw++) {
         bool near = draw < 4 * want && count + 1 < want;
@@ -233,14 +234,15 @@
             continue;
         }
         asked[count++] = r->pub.info.id.node;
-        GwHeartbeat *hb = send_to(m, GW_MSG_PING_REQ, r, cargo, out);
+        GwHeartbeat *hb = send_to(m, GW_MSG_PING_REQ, r, piggyback, out);
         hb->seq = m->probe.seq;
         hb->target = m->probe.target;
     }
 }
 
 static void
-start_probe(GwMembers *m, int64_t now_us, const GwCargo *cargo, GwActions *out)
+start_probe(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
+            GwActions *out)
 {
     GwRecord *r = next_target(m);
 
@@ -252,7 +254,7 @@
                          .target = r->pub.info.id,
                          .seq = m->next_seq++,
                          .sent_us = now_us};
-    send_to(m, GW_MSG_PROBE, r, cargo, out)->seq = m->probe.seq;
+    send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->probe.seq;
 }
 
 /* Probes unconfirmed members of the own region, a few per period beside the
@@ -260,7 +262,7 @@
  * members get no traffic. A member that does not answer is left to the
  * round. */
 static void
-probe_unconfirmed(GwMembers *m, const GwCargo *cargo, GwActions *out)
+probe_unconfirmed(GwMembers *m, const GwPiggyback *piggyback, GwActions *out)
 {
     uint32_t sent = 0;
 
@@ -273,13 +275,13 @@
             r->gossip_state == GW_MEMBER_DEAD) {
             continue;
         }
-        send_to(m, GW_MSG_PROBE, r, cargo, out)->seq = m->next_seq++;
+        send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->next_seq++;
         sent++;
     }
 }
 
 static void
-finish_probe(GwMembers *m, int64_t now_us, const GwCargo *cargo,
+finish_probe(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
              GwActions *out)
 {
     GwRecord *r = GwMembers_FindRecord(m, m->probe.target.node);
@@ -289,7 +291,7 @@
         r->pub.heard_us >= m->probe.sent_us) {
         return;
     }
-    GwMembers_Suspect(m, now_us, r, cargo, out);
+    GwMembers_Suspect(m, now_us, r, piggyback, out);
 }
 
 static bool
@@ -301,13 +303,13 @@
 }
 
 static void
-probe_seed(GwMembers *m, const GwListed *seed, const GwCargo *cargo,
+probe_seed(GwMembers *m, const GwListed *seed, const GwPiggyback *piggyback,
            GwActions *out)
 {
     const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(seed->name));
 
     GwMembers_Send(m, GW_MSG_PROBE, r, (GwNodeId){0}, seed->peer_address,
-                   cargo, out)
+                   piggyback, out)
         ->seq = m->next_seq++;
 }
 
@@ -316,7 +318,7 @@
  * dead and would not probe each other again. One ack is enough to merge
  * them by gossip. */
 static void
-heal(GwMembers *m, const GwCargo *cargo, GwActions *out)
+heal(GwMembers *m, const GwPiggyback *piggyback, GwActions *out)
 {
     uint32_t start =
         m->seeds->len > 0 ? GwRng_Below(&m->rng, m->seeds->len) : 0;
@@ -325,7 +327,7 @@
         const GwListed *seed =
             &g_array_index(m->seeds, GwListed, (start + i) % m->seeds->len);
         if (needs_healing(m, seed->name)) {
-            probe_seed(m, seed, cargo, out);
+            probe_seed(m, seed, piggyback, out);
             break;
         }
     }
@@ -334,7 +336,7 @@
     for (uint32_t i = 0; i < count; i++) {
         GwRecord *r = g_ptr_array_index(m->records, (start + i) % count);
         if (r->gossip_state == GW_MEMBER_DEAD) {
-            send_to(m, GW_MSG_PROBE, r, cargo, out)->seq = m->next_seq++;
+            send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->next_seq++;
             return;
         }
     }
@@ -374,7 +376,7 @@
 
 /* Runs all timers. */
 void
-GwMembers_ProbeTick(GwMembers *m, int64_t now_us, const GwCargo *cargo,
+GwMembers_ProbeTick(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
                     GwActions *out)
 {
     int64_t gap_us = now_us - m->tick_us;
@@ -383,21 +385,21 @@
         discount_pause(m, gap_us);
     }
     m->tick_us = now_us;
-    expire_suspicions(m, now_us, cargo, out);
+    expire_suspicions(m, now_us, piggyback, out);
     if (m->probe.active && !m->probe.acked && !m->probe.indirect &&
         now_us - m->probe.sent_us >= m->params.probe_timeout_ms * 1000LL) {
-        send_indirect_probes(m, cargo, out);
+        send_indirect_probes(m, piggyback, out);
     }
     if (now_us >= m->next_probe_us) {
-        finish_probe(m, now_us, cargo, out);
-        start_probe(m, now_us, cargo, out);
-        probe_unconfirmed(m, cargo, out);
+        finish_probe(m, now_us, piggyback, out);
+        start_probe(m, now_us, piggyback, out);
+        probe_unconfirmed(m, piggyback, out);
         m->next_probe_us =
             now_us +
             GwRng_Jitter(&m->rng, period_us(m) * 9 / 10, period_us(m) / 5);
     }
     if (now_us >= m->next_heal_us) {
-        heal(m, cargo, out);
+        heal(m, piggyback, out);
         /* Until a first member answers, healing is the only way to join. */
         int64_t heal_us = m->visible == 0 ? period_us(m) : GW_HEAL_PERIOD_US;
         m->next_heal_us =
@@ -412,8 +414,8 @@
 /* Handles an ACK: of our probe, direct or relayed, or of a probe sent for
  * another member, to which the ack is then relayed. */
 void
-GwMembers_ReceiveAck(GwMembers *m, const GwMessage *msg, const GwCargo *cargo,
-                     GwActions *out)
+GwMembers_ReceiveAck(GwMembers *m, const GwMessage *msg,
+                     const GwPiggyback *piggyback, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
 
@@ -430,7 +432,7 @@
         }
         GwHeartbeat *ack = GwMembers_Send(
             m, GW_MSG_ACK, GwMembers_FindRecord(m, relay->requester.node),
-            relay->requester, relay->address, cargo, out);
+            relay->requester, relay->address, piggyback, out);
         ack->seq = relay->requester_seq;
         ack->target = relay->target;
         relay->seq = 0;
@@ -440,8 +442,8 @@
 /* Handles a PING_REQ: probes the target and records the requester. */
 void
 GwMembers_ReceivePingReq(GwMembers *m, const GwMessage *msg,
-                         const GwRecord *requester, const GwCargo *cargo,
-                         GwActions *out)
+                         const GwRecord *requester,
+                         const GwPiggyback *piggyback, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
     const GwRecord *target = GwMembers_FindRecord(m, hb->target.node);
@@ -455,5 +457,5 @@
                               .target = hb->target,
                               .requester = msg->from};
     g_strlcpy(relay->address, requester->pub.info.peer_address, GW_ADDR_MAX);
-    send_to(m, GW_MSG_PROBE, target, cargo, out)->seq = relay->seq;
+    send_to(m, GW_MSG_PROBE, target, piggyback, out)->seq = relay->seq;
 }
--- a/lib/steer/steer.c
+++ b/lib/steer/steer.c
@@ -520,18 +520,18 @@
 }
 
 static void
-add_drains(const GwSteer *s, int64_t now_us, GwCargo *cargo)
+add_drains(const GwSteer *s, int64_t now_us, GwPiggyback *piggyback)
 {
     GHashTableIter iter;
     gpointer value;
 
     g_hash_table_iter_init(&iter, s->by_id);
-    while (cargo->drain_count < GW_DRAINS_MAX &&
+    while (piggyback->drain_count < GW_DRAINS_MAX &&
            g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwBackendState *b = value;
         if (b->own_drain_until_us > now_us) {
             int64_t left_us = b->own_drain_until_us - now_us;
-            cargo->drains[cargo->drain_count++] = (GwDrainHint){
+            piggyback->drains[piggyback->drain_count++] = (GwDrainHint){
                 .backend = b->id, .ttl_ms = (uint32_t)(left_us / GW_MS(1))};
         }
     }
@@ -539,24 +539,25 @@
 
 void
 GwSteer_FillHeartbeat(const GwSteer *s, int64_t now_us, GwNodeId self,
-                      GwSeats *seats, const uint32_t *queued, GwCargo *cargo)
+                      GwSeats *seats, const uint32_t *queued,
+                      GwPiggyback *piggyback)
 {
-    cargo->digest_count = 0;
-    cargo->drain_count = 0;
+    piggyback->digest_count = 0;
+    piggyback->drain_count = 0;
     if (s->config == NULL) {
         return;
     }
     bool fenced = GwSeats_IsFenced(seats);
     for (uint32_t i = 0; i < s->config->service_count; i++) {
         const GwServiceState *service = s->by_index[i];
-        if (cargo->digest_count == GW_DIGESTS_MAX) {
+        if (piggyback->digest_count == GW_DIGESTS_MAX) {
             break;
         }
         uint32_t idle = 0;
         if (!fenced) {
             idle = GwSteer_CountLendable(s, now_us, service, queued[i]);
         }
-        cargo->digests[cargo->digest_count++] =
+        piggyback->digests[piggyback->digest_count++] =
             (GwDigest){.id = self,
                        .service = service->hash,
                        .free_slots = idle,
@@ -564,7 +565,7 @@
                        .queued = queued[i],
                        .seq = (uint64_t)now_us};
     }
-    add_drains(s, now_us, cargo);
+    add_drains(s, now_us, piggyback);
 }
 
 bool
--- a/lib/steer/steer.h
+++ b/lib/steer/steer.h
@@ -88,7 +88,7 @@
 /* Fills in the digests and drain hints of a heartbeat. */
 void GwSteer_FillHeartbeat(const GwSteer *s, int64_t now_us, GwNodeId self,
                            GwSeats *seats, const uint32_t *queued,
-                           GwCargo *cargo);
+                           GwPiggyback *piggyback);
 /* Returns all loans; true once nothing is in flight, lent or borrowed. */
 bool GwSteer_ReturnAll(GwSteer *s, int64_t now_us, const GwMembers *members,
                        GwActions *out);
--- a/tests/fakes/member_net.c
+++ b/tests/fakes/member_net.c
@@ -77,8 +77,9 @@
     p->id = (GwNodeId){.node = GwName_Hash64(p->name), .start = start};
     node->members = GwMembers_Create(p);
     node->up = true;
-    node->cargo.digest_count = 1;
-    node->cargo.digests[0] = (GwDigest){.id = p->id, .service = 7, .seq = 1};
+    node->piggyback.digest_count = 1;
+    node->piggyback.digests[0] =
+        (GwDigest){.id = p->id, .service = 7, .seq = 1};
 }
 
 MemberNet *
@@ -180,7 +181,7 @@
 {
     GwNetNode *node = &net->nodes[to];
 
-    GwMembers_Receive(node->members, net->now_us, msg, &node->cargo,
+    GwMembers_Receive(node->members, net->now_us, msg, &node->piggyback,
                       &net->actions);
     carry_out(net, to, true);
 }
@@ -218,8 +219,8 @@
             if (!node->up || node->paused) {
                 continue;
             }
-            node->cargo.digests[0].seq = (uint64_t)net->now_us;
-            GwMembers_Tick(node->members, net->now_us, &node->cargo,
+            node->piggyback.digests[0].seq = (uint64_t)net->now_us;
+            GwMembers_Tick(node->members, net->now_us, &node->piggyback,
                            &net->actions);
             carry_out(net, i, false);
         }
@@ -241,8 +242,8 @@
     }
     for (uint32_t i = 0; i < net->count; i++) {
         if (net->nodes[i].up) {
-            GwMembers_Listed(net->nodes[i].members, net->now_us, &list,
-                             &net->actions);
+            GwMembers_ApplyList(net->nodes[i].members, net->now_us, &list,
+                                &net->actions);
             carry_out(net, i, false);
         }
     }
--- a/tests/fakes/member_net.h
+++ b/tests/fakes/member_net.h
@@ -10,7 +10,7 @@
 typedef struct {
     GwMembers *members;
     GwNodeParams params;
-    GwCargo cargo;
+    GwPiggyback piggyback;
     bool up;
     bool paused;
 } GwNetNode;
--- a/tests/property/change.cpp
+++ b/tests/property/change.cpp
@@ -59,7 +59,7 @@
     if (run->request.resolve) {
         return GwChange_CreateResolve(run->request.id.c_str());
     }
-    GwChangeAsk ask = {};
+    GwChangeRequest ask = {};
     g_strlcpy(ask.request_id, run->request.id.c_str(), sizeof ask.request_id);
     ask.summary = "step";
     ask.content = static_cast<uint64_t>(run->request.step);
@@ -280,7 +280,7 @@
 void
 first_document(ChangeTable *table)
 {
-    GwChangeAsk ask = {};
+    GwChangeRequest ask = {};
     g_strlcpy(ask.request_id, "first", sizeof ask.request_id);
     ask.kind = GW_CHANGE_DOCUMENT;
     ask.document = "{\"warmup_step\": 1, \"regions\": "
--- a/tests/property/seats.cpp
+++ b/tests/property/seats.cpp
@@ -194,7 +194,7 @@
     void
     setView(Process &viewer)
     {
-        GwCargo cargo{};
+        GwPiggyback piggyback{};
         std::vector<GwListed> listed;
         bool wrong = faults_ && plan_.excluded == Excluded::kTable;
         GwMembers_Free(viewer.members);
@@ -209,16 +209,16 @@
                 listed.push_back(item);
             }
             if (&p != &viewer && !(faults_ && chance(40))) {
-                addMember(viewer, p, cargo);
+                addMember(viewer, p, piggyback);
             }
         }
         GwListEvent list{static_cast<uint32_t>(listed.size()), listed.data()};
-        GwMembers_Listed(viewer.members, now_us_, &list, &out_);
+        GwMembers_ApplyList(viewer.members, now_us_, &list, &out_);
         GwActions_Clear(&out_);
     }
 
     void
-    addMember(Process &viewer, const Process &p, const GwCargo &cargo)
+    addMember(Process &viewer, const Process &p, const GwPiggyback &piggyback)
     {
         GwMessage *msg = GwMessage_Create(GW_MSG_ACK, p.params.id);
         GwMemberInfo info{};
@@ -229,7 +229,7 @@
         g_strlcpy(info.peer_address, p.params.peer_address, GW_ADDR_MAX);
         msg->u.heartbeat.update_count = 1;
         msg->u.heartbeat.updates[0] = info;
-        GwMembers_Receive(viewer.members, now_us_, msg, &cargo, &out_);
+        GwMembers_Receive(viewer.members, now_us_, msg, &piggyback, &out_);
         GwMessage_Free(msg);
         GwActions_Clear(&out_);
     }
--- a/tests/property/seats_explore.cpp
+++ b/tests/property/seats_explore.cpp
@@ -163,11 +163,11 @@
     {
         const GwNodeParams &other = params_[1 - i];
         GwMembers *m = GwMembers_Create(&params_[i]);
-        GwCargo cargo{};
+        GwPiggyback piggyback{};
         GwListed item{};
         g_strlcpy(item.name, other.name, GW_NAME_MAX);
         GwListEvent list{dead ? 0U : 1U, &item};
-        GwMembers_Listed(m, kStep, &list, &out_);
+        GwMembers_ApplyList(m, kStep, &list, &out_);
         if (!dead) {
             GwMessage *msg = GwMessage_Create(GW_MSG_ACK, other.id);
             GwMemberInfo &info = msg->u.heartbeat.updates[0];
@@ -176,7 +176,7 @@
             info.state = i == 1 ? GW_MEMBER_LEAVING : GW_MEMBER_ALIVE;
             info.region = GwName_Hash32("ogre");
             g_strlcpy(info.name, other.name, GW_NAME_MAX);
-            GwMembers_Receive(m, kStep, msg, &cargo, &out_);
+            GwMembers_Receive(m, kStep, msg, &piggyback, &out_);
             GwMessage_Free(msg);
         }
         GwActions_Clear(&out_);
--- a/tests/property/steer_cases.cpp
+++ b/tests/property/steer_cases.cpp
@@ -207,12 +207,12 @@
 {
     const char *name = "draining server";
     Entry e(TestConfig(3, 0, 0, false, 2));
-    GwCargo cargo{};
+    GwPiggyback piggyback{};
 
     GwSteer_ApplyDrainHint(e.steer, e.now_us, 1000, 5000);
     GwSteer_FillHeartbeat(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats,
-                          e.queued.data(), &cargo);
-    expect(cargo.drain_count == 0, name, "a peer's hint is not forwarded");
+                          e.queued.data(), &piggyback);
+    expect(piggyback.drain_count == 0, name, "a peer's hint is not forwarded");
     for (uint32_t i = 0; i < 3; i++) {
         expect(e.pick().backend == 1001, name, "no new calls");
     }
@@ -225,9 +225,9 @@
     h.draining = true;
     GwSteer_ApplyHealth(e.steer, e.now_us, &h);
     GwSteer_FillHeartbeat(e.steer, e.now_us, GwNodeId{1, 1}, &e.seats,
-                          e.queued.data(), &cargo);
-    expect(cargo.drain_count == 1 && cargo.drains[0].backend == 1001, name,
-           "an own observation is forwarded");
+                          e.queued.data(), &piggyback);
+    expect(piggyback.drain_count == 1 && piggyback.drains[0].backend == 1001,
+           name, "an own observation is forwarded");
 }
 
 void
--- a/tests/property/steer_units.cpp
+++ b/tests/property/steer_units.cpp
@@ -531,17 +531,17 @@
     void
     publish(uint32_t i)
     {
-        GwCargo cargo{};
+        GwPiggyback piggyback{};
         GwSteer_FillHeartbeat(nodes[i].steer, now_us, members.all[i].info.id,
-                              &nodes[i].seats, queued(i), &cargo);
+                              &nodes[i].seats, queued(i), &piggyback);
         std::vector<GwDigest> kept;
         for (auto &d : members.digests) {
             if (d.id.node != i + 1) {
                 kept.push_back(d);
             }
         }
-        kept.insert(kept.end(), cargo.digests,
-                    cargo.digests + cargo.digest_count);
+        kept.insert(kept.end(), piggyback.digests,
+                    piggyback.digests + piggyback.digest_count);
         members.digests = kept;
     }
 
--- a/tests/property/sync.cpp
+++ b/tests/property/sync.cpp
@@ -120,7 +120,7 @@
     {
         for (uint32_t i = 0; i < syncs_.size(); i++) {
             if (version(i) != published_ ||
-                !GwSync_Ready(syncs_[i], now_us_)) {
+                !GwSync_IsReady(syncs_[i], now_us_)) {
                 return false;
             }
         }
@@ -169,8 +169,8 @@
             uint32_t from = GwRng_Below(&rng_, plan_.entries);
             if (from != i && !chance(plan_.loss_percent)) {
                 std::string address = std::to_string(from);
-                GwSync_Heard(syncs_[i], now_us_, {from + 1U, 1},
-                             address.c_str(), version(from), &out_);
+                GwSync_NotePeerVersion(syncs_[i], now_us_, {from + 1U, 1},
+                                       address.c_str(), version(from), &out_);
                 performActions(i);
             }
         }
--- a/tests/unit/test_change.c
+++ b/tests/unit/test_change.c
@@ -23,15 +23,15 @@
                            step + *(const int *)ctx);
 }
 
-static GwChangeAsk
+static GwChangeRequest
 edit(const char *id, int *step)
 {
-    GwChangeAsk ask = {.operator_name = "liga",
-                       .summary = "step",
-                       .content = (uint64_t)*step,
-                       .kind = GW_CHANGE_EDIT,
-                       .make = make_step,
-                       .ctx = step};
+    GwChangeRequest ask = {.operator_name = "liga",
+                           .summary = "step",
+                           .content = (uint64_t)*step,
+                           .kind = GW_CHANGE_EDIT,
+                           .make = make_step,
+                           .ctx = step};
     g_strlcpy(ask.request_id, id, sizeof(ask.request_id));
     return ask;
 }
@@ -53,7 +53,7 @@
             int one = 1;
             char id[20];
             g_snprintf(id, sizeof(id), "other-%d", others++);
-            GwChangeAsk ask = edit(id, &one);
+            GwChangeRequest ask = edit(id, &one);
             run(t, GwChange_Create(&ask), "");
         }
         Fate fate = *script == 'b' || *script == '*' ? FATE_LOST_BEFORE
@@ -77,10 +77,11 @@
 table_at_one(void)
 {
     ChangeTable *t = ChangeTable_Create();
-    GwChangeAsk ask = {.request_id = "first",
-                       .kind = GW_CHANGE_DOCUMENT,
-                       .document = "{\"warmup_step\": 1, \"regions\": "
-                                   "[{\"name\": \"ogre\", \"seats\": 1}]}"};
+    GwChangeRequest ask = {.request_id = "first",
+                           .kind = GW_CHANGE_DOCUMENT,
+                           .document =
+                               "{\"warmup_step\": 1, \"regions\": "
+                               "[{\"name\": \"ogre\", \"seats\": 1}]}"};
     cr_assert_eq(run(t, GwChange_Create(&ask), "").outcome,
                  GW_CHANGE_ACCEPTED);
     return t;
@@ -140,7 +141,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         ChangeTable *t = table_at_one();
         int step = 10;
-        GwChangeAsk ask = edit("mine", &step);
+        GwChangeRequest ask = edit("mine", &step);
         ask.has_base = cases[i].has_base;
         ask.base_version = 1;
         GwChangeResult got = run(t, GwChange_Create(&ask), cases[i].script);
@@ -166,7 +167,7 @@
     ChangeTable *t = table_at_one();
     int step = 10;
     int other = 11;
-    GwChangeAsk ask = edit("mine", &step);
+    GwChangeRequest ask = edit("mine", &step);
     run(t, GwChange_Create(&ask), "");
     run(t, GwChange_Create(&ask), "x");
     GwChangeResult again = run(t, GwChange_Create(&ask), "");
@@ -184,7 +185,7 @@
 {
     ChangeTable *t = table_at_one();
     int step = 70000;
-    GwChangeAsk ask = edit("mine", &step);
+    GwChangeRequest ask = edit("mine", &step);
     for (int i = 0; i < 2; i++) {
         GwChangeResult got = run(t, GwChange_Create(&ask), "");
         cr_expect_eq(got.outcome, GW_CHANGE_REFUSED);
@@ -198,11 +199,11 @@
 {
     ChangeTable *t = table_at_one();
     int step = 10;
-    GwChangeAsk ask = edit("mine", &step);
+    GwChangeRequest ask = edit("mine", &step);
     run(t, GwChange_Create(&ask), "");
-    GwChangeAsk back = {.request_id = "back",
-                        .kind = GW_CHANGE_ROLLBACK,
-                        .rollback_version = 1};
+    GwChangeRequest back = {.request_id = "back",
+                            .kind = GW_CHANGE_ROLLBACK,
+                            .rollback_version = 1};
     cr_expect_eq(run(t, GwChange_Create(&back), "").version, 3);
     cr_expect_str_eq(
         ChangeTable_Get(t, GW_KEY_DOC_PREFIX "00000000000000000003"),
@@ -216,7 +217,7 @@
 
 Test(change, a_bad_request_id_or_document_needs_no_table)
 {
-    GwChangeAsk ask = {
+    GwChangeRequest ask = {
         .request_id = "a/b", .kind = GW_CHANGE_DOCUMENT, .document = "{}"};
     GwChange *c = GwChange_Create(&ask);
     GwTableRequest request;
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -110,7 +110,7 @@
 
     MemberNet_List(net, 3);
     MemberNet_Run(net, 10 * SECOND);
-    GwMembers_Listed(net->nodes[0].members, net->now_us, &list, &out);
+    GwMembers_ApplyList(net->nodes[0].members, net->now_us, &list, &out);
     cr_assert_eq(MemberNet_Shown(net, 0, 1), GW_MEMBER_LEAVING);
     cr_assert(!GwMembers_IsListed(net->nodes[0].members, "n2"));
     MemberNet_Run(net, 10 * SECOND);
@@ -184,8 +184,8 @@
 
     MemberNet_List(net, 12);
     MemberNet_Run(net, 20 * SECOND);
-    GwMembers_Leave(net->nodes[0].members, net->now_us, &net->nodes[0].cargo,
-                    &out);
+    GwMembers_AnnounceLeaving(net->nodes[0].members, net->now_us,
+                              &net->nodes[0].piggyback, &out);
     for (uint32_t i = 0; i < out.count; i++) {
         const GwSendAction *send = &out.items[i].u.send;
         uint32_t to = (uint32_t)g_ascii_strtoull(send->address, NULL, 10);
--- a/tests/unit/test_seats.c
+++ b/tests/unit/test_seats.c
@@ -35,14 +35,14 @@
 {
     Entry *e = &b->entries[i];
     const GwNodeParams *other = &b->entries[1 - i].params;
-    GwCargo cargo = {0};
+    GwPiggyback piggyback = {0};
     GwListed item = {0};
     GwListEvent list = {.count = other_listed, .items = &item};
 
     g_strlcpy(item.name, other->name, GW_NAME_MAX);
     GwMembers_Free(e->members);
     e->members = GwMembers_Create(&e->params);
-    GwMembers_Listed(e->members, b->now_us, &list, &b->out);
+    GwMembers_ApplyList(e->members, b->now_us, &list, &b->out);
     if (other_state != GW_MEMBER_DEAD) {
         GwMessage *msg = GwMessage_Create(GW_MSG_ACK, other->id);
         GwMemberInfo *info = &msg->u.heartbeat.updates[0];
@@ -50,7 +50,7 @@
         *info = (GwMemberInfo){.id = other->id, .state = other_state};
         info->region = GwName_Hash32("ogre");
         g_strlcpy(info->name, other->name, GW_NAME_MAX);
-        GwMembers_Receive(e->members, b->now_us, msg, &cargo, &b->out);
+        GwMembers_Receive(e->members, b->now_us, msg, &piggyback, &b->out);
         GwMessage_Free(msg);
     }
     GwActions_Clear(&b->out);
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -111,11 +111,11 @@
     cr_assert_not_null(parsed);
     GwConfig_Free(parsed);
     run(&f, SECOND);
-    cr_assert(!GwSync_Ready(f.sync, f.now_us));
+    cr_assert(!GwSync_IsReady(f.sync, f.now_us));
     publish(&f, 3, DOC);
     run(&f, 5 * SECOND);
     cr_assert_eq(version_of(&f), 3);
-    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    cr_assert(GwSync_IsReady(f.sync, f.now_us));
     free_fixture(&f);
 }
 
@@ -173,13 +173,13 @@
 
     f.is_table_down = true;
     run(&f, 20 * SECOND);
-    cr_assert(!GwSync_Ready(f.sync, f.now_us));
-    GwSync_Heard(f.sync, f.now_us, peer, "2", 8, &f.out);
+    cr_assert(!GwSync_IsReady(f.sync, f.now_us));
+    GwSync_NotePeerVersion(f.sync, f.now_us, peer, "2", 8, &f.out);
     cr_assert_eq(f.out.items[0].u.send.message->kind, GW_MSG_CONFIG_ASK);
     cr_assert(send_doc(&f, 8, DOC, XXH64(DOC, strlen(DOC), 0)));
-    cr_assert(!GwSync_Ready(f.sync, f.now_us));
+    cr_assert(!GwSync_IsReady(f.sync, f.now_us));
     run(&f, 2 * SECOND);
-    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    cr_assert(GwSync_IsReady(f.sync, f.now_us));
     free_fixture(&f);
 }
 
@@ -195,14 +195,14 @@
     run(&f, 3 * SECOND);
     f.is_table_down = true;
     for (uint32_t second = 0; second < 15; second++) {
-        GwSync_Heard(f.sync, f.now_us, peer, "2", 2, &f.out);
-        cr_assert_eq(GwSync_Ready(f.sync, f.now_us), second <= 10, "%u",
+        GwSync_NotePeerVersion(f.sync, f.now_us, peer, "2", 2, &f.out);
+        cr_assert_eq(GwSync_IsReady(f.sync, f.now_us), second <= 10, "%u",
                      second);
         run(&f, SECOND);
     }
     cr_assert_leq(f.peer_requests, 9);
     run(&f, 10 * SECOND);
-    cr_assert(GwSync_Ready(f.sync, f.now_us));
+    cr_assert(GwSync_IsReady(f.sync, f.now_us));
     free_fixture(&f);
 }
 
@@ -217,8 +217,8 @@
     publish(&f, 2, "{\"caps\": 1000}");
     run(&f, 30 * SECOND);
     cr_assert_eq(version_of(&f), 1);
-    cr_assert(GwSync_Ready(f.sync, f.now_us));
-    GwSync_Heard(f.sync, f.now_us, peer, "2", 2, &f.out);
+    cr_assert(GwSync_IsReady(f.sync, f.now_us));
+    GwSync_NotePeerVersion(f.sync, f.now_us, peer, "2", 2, &f.out);
     cr_assert(send_doc(&f, 2, DOC, XXH64(DOC, strlen(DOC), 0)));
     free_fixture(&f);
 }
