--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -1,21 +1,22 @@
-/* A request arrives: its route, its share of a split, and its times. */
+/* Admission of a request: route, service of a split route, and deadlines. */
 #include "router/router_internal.h"
 
-/* Callers that say nothing of their time are taken to wait this long. */
+/* Time that a caller waits if it states none. */
 #define DEFAULT_LEFT_US 5000000
-/* A route that names no objective is taken to have this one. */
+/* Latency objective of a route that states none. */
 #define DEFAULT_AIM_US 1000000
-/* Of the distance to a new request's time, how much the most seen fades; and
- * the part of its time that a caller can have spent when it comes back: it
- * waits a third at most before each of one or two returns. */
+/* Decay of a route's longest caller time towards the time of a new request;
+ * and the largest part of its time that a caller can have used when it
+ * retries: it waits at most a third of it before each of one or two
+ * retries. */
 #define LEFT_FADES    0.02
 #define COMEBACK_MOST 0.67
-/* A server tells that its caller's time is over a little after it is; its
- * word, which says whether the request ran, is worth these us of waiting. */
+/* A server answers shortly after the caller's time is over; that answer states
+ * whether the request ran, so it is awaited this long. */
 #define SERVER_WORD_US 120000
-/* Past a route's timeout the caller gets its answer at once. */
+/* After a route's timeout the caller gets its answer at once. */
 #define TIMEOUT_SLACK_US 30000
-/* What would come too late is kept for so long, in objectives. */
+/* Longest wait of a request that misses its objective, in objectives. */
 #define LATE_WAIT 1.5
 
 static GwRouteState *
@@ -39,9 +40,9 @@
     return state;
 }
 
-/* Smooth weighted round robin: each part earns its weight, the richest is
- * taken and pays the sum. Shares are exact over each round, so a short
- * stretch of requests is split as a long one is. */
+/* Smooth weighted round robin: each part's counter grows by its weight; the
+ * largest one is chosen and reduced by the sum. The shares are exact over each
+ * round, so short stretches of requests are split like long ones. */
 static const char *
 take_part(const GwRoute *route, GwRouteState *state)
 {
@@ -59,10 +60,11 @@
     return route->parts[best].service;
 }
 
-/* How long the caller has tried already. One that was refused comes back with
- * less time left than callers of the route give at first, and its objective
- * counts from then. What they give at first is the most seen, which fades: a
- * single caller with much time must not make all others look late for good. */
+/* Time that the caller has spent on earlier tries. A refused caller retries
+ * with less time left than callers of the route state at first, and its
+ * objective counts from the first try. The time stated at first is taken to be
+ * the longest seen, decaying: a single caller with a long time must not make
+ * all others look late for good. */
 static int64_t
 spent_before(GwRouteState *state, int64_t left_us)
 {
--- a/lib/router/choose.c
+++ b/lib/router/choose.c
@@ -1,42 +1,41 @@
-/* Which backend server a request should go to.
+/* Chooses the backend server for a request.
  *
- * A server that lately handled an object runs the next request for it in
- * about 0.3 of the time, and remembers some tens of objects. So each object
- * has a few servers, its places, and its requests go there: at full load the
- * same slots carry three times as much as when requests are spread, and once
- * spread, they stay spread, since every run is a cold one. A request waits for
- * a place of its object as long as the answer still comes in time; an object
- * gets a further place only where slots are idle, one at a time. */
+ * A server that recently handled an object runs the next request for it in
+ * about 0.3 of the time, and caches some tens of objects. Each object
+ * therefore has a few placements, servers to which its requests go: at full
+ * load the same slots carry three times as much as with requests spread
+ * evenly. Once spread, requests stay spread, since every run is then a cold
+ * one. A request waits for a placement of its object as long as the answer
+ * still meets the objective; an object gets a further placement only where
+ * slots are idle, one at a time. */
 #include "router/router_internal.h"
 
 #include <string.h>
 
-/* The weights below were tried on the users' days; docs/MEASURES.md has the
- * worth of each. */
-
-/* A report on an answer outranks our own count for this long. */
+/* For this long a load report takes precedence over the local count. */
 #define LOAD_FRESH_US 60000
-/* With so many of a service's servers ejected the failures are not theirs:
- * all are tried again. */
+/* With a larger share of a service's servers ejected, the failures have a
+ * common cause outside of them: ejection is ignored. */
 #define PANIC_SHARE    0.5
 #define PANIC_EVERY_US 20000
-/* What it is worth to stay within the failure domain and within the region,
- * as time: bytes across are paid for, and an object that once went to another
- * region costs its round trip from then on. */
+/* Cost of leaving the failure domain or the region, as time: traffic across is
+ * paid for, and an object that is placed in another region costs the round
+ * trip from then on. */
 #define OTHER_DOMAIN_US 60000.0
 #define OTHER_REGION_US 100000.0
-/* Of servers that could be an object's first place, all entries should pick
- * the same one: a hash of both is worth up to this. */
+/* Entries must agree on the first placement of an object without
+ * communication: a hash of object and server adds up to this to the cost. */
 #define SPREAD_US 300000.0
-/* Servers that remember many objects already, or were busy lately, are worse
- * for one more. */
+/* Cost of each object that the server has cached already, and of its recent
+ * utilization. */
 #define OBJECT_US 10000.0
 #define BUSY_US   150000.0
-/* Keeps a lower bound below what rounding makes of the sum that it bounds. */
+/* Keeps a lower bound below the rounded sum that it bounds. */
 #define ALMOST_ONE (1 - 1e-9)
-/* What a judgement takes besides its search, in looks at servers. */
+/* Fixed work per choice, counted as server evaluations. */
 #define OWN_LOOKS 40
-/* A further place is made where the server was less busy than this lately. */
+/* An object gets a further placement at a server with a recent utilization
+ * below this. */
 #define IDLE_BELOW 0.35
 
 static bool
@@ -62,8 +61,8 @@
     return (double)ejected > PANIC_SHARE * (double)service->servers->len;
 }
 
-/* Counted anew only now and then: a request must not cost a look at every
- * server of a large service. */
+/* Recomputed at intervals: a request must not cost a scan of every server of a
+ * large service. */
 static bool
 is_panic(GwServiceState *service, int64_t now_us)
 {
@@ -82,7 +81,7 @@
     GwDriftSide side;
 } Look;
 
-/* There is mostly none at all, and a look-up hashes the name. */
+/* The set is mostly empty, and a lookup hashes the name. */
 static bool
 is_evacuated(const GwRouter *r, const GwServer *s)
 {
@@ -95,8 +94,8 @@
 {
     GwRouter *r = look->r;
 
-    /* A place of the object may be of another service: reports name objects
-     * by hash only, and a route may have moved. Run there, the request would
+    /* A placement of the object may belong to another service: reports name
+     * objects by hash only, and a route may have moved. The request would then
      * be answered by a service that it was never sent to. */
     if (s->service != look->req->service || s->draining || !s->listed ||
         s->slots == 0 || is_evacuated(r, s) ||
@@ -142,8 +141,8 @@
 }
 
 typedef struct {
-    GwServer *server; /* NULL: there is none */
-    double wait_us;   /* until a slot is free for it */
+    GwServer *server; /* NULL: none found */
+    double wait_us;   /* until a slot is free */
     double est_us;
     double cost_us;
     bool is_free;
@@ -174,8 +173,8 @@
     return c;
 }
 
-/* Where the entry stops, a server at which the request could not end in time is
- * none; another one may be free. */
+/* During a stop, a server at which the request could not end in time is no
+ * candidate. */
 static void
 keep_better(const Look *look, Candidate *best, const Candidate *c)
 {
@@ -187,8 +186,8 @@
     }
 }
 
-/* The best of the object's places, also where its first run is still under way:
- * to wait for the end of that run was worth -0.001 to -0.013 of a day. */
+/* The best placement of the object. Includes placements whose first run is
+ * still in progress: excluding them until that run has ended performs worse. */
 static Candidate
 best_place(const Look *look)
 {
@@ -207,9 +206,9 @@
     return best;
 }
 
-/* The part of `SPREAD_US` that this object meets at this server. Suspects that
- * ran on the same server when it crashed part here: the next crash tells them
- * apart. */
+/* The part of SPREAD_US for this object at this server. Suspects that ran
+ * together on a server when it crashed are spread over different servers, so
+ * that the next crash tells them apart. */
 static double
 spread_of(const GwRequest *req, const GwServer *s)
 {
@@ -223,9 +222,9 @@
     return SPREAD_US * (double)(mix >> 11) * 0x1p-53;
 }
 
-/* What the object's work would cost there if a slot were free and the server
- * had been idle: the real cost is never less. In the same order of terms as
- * `judge` and `best_new` have, so that rounding can't turn it around. */
+/* Lower bound of the cost at this server: a slot is free and the server was
+ * idle. The terms are added in the same order as in `judge` and `best_new`, so
+ * that rounding can't put the bound above the cost. */
 static double
 least_cost_us(const Look *look, const GwServer *s, double extra_us)
 {
@@ -234,8 +233,8 @@
     return est_us + distance_us(s) + extra_us;
 }
 
-/* The same with what it has to do now: the mean lies between what is in its
- * slots and what the mean was. */
+/* Lower bound of the utilization term: the mean lies between the old mean and
+ * the current utilization. */
 static double
 least_busy_us(const Look *look, const GwServer *s)
 {
@@ -244,9 +243,10 @@
     return BUSY_US * MIN(s->busy, now) * ALMOST_ONE;
 }
 
-/* The best server that is no place of the object yet. A service may have a
- * thousand: those that can't be better than the best so far are told by a few
- * additions, or an entry with a tenth of a core spends it here. */
+/* The best server that is not yet a placement of the object. A service may
+ * have a thousand servers, and an entry may have a tenth of a core: servers
+ * that can't be better than the best so far are skipped after a few
+ * additions. */
 static Candidate
 best_new(const Look *look)
 {
@@ -258,7 +258,7 @@
     for (guint i = 0; i < servers->len; i++) {
         GwServer *s = servers->pdata[i];
         double extra_us = spread_of(req, s) + OBJECT_US * s->objects;
-        /* A cold one is looked at in any case: that fills its tokens. */
+        /* Cold servers are never skipped: the check refills their tokens. */
         if (best.server != NULL && !GwServer_IsCold(s, look->now_us)) {
             double least_us = least_cost_us(look, s, extra_us);
             if (least_us >= best.cost_us ||
@@ -304,7 +304,7 @@
     };
 }
 
-/* The best server without a look at how much traffic moves. */
+/* The best server without regard to the share of cross-region requests. */
 static GwChoice
 choose_one(Look *look)
 {
@@ -336,7 +336,7 @@
     return c;
 }
 
-/* Whether all that may take the request is in the region, or all outside. */
+/* Returns whether the route names the regions of its servers. */
 static bool
 is_forced(const GwRequest *req)
 {
@@ -364,9 +364,10 @@
     look.side = side;
     GwChoice other = choose_one(&look);
     other.wants_far = c.wants_far;
-    /* Where nobody in the region could take it at all, it is not the limit's
-     * to refuse. And nothing goes abroad for the sake of the share that would
-     * not arrive in time there, or be a cold run. */
+    /* The limit on the cross-region share never causes a refusal: without a
+     * server on the required side the first choice stands. A request is not
+     * moved to another region for the share's sake if it would be late there
+     * or would be a cold run. */
     if (other.server == NULL) {
         return c;
     }
--- a/lib/router/crashes.c
+++ b/lib/router/crashes.c
@@ -1,8 +1,8 @@
-/* Servers that crash, and the requests under which they did. */
+/* Detection of crashed servers, and of the requests that they were running. */
 #include "router/router_internal.h"
 
-/* A request that may be sent again waits so long for word of the server that
- * broke it, beyond two round trips. */
+/* Limit of the wait for a probe before a retry, in addition to two round
+ * trips. */
 #define PROBE_SLACK_US 20000
 
 GwQuarantine *
@@ -17,7 +17,7 @@
     return !GwQuarantine_IsEmpty(r->quarantine);
 }
 
-/* A server that was to leave may close connections as it ends. */
+/* A server that is draining may close connections as it exits. */
 static bool
 may_have_crashed(const GwServer *s)
 {
@@ -76,7 +76,7 @@
     }
 }
 
-/* Lets those go on that wait for word of the server. */
+/* Resumes the requests that wait for the probe of the server. */
 static void
 end_waits(GwRouter *r, int64_t now_us, GwServer *s, GwProbeResult result,
           GArray *actions)
@@ -116,7 +116,7 @@
 int64_t
 GwRequest_HeldUntil(GwRouter *r, int64_t now_us, GwRequest *req)
 {
-#if GW_MUTANT == 82 /* breaks: what crashes servers is sent on */
+#if GW_MUTANT == 82 /* breaks: requests that crash servers are sent on */
     return 0;
 #endif
     if (!req->has_fingerprint) {
--- a/lib/router/drift.c
+++ b/lib/router/drift.c
@@ -1,41 +1,41 @@
-/* How fast traffic moves between regions.
+/* Limits how fast traffic moves between regions.
  *
- * When a burst fills a region's servers, all that does not fit would go to
- * other regions at once and come back at once when it ends: each way a wave
- * that meets cold servers there. Traffic may move between regions by a few
- * percent a second only; what neither fits nor may leave waits or is refused.
- * The limit is off while the region has lately lost servers, since then the
- * traffic has nowhere else to go. */
+ * Without a limit, a burst that fills a region's servers sends all excess to
+ * other regions at once and back at once when it ends: each time a wave of
+ * requests meets cold servers there. The share of requests sent to other
+ * regions may change by a few percent per second only; requests that find no
+ * local slot and may not leave wait or are refused. The limit is off for some
+ * time after the region loses servers, since the traffic then has no local
+ * alternative. */
 #include "router/router_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Over which shares are measured. */
+/* Time constant of the measured shares. */
 #define TAU_US 1000000.0
-/* The allowed share follows the wanted one by at most this a second, and the
- * actual share stays within BAND of it: 0.09 + 0.06 in the 2 s over which
- * operators measure, where 0.15 is allowed. */
+/* The allowed share follows the wanted one by at most this per second, and the
+ * actual share stays within BAND of it: a change of 0.09 + 0.06 in 2 s, where
+ * operators allow 0.15. */
 #define SLOPE_PER_S 0.045
 #define BAND        0.03
-/* Below so many requests in TAU a share says nothing. */
+/* With fewer requests in TAU_US a share is not significant. */
 #define SENT_MIN 5.0
-/* No limit for so long after the first request and after a loss of servers:
- * objects find their places, and the servers that are left take over. */
+/* No limit for this long after the first request, while objects get their
+ * placements, and after a loss of servers, while the others take over. */
 #define START_FREE_US 6000000
 #define LOSS_FREE_US  6000000
-/* Where a cold run takes longer than this, a start without a limit moves more
- * than operators allow: slots are still full of first runs when they begin to
- * measure the change (41 in 100 of a region's requests within 2 s). Shorter
- * work settles before that, and a forecast costs it 0.02 of a day. */
+/* With cold runs longer than this, a start without a limit moves more traffic
+ * than operators allow (41 in 100 of a region's requests within 2 s), since
+ * slots still hold first runs when the change is first measured. Shorter runs
+ * end before that, and a forecast would only cost latency. */
 #define SETTLES_US 1000000
-/* For so long after the first request the share that has to leave may make
- * cold runs elsewhere: no server is warm yet. */
+/* For this long after the first request the remote share may cause cold runs
+ * in other regions: no server is warm yet. */
 #define START_US 3000000
-/* Arrivals of this time tell how much work the region will have. */
+/* Arrivals in this time give the forecast of the region's work. */
 #define FIRST_LOOK_US 250000
-/* The part of a region's slots that its first, cold work is taken to leave.
- * Tried from 0.6 to 2.5 (docs/MEASURES.md). */
+/* Part of a region's slots that its first, cold work is assumed to use. */
 #define FIRST_ROOM 0.8
 
 static void
@@ -57,8 +57,9 @@
     d->level += CLAMP(wanted - d->level, -step, step);
 }
 
-/* Slots that may take work: of all regions, and of this one. Counted anew only
- * when it is asked for after a change, since changes come by the hundred. */
+/* Updates the slots of servers that accept requests, in all regions and in
+ * this one. Recomputed on use only, since server changes come by the
+ * hundred. */
 static void
 count_room(GwRouter *r)
 {
@@ -104,11 +105,12 @@
     return count;
 }
 
-/* The share of the region's traffic that its slots can't carry while all work
- * is cold: where the day begins. Without it a region with few servers keeps
- * all until they are full, and then sends two thirds away at once. Never more
- * than would leave if callers were spread evenly over regions, since the first
- * quarter of a second says little of their number. */
+/* The initial allowed share: the part of the region's traffic that its
+ * slots can't carry while all work is cold. Without it, a region with few
+ * servers keeps all traffic until they are full, and then sends two thirds
+ * away at once. Bounded by the share that would leave if callers were
+ * spread evenly over regions, since arrivals of a quarter of a second are a
+ * poor estimate. */
 static double
 first_level(GwRouter *r, const GwDrift *d)
 {
@@ -127,7 +129,8 @@
     return now_us < r->drift.start_until_us;
 }
 
-/* After the first look: a forecast, or freedom. */
+/* Ends the forecast window: sets the initial share, or lifts the limit for
+ * work that is short. */
 static void
 begin(GwRouter *r, int64_t now_us)
 {
--- a/lib/router/feeding.c
+++ b/lib/router/feeding.c
@@ -1,44 +1,45 @@
-/* Rates that a server bears from all entries together: of one that is cold, and
- * of one that names a limit.
+/* Request rates that hold for all entries together: of cold servers, and of
+ * servers that state a limit.
  *
- * No entry knows what the others send, so the rate is dealt to few of them, who
- * feed the server: the first by a hash, of those that serve, in its region if
- * there are any. Each entry works out the same. A cold server has one feeder; a
- * limit is shared by as many as can each hold a request ready and still keep
- * within what the server is promised. */
+ * No entry knows what the others send, so a server's rate is divided among
+ * a few rate owners: the first, by a hash, of the serving entries of its
+ * region, or of all entries if its region has none. Each entry computes the
+ * same owners. A cold server has one owner; a limit is shared by as many as
+ * can each keep a request ready without exceeding the limit by more than
+ * allowed. */
 #include "router/router_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-/* After a start an entry knows no peers yet and would take itself for the one
- * that feeds every server. */
+/* After its start an entry knows no peers yet and would consider itself the
+ * owner of every server's rate. */
 #define FEED_AFTER_START_US 2000000
-/* Those of other regions are heard of later where entries are many. */
+/* With many entries, peers of other regions become known later. */
 #define FEED_FAR_AFTER_START_US 20000000
-/* Of the rate that a cold server bears, so that a late or doubled belief about
- * who feeds it still stays within the bound. */
+/* Part of a cold server's rate that is used, so that a late or doubled view of
+ * its owner still keeps within the rate. */
 #define FEED_SHARE 0.9
 #define FEED_BURST 2.0
-/* Feeders of a limited server: what they hold ready comes on top of its limit,
- * which it may be exceeded by half and 5 requests in 4 s. */
+/* Owners of a limit: the requests that they keep ready add to the limit, which
+ * may be exceeded by half and 5 requests in 4 s. */
 #define LIMIT_SHARE       0.95
 #define FEEDERS_PER_LIMIT 2.0
 #define FEEDERS_MIN       1.0
-/* A server that takes nothing would never be heard of again. */
+/* Without a minimum, a server with limit 0 would never be asked again. */
 #define LIMIT_FLOOR 0.2
-/* Of the time for which a feeder may save up what it doesn't use. */
+/* Time for which an owner may save up unused tokens. */
 #define LIMIT_SAVED_S     0.25
 #define LIMIT_WAIT_MAX_US 3.6e9
-/* Who feeds a server is worked out anew after this. */
+/* Interval at which the owners are recomputed. */
 #define RANK_LIFE_US 100000
-/* Answers of one server overtake each other: a limit rises, or ends, only when
- * none has named the lower one for this long. */
+/* Answers of one server may be reordered: a limit rises, or ends, only when no
+ * answer has stated the lower one for this long. */
 #define LIMIT_KEPT_US 500000
-/* A feeder that hears nothing of its server sends it a request after this. */
+/* After this long without an answer, an owner sends the server a request. */
 #define UNHEARD_US       2000000
 #define UNHEARD_EVERY_US 100000
-/* Above it a server has no limit that any entry could meet. */
+/* A limit above this can't be reached and is treated as this. */
 #define LIMIT_MAX 1e6
 
 static uint64_t
@@ -47,11 +48,11 @@
     return GwHash_Text(entry, s->hash);
 }
 
-/* Where this entry stands among those that may feed the server. */
+/* The rank of this entry among the possible rate owners of a server. */
 typedef struct {
     bool may_feed;
-    uint32_t before; /* that come first */
-    uint32_t count;  /* of all, with this one */
+    uint32_t before; /* entries that rank before this one */
+    uint32_t count;  /* all entries, including this one */
 } FeedRank;
 
 static FeedRank
@@ -82,9 +83,9 @@
 
 /* ---- Cold servers -------------------------------------------------------- */
 
-/* Whether a token for the cold server is there. An entry that has only now
- * become the feeder starts with none: the one before it may just have spent
- * its own. */
+/* Returns whether this entry owns the cold server's rate and has a token. A
+ * new owner starts without tokens: the previous one may just have spent its
+ * own. */
 bool
 GwRouter_FeedsCold(GwRouter *r, GwServer *s, int64_t now_us)
 {
@@ -100,7 +101,7 @@
         s->cold_tokens = (GwBucket){.max = FEED_BURST, .at_us = now_us};
     }
     GwBucket_Fill(&s->cold_tokens, now_us, per_s);
-#if GW_MUTANT == 73 /* breaks: a cold server gets all that comes */
+#if GW_MUTANT == 73 /* breaks: a cold server has no rate limit */
     return true;
 #endif
     return s->cold_tokens.tokens >= 1.0;
@@ -134,7 +135,7 @@
     double most = FEEDERS_MIN + FEEDERS_PER_LIMIT * s->limit.per_s;
     uint32_t feeders = (uint32_t)MIN(most, rank.count);
 
-#if GW_MUTANT == 84 /* breaks: each entry takes the whole limit */
+#if GW_MUTANT == 84 /* breaks: each entry uses the whole limit */
     return s->limit.per_s;
 #endif
     if (!rank.may_feed || rank.before >= feeders) {
@@ -196,7 +197,7 @@
     return NULL;
 }
 
-/* Adopts what is known of the limit since `at_us`. */
+/* Sets the limit, valid since `at_us`. */
 static void
 set_limit(GwRouter *r, int64_t now_us, GwServer *s, double per_s,
           int64_t at_us)
@@ -237,7 +238,7 @@
     }
 }
 
-/* ---- Limits that other entries know --------------------------------------- */
+/* ---- Limits from other entries ------------------------------------------- */
 
 void
 GwRouter_PutLimit(GwRouter *r, int64_t now_us, const GwLimit *limit)
--- a/lib/router/keys.c
+++ b/lib/router/keys.c
@@ -1,17 +1,17 @@
-/* Objects and where they are warm.
+/* Objects and their placements: the servers that have them cached.
  *
- * A server that lately handled an object runs the next request for it in a
- * third of the time, so where an object is warm is capacity. The entry
- * remembers where it sent each object; entries that know nothing of each
- * other's memory meet at the same servers by the hash in choose.c. */
+ * A server that recently handled an object runs the next request for it in a
+ * third of the time, so placements determine capacity. The entry records where
+ * it sent each object; entries that know nothing of each other's placements
+ * agree by the hash in choose.c. */
 #include "router/router_internal.h"
 
 #include <string.h>
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/* Objects not asked for in this time leave the table. Longer than any
- * request may take, since requests point into it. */
+/* Objects without a request for this long are removed when the table is full.
+ * Longer than any request may take, since requests point into the table. */
 #define KEY_LIFE_US 300000000
 #define KEYS_MAX    200000
 
@@ -66,9 +66,10 @@
     return key;
 }
 
-/* What a server remembers is the object as one route uses it: a booking of a
- * slot does not make the look-up of the same slot faster. A route that moves
- * to another service, or is split, has places of its own in each. */
+/* The key includes the route, since a server caches an object per route: a
+ * booking of a slot doesn't speed up the lookup of the same slot. It includes
+ * the service, so that a route that moves to another service or is split has
+ * placements in each. */
 GwKey *
 GwRouter_KeyOf(GwRouter *r, int64_t now_us, const GwRoute *route,
                const GwServiceState *service, const char *text)
@@ -89,7 +90,7 @@
     return NULL;
 }
 
-/* Makes the server a place of the object. The oldest one makes room. */
+/* Adds a placement; replaces the oldest one if all are in use. */
 static void
 add_place(GwKey *key, GwServer *s, int64_t now_us)
 {
@@ -174,7 +175,7 @@
     }
 }
 
-/* The first of this entry's placements that is younger than `age_us`. */
+/* Index of the first own placement younger than `age_us`. */
 static guint
 first_younger(const GwRouter *r, int64_t now_us, int64_t age_us)
 {
--- a/lib/router/peers.c
+++ b/lib/router/peers.c
@@ -1,10 +1,11 @@
-/* What other entries have in flight at backend servers, as they tell it. */
+/* Requests in flight of other entries at backend servers, as they report
+ * them. */
 #include "router/router_internal.h"
 
 #include <string.h>
 
-/* A server that came after a report was counted in holds nothing of it: the
- * count never falls below zero. */
+/* A server added after a report was applied counts nothing of that report: the
+ * count saturates at zero. */
 static void
 move_count(uint32_t *count, uint32_t by, bool add)
 {
@@ -35,7 +36,7 @@
     }
 }
 
-/* The one of that name, which is made where it is not there yet. */
+/* Finds or creates the peer. */
 static GwPeer *
 peer_of(GHashTable *peers, const char *name, const char *region)
 {
@@ -72,8 +73,8 @@
     set_loads(r, now_us, peer, info->load_count, info->loads);
 }
 
-/* Sums are told as what has changed, so one of a server that is not known yet
- * is kept for when it comes (GwRouter_AddSums). */
+/* Only changes of sums are sent, so the sum of an unknown server is kept until
+ * the server is added (GwRouter_AddSums). */
 void
 GwRouter_SetSum(GwRouter *r, int64_t now_us, const char *region,
                 uint32_t server, uint32_t count)
--- a/lib/router/quarantine.c
+++ b/lib/router/quarantine.c
@@ -2,24 +2,24 @@
 
 #include <string.h>
 
-/* Records of one entry. */
+/* Limits of one entry's tables. */
 #define RECORDS_MAX 4096
 #define BREAKS_MAX  1024
-/* A break whose server isn't known to have crashed by then had another
- * reason. */
+/* A lost connection is dropped if its server is not known to have crashed by
+ * then. */
 #define BREAK_LIFE_US 2000000
-/* Suspicions fade after this, and so does the memory of having been cleared. */
+/* Lifetime of a suspicion, and of the record that it was cleared. */
 #define SUSPECT_LIFE_US 600000000LL
-/* A suspect of one crash is told to others only after this: most are sent
- * again and cleared at once. */
+/* A suspect of one crash is sent to other entries only after this: most are
+ * retried and cleared at once. */
 #define SETTLE_US 100000
-/* What other entries saw of the same crashes has come by then. */
+/* By then the other entries' records of the same crashes have arrived. */
 #define JUDGE_AFTER_US 150000
-/* Servers that crash within this time may have one cause that is none of the
- * requests that ran there. Entries hear of one crash at times that differ by
- * less. */
+/* Crashes within this time may have one common cause, other than the requests
+ * that ran. Must exceed the difference between the times at which entries
+ * detect one crash. */
 #define MOMENT_US 250000
-/* A hold is doubled so often at most. */
+/* Maximum number of doublings of the quarantine time. */
 #define DOUBLINGS_MAX 10
 
 const char *
@@ -76,7 +76,7 @@
     return g_hash_table_lookup(q->records, f);
 }
 
-/* ---- Judgement ----------------------------------------------------------- */
+/* ---- Evaluation ---------------------------------------------------------- */
 
 static bool
 has_server(const GwSuspect *s, uint64_t server)
@@ -89,8 +89,8 @@
     return false;
 }
 
-/* The most crashes of any other request that ran on the server when it
- * crashed. */
+/* Returns the highest crash count of any other request that ran on the server
+ * when it crashed. */
 static uint32_t
 most_of_others(const GwQuarantine *q, const GwSuspectRecord *rec,
                uint64_t server)
@@ -110,8 +110,9 @@
     return most;
 }
 
-/* Whether the crashes are best explained by this request: it has more of them
- * than any other that ran there, or as many and one more to show for it. */
+/* Returns whether this request explains its crashes best: it has more of them
+ * than any other request that ran there, or as many and one crash beyond the
+ * threshold. */
 static bool
 is_cause(const GwQuarantine *q, const GwSuspectRecord *rec)
 {
@@ -123,7 +124,7 @@
         ahead += most < rec->s.server_count;
         level += most <= rec->s.server_count;
     }
-#if GW_MUTANT == 80 /* breaks: who runs beside a cause is held with it */
+#if GW_MUTANT == 80 /* breaks: bystanders are quarantined too */
     return true;
 #endif
     return ahead >= GW_QUARANTINE_CRASHES || level > GW_QUARANTINE_CRASHES;
@@ -144,7 +145,7 @@
     if (rec->s.server_count < GW_QUARANTINE_CRASHES) {
         return 0;
     }
-#if GW_MUTANT != 83 /* breaks: many crashes of one cause convict a request */
+#if GW_MUTANT != 83 /* breaks: a common cause quarantines requests */
     if (rec->at_us - rec->first_us < MOMENT_US) {
         return 0;
     }
@@ -187,7 +188,7 @@
                                                           : GW_SUSPECT_WATCHED;
 }
 
-/* ---- Changes ------------------------------------------------------------- */
+/* ---- Updates ------------------------------------------------------------- */
 
 GwSuspect
 GwSuspectRecord_View(const GwSuspectRecord *rec, int64_t now_us)
@@ -233,7 +234,7 @@
     note_state(q, now_us, rec);
 }
 
-/* Of two records, the one to go: the less suspect, then the older. */
+/* Eviction order: fewer crashes first, then older. */
 static bool
 goes_before(const GwSuspectRecord *a, const GwSuspectRecord *b)
 {
@@ -302,7 +303,8 @@
     return true;
 }
 
-/* One more crash, of a server that was added if there was room. */
+/* Updates the times for a further crash, whose server was added if there was
+ * room. */
 static void
 note_time(GwSuspectRecord *rec, int64_t at_us)
 {
@@ -357,7 +359,7 @@
     }
 }
 
-/* Nobody else knows of one that was never told. */
+/* A record that was never sent is unknown elsewhere and can be removed. */
 static bool
 clear(GwQuarantine *q, int64_t now_us, const GwFingerprint *f)
 {
@@ -383,7 +385,7 @@
 GwQuarantine_NoteSuccess(GwQuarantine *q, int64_t now_us,
                          const GwFingerprint *f)
 {
-#if GW_MUTANT != 81 /* breaks: a run that ends well clears nothing */
+#if GW_MUTANT != 81 /* breaks: a successful run clears nothing */
     (void)clear(q, now_us, f);
 #endif
 }
@@ -394,7 +396,7 @@
     return clear(q, now_us, f);
 }
 
-/* ---- Time ---------------------------------------------------------------- */
+/* ---- Timers -------------------------------------------------------------- */
 
 int64_t
 GwSuspectRecord_LifeUs(const GwSuspectRecord *rec)
--- a/lib/router/quarantine_internal.h
+++ b/lib/router/quarantine_internal.h
@@ -1,22 +1,22 @@
-/* What the parts of the quarantine share. */
+/* Shared declarations of the quarantine. */
 #ifndef GW_ROUTER_QUARANTINE_INTERNAL_H
 #define GW_ROUTER_QUARANTINE_INTERNAL_H
 
 #include "router/quarantine.h"
 
 #ifndef GW_MUTANT
-#define GW_MUTANT 0 /* tests/mutants.sh breaks one safeguard at a time */
+#define GW_MUTANT 0 /* tests/mutants.sh disables one safeguard at a time */
 #endif
 
 typedef struct {
     GwSuspect s;
     int64_t first_us; /* of the first crash */
-    int64_t at_us;    /* of the last crash, or of being cleared */
+    int64_t at_us;    /* of the last crash, or of the clearance */
     int64_t changed_us;
-    int64_t ripe_us;      /* of the crash that made them enough to hold it */
-    bool told;            /* to other entries */
-    GwSuspectState state; /* as noted last */
-    uint64_t judged;      /* version as of which it was judged */
+    int64_t ripe_us;      /* of the crash that reached the threshold */
+    bool told;            /* shared with other entries */
+    GwSuspectState state; /* as last reported by q->note */
+    uint64_t judged;      /* version for which is_cause holds */
     bool is_cause;
 } GwSuspectRecord;
 
@@ -29,9 +29,9 @@
 struct GwQuarantine_s {
     GHashTable *records; /* GwFingerprint -> GwSuspectRecord */
     GArray *breaks;      /* GwBreak */
-    uint64_t version;    /* rises with each change of a record */
+    uint64_t version;    /* incremented with each change of a record */
     uint64_t sum;
-    uint64_t sum_version; /* as of which `sum` holds */
+    uint64_t sum_version; /* for which `sum` holds */
     int64_t changed_us;
     GwQuarantineNote note;
     void *ctx;
@@ -39,13 +39,13 @@
 
 GwSuspectRecord *GwQuarantine_Find(const GwQuarantine *q,
                                    const GwFingerprint *f);
-/* Makes it, and room for it, where it isn't known. */
+/* Creates the record if needed; evicts another one if the table is full. */
 GwSuspectRecord *GwQuarantine_FindOrAdd(GwQuarantine *q, int64_t now_us,
                                         const GwFingerprint *f);
-/* The record says something new. */
+/* Must be called after each change of the record. */
 void GwSuspectRecord_Change(GwQuarantine *q, int64_t now_us,
                             GwSuspectRecord *rec);
-/* How long it is kept after its last crash. */
+/* Lifetime after the last crash. */
 int64_t GwSuspectRecord_LifeUs(const GwSuspectRecord *rec);
 GwSuspect GwSuspectRecord_View(const GwSuspectRecord *rec, int64_t now_us);
 GwSuspectState GwSuspectRecord_State(const GwQuarantine *q, int64_t now_us,
@@ -53,8 +53,8 @@
 int64_t GwSuspectRecord_HeldUntil(const GwQuarantine *q, int64_t now_us,
                                   GwSuspectRecord *rec);
 bool GwSuspect_IsFull(const GwSuspect *s);
-/* Keeps the servers in order and, of too many, the first: so all entries keep
- * the same ones. Returns whether it has been added. */
+/* Keeps the servers sorted and drops the largest of too many, so that all
+ * entries keep the same ones. Returns whether the server was added. */
 bool GwSuspect_AddServer(GwSuspect *s, uint64_t server);
 
 #endif
--- a/lib/router/quarantine_news.c
+++ b/lib/router/quarantine_news.c
@@ -1,11 +1,10 @@
-/* What entries tell each other of requests that crash servers, and how it
- * merges. */
+/* Exchange and merging of quarantine records between entries. */
 #include "router/quarantine_internal.h"
 
 #include "common/rng.h"
 
-/* A record that isn't known is not taken over any more so long before its end:
- * entries that forget it a little earlier than others would go on forever. */
+/* An unknown record is not accepted this close to its end: entries that expire
+ * it a little earlier would otherwise receive it again forever. */
 #define LAST_US 60000000
 
 static bool
@@ -25,9 +24,9 @@
     return changed;
 }
 
-/* Of two that know the same, the earlier times count: told to and fro, a record
- * must not get younger by what the way takes. A full one doesn't say which
- * crash was its last. */
+/* Between records of the same crashes the earlier times win: a record must not
+ * get younger by its transmission time. A full record doesn't show which crash
+ * was its last. */
 static void
 take_times(GwSuspectRecord *rec, const GwSuspectRecord *from, bool is_same)
 {
@@ -48,8 +47,8 @@
     rec->at_us = from->at_us;
 }
 
-/* Whether the record, `rec` or none so far, says nothing that isn't out of
- * date. */
+/* Returns whether the received record is out of date; `rec` is the local one
+ * or NULL. */
 static bool
 is_outdated(const GwSuspectRecord *rec, const GwSuspectRecord *from,
             int64_t now_us)
@@ -60,7 +59,7 @@
                        : left_us < 0 || rec->s.generation > from->s.generation;
 }
 
-/* Returns whether it said something new. */
+/* Returns whether `rec` changed. */
 static bool
 merge(GwSuspectRecord *rec, const GwSuspectRecord *from)
 {
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -1,27 +1,27 @@
-/* The life of a request once it is admitted: placed, sent, perhaps sent
- * again, over. */
+/* The states of an admitted request: waiting, sent, retried, ended. */
 #include "router/router_internal.h"
 
 #include <string.h>
 
-/* Waiting requests are judged anew this often: estimates move with the peers'
- * reports, and a first run may end earlier than expected. */
+/* Interval of evaluations of waiting requests: estimates change with the
+ * peers' reports, and a first run may end earlier than expected. */
 #define REJUDGE_US 15000
-/* Sends that met no server cost no server anything, but time. */
+/* Attempts that reached no server cost time only, but are bounded. */
 #define UNSENT_MAX 3
-/* Of the retries that all entries together may make, so that requests counted
- * late or twice, and entries that started meanwhile, stay within it. */
+/* Part of the retries allowed to all entries together that is used: the rest
+ * covers requests counted late or twice, and new entries. */
 #define RETRY_SHARE 0.8
 #define RETRY_BURST 8.0
-/* When refused callers come back: spread, so that they don't meet again. */
+/* Retry delay of refused callers, randomized so that they don't retry at
+ * once. */
 #define COMEBACK_MIN_MS    250
 #define COMEBACK_SPREAD_MS 500
-/* Of those refused for lack of room, not sooner and not later than this: a
- * forecast of a few ms is one of the moment, and no caller waits for longer
- * than a third of its time. */
+/* Bounds of the retry delay after a refusal for lack of capacity: a forecast
+ * of a few ms is not stable, and no caller waits longer than a third of its
+ * time. */
 #define ROOM_MIN_US 50000.0
 #define ROOM_MAX_US 3000000.0
-/* One that is refused in a stop may go to another entry at once. */
+/* A caller refused during a stop may retry at another entry at once. */
 #define ELSEWHERE_MS 20
 
 const char *
@@ -78,7 +78,7 @@
     return story;
 }
 
-/* Ends the bookkeeping of a request; its last action has been appended. */
+/* Frees a request whose last action has been appended. */
 static void
 finish(GwRouter *r, GwRequest *req)
 {
@@ -99,8 +99,9 @@
     return COMEBACK_MIN_MS + GwRng_Below(&r->rng, COMEBACK_SPREAD_MS);
 }
 
-/* When a slot is expected to be free for this kind of request. Those before it
- * take the first slots, so callers are spread over as long again. */
+/* Retry delay until a slot is expected to be free for this kind of request.
+ * Requests ahead take the first slots, so callers are spread over the same
+ * time again. */
 static uint32_t
 room_ms(GwRouter *r, const GwRequest *req)
 {
@@ -123,9 +124,9 @@
     return r->end_us != INT64_MAX ? ELSEWHERE_MS : GwRouter_ComebackMs(r);
 }
 
-/* Answers with a status of our own. 503 is a promise that the request has not
- * run and won't, so a request of which an attempt may have run gets 502, or
- * 504 when its time is over. */
+/* Ends the request with a status of this entry. 503 guarantees that the
+ * request has not run and won't: a request with an attempt that may have run
+ * gets 502, or 504 on timeout. */
 static void
 reply(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why, GArray *actions)
 {
@@ -136,7 +137,7 @@
     if (why == GW_WHY_TIMEOUT) {
         out->status = 504;
     }
-#if GW_MUTANT != 71 /* breaks: "not run" is said though it may have run */
+#if GW_MUTANT != 71 /* breaks: "not run" is sent though it may have run */
     else if (why == GW_WHY_BROKEN || req->may_have_run) {
         out->status = 502;
     }
@@ -200,7 +201,7 @@
         until_us > now_us ? (uint32_t)((until_us - now_us) / 1000) : 0;
 }
 
-/* An answer after this is worth nothing. */
+/* An answer after this is of no use. */
 static int64_t
 too_late_us(const GwRequest *req)
 {
@@ -216,9 +217,10 @@
     return req->attempts > 0 ? GW_WHY_NO_RETRY : GW_WHY_NO_SERVER;
 }
 
-/* Sends the request, keeps it waiting, or refuses it. What comes too late is
- * still worth a little, so it may wait behind all that comes in time; where
- * even that takes long the caller is told at once when to come back. */
+/* Sends the request, keeps it waiting, or refuses it. A late answer is still
+ * of some use, so a late request may wait behind all that meet their
+ * objective; if even that takes too long, the caller is refused at once with a
+ * retry delay. */
 void
 GwRequest_Place(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
@@ -251,7 +253,8 @@
         return;
     }
     GwServer_Claim(c.server);
-    /* One that has just become late is judged once more, behind the others. */
+    /* A request that has just become late is evaluated again, behind the
+     * others. */
     req->waits_for = req->late == was_late ? c.server : NULL;
     req->waits_for_place = c.is_place;
     req->too_late_us = req->late
@@ -263,8 +266,8 @@
     GwRequest_SetDeadline(r, req, MIN(req->give_up_us, again_us));
 }
 
-/* Servers that went may still be named by actions that are not carried out
- * yet: steps come from inside of carrying them out too. */
+/* Removed servers may be referred to by actions that the host has not carried
+ * out yet: it may call the router while carrying them out. */
 void
 GwRouter_FreeFreed(GwRouter *r, const GArray *actions)
 {
@@ -273,17 +276,17 @@
     }
 }
 
-/* ---- Ends of attempts ---------------------------------------------------- */
+/* ---- Attempt results ----------------------------------------------------- */
 
-/* Each first arrival earns its part of a retry. */
+/* Each new request earns a part of a retry. */
 void
 GwRouter_EarnRetry(GwRouter *r, GwServiceState *service)
 {
     service->retries.tokens += r->params.retry_ratio * RETRY_SHARE;
 }
 
-/* Among how many entries the fixed extra is shared: as many as settings say
- * could be alive, and room for as many again as are heard. */
+/* Number of entries that share the fixed part of the retry budget: the
+ * configured maximum, or half as many again as the entries known. */
 uint32_t
 GwRouter_EntriesMax(const GwRouter *r)
 {
@@ -298,8 +301,8 @@
     r->entries = count;
 }
 
-/* Whether another attempt may be made, and pays for it. A send that met no
- * server is no arrival anywhere and costs nothing. */
+/* Returns whether another attempt is allowed, and charges the retry budget. An
+ * attempt that reached no server costs nothing. */
 static bool
 may_retry(GwRouter *r, int64_t now_us, GwRequest *req)
 {
@@ -346,7 +349,8 @@
     GwServer_Unref(r, s, actions);
 }
 
-/* What comes after an attempt that ended without the answer to pass on. */
+/* Retries or ends the request after an attempt without an answer to pass
+ * on. */
 static void
 after_failure(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
               const GwAttemptEnd *end, GArray *actions)
@@ -397,8 +401,8 @@
     }
     leave_server(r, now_us, req, good, actions);
     if (answered) {
-        /* In a stop the server's own word is passed on: a second server might
-         * be too late, and the answer would be gone. */
+        /* During a stop the server's answer is passed on even if it is an
+         * error: a retry might end too late, and the answer would be lost. */
         bool again = !good && req->route->idempotent && r->end_us == INT64_MAX;
         req->arrivals++;
         if (again && may_retry(r, now_us, req)) {
@@ -455,7 +459,7 @@
     }
 }
 
-/* ---- Time ---------------------------------------------------------------- */
+/* ---- Timers -------------------------------------------------------------- */
 
 int64_t
 GwRouter_NextDeadline(const GwRouter *r)
@@ -477,7 +481,8 @@
                   actions);
         }
         else {
-            /* Placing moves the deadline of what still waits. */
+            /* Placing the request moves the deadline again if it still
+             * waits. */
             GwRequest_SetDeadline(r, req, req->give_up_us);
             GwRequest_EndAwaiting(r, req);
         }
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -93,7 +93,8 @@
     GwRequest *req = key;
     GwRouter *r = ctx;
 
-    /* A server that left the registry lives on for its last request. */
+    /* A server that was removed from the registry is kept until its last
+     * attempt ends. */
     if (req->server != NULL && !req->server->listed &&
         --req->server->refs == 0) {
         g_ptr_array_add(r->freed, req->server);
@@ -146,7 +147,7 @@
     r->params.entries_max = params->entries_max;
 }
 
-/* What the new version says of each service. */
+/* Applies the new version's settings of each service. */
 static void
 take_services(GwRouter *r)
 {
@@ -158,7 +159,7 @@
     }
 }
 
-/* Whether the route is gone and nothing needs what was learned of it. */
+/* Returns whether the route was removed and no request refers to its state. */
 static gboolean
 is_over(gpointer name, gpointer value, gpointer names)
 {
@@ -167,7 +168,7 @@
     return state->open == 0 && !g_hash_table_contains(names, name);
 }
 
-/* Operators add and remove routes for years. */
+/* Drops the state of removed routes, which would accumulate over years. */
 static void
 forget_routes(GwRouter *r)
 {
@@ -186,7 +187,7 @@
 bool
 GwRouter_SetRouting(GwRouter *r, GwRouting *routing)
 {
-#if GW_MUTANT != 76 /* breaks: versions may fall */
+#if GW_MUTANT != 76 /* breaks: an older version replaces a newer one */
     if (r->routing != NULL && routing->version <= r->routing->version) {
         return false;
     }
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -1,61 +1,61 @@
-/* The steering core of one entry: which backend server runs a request, when,
- * and what the caller is told when none does.
+/* The steering core of one entry: decides which backend server runs a request
+ * and when, and what the caller receives when no server does.
  *
- * A GwRouter does no I/O and reads no clock. The host feeds it what happened,
- * with the time, and carries out the actions that it appends:
+ * A GwRouter does no I/O and reads no clock. The host reports events with
+ * their time, and carries out the actions that are appended:
  *
  *     GwRouter_Arrive(router, now_us, &arrival, &actions);
  *     for (guint i = 0; i < actions->len; i++) { ...carry out... }
  *
- * Three outcomes are kept apart for each attempt (GwAttemptOutcome): an
- * answer, a proof that it did not run, and neither. A request that is not
- * idempotent is sent again only after a proof, and a caller is told "not run"
- * (503) only when every attempt of the request ended with one. */
+ * An attempt has one of three outcomes (GwAttemptOutcome): an answer, proof
+ * that the request did not run, or neither. A request that is not idempotent
+ * is sent again only after such proof, and a caller receives "not run" (503)
+ * only when every attempt of the request ended with proof. */
 #ifndef GW_ROUTER_ROUTER_H
 #define GW_ROUTER_ROUTER_H
 
 #include "route/route.h"
 #include "router/quarantine.h"
 
-/* Requests that a server is sent beyond its free slots, so that one is there
- * when a slot becomes free: not a round trip later, and not when the next
- * report tells of it. Worth 0.004 and 0.010 of a day (docs/MEASURES.md). */
+/* Requests sent to a server beyond its free slots, so that the next request is
+ * already there when a slot becomes free, without waiting for a round trip or
+ * for the next load report. */
 #define GW_SLOTS_AHEAD 1
 
 typedef struct GwRouter_s GwRouter;
 typedef struct GwRequest_s GwRequest;
 typedef struct GwServer_s GwServer;
 
-/* Bounds that operators promise their callers and servers. */
+/* Identity of the entry, and limits set by operators. */
 typedef struct {
     char name[64]; /* of this entry */
     char region[64];
     char domain[64]; /* failure domain */
     uint64_t seed;
-    /* Retries: each service gets at most ratio x first attempts + extra in a
-     * window, from all entries together. */
+    /* Retry budget: from all entries together, each service receives at most
+     * ratio x first attempts + extra in a window. */
     double retry_ratio;
     uint32_t retry_extra;
     uint32_t retry_window_ms;
-    uint32_t entries_max; /* entries that could be alive at once */
+    uint32_t entries_max; /* upper bound of the entries alive at once */
 } GwRouterParams;
 
 GwRouter *GwRouter_Create(const GwRouterParams *params, int64_t now_us);
 void GwRouter_Free(GwRouter *r);
-/* Takes over the bounds of `params`; names stay. */
+/* Applies the limits of `params`; name, region, domain and seed stay. */
 void GwRouter_SetBounds(GwRouter *r, const GwRouterParams *params);
 
-/* ---- What the entry believes -------------------------------------------- */
+/* ---- State of the system ------------------------------------------------- */
 
-/* Keeps a reference. The version in force never falls: an older one is
- * ignored. Returns whether it was taken. */
+/* Sets the routing configuration and takes a reference. A version that is not
+ * newer than the current one is ignored. Returns whether it was set. */
 bool GwRouter_SetRouting(GwRouter *r, GwRouting *routing);
 const GwRouting *GwRouter_Routing(const GwRouter *r);
 
-/* What the registry says of a backend server. */
+/* Properties of a backend server, from the registry. */
 typedef struct {
     const char *id;
-    uint64_t born_ms; /* a later start under the same id is another server */
+    uint64_t born_ms; /* start time; a later one is another server */
     const char *service;
     const char *address;
     const char *domain;
@@ -70,14 +70,15 @@
 void GwRouter_DropServer(GwRouter *r, int64_t now_us, const char *id,
                          GArray *actions);
 uint32_t GwRouter_ServerCount(const GwRouter *r);
-/* The servers of a failure domain take nothing while it is evacuated. */
+/* While a failure domain is evacuated, its servers receive no requests. */
 void GwRouter_SetEvacuated(GwRouter *r, int64_t now_us, const char *domain,
                            bool evacuated);
-/* Calls `visit` with each id; for a host that compares with a full list. */
+/* Calls `visit` with each server id, so that a host can compare them with a
+ * full list. */
 void GwRouter_EachServer(GwRouter *r, void (*visit)(void *ctx, const char *id),
                          void *ctx);
 
-/* Requests in flight of one peer at one server. */
+/* Requests that one peer has in flight at one server. */
 typedef struct {
     uint32_t server; /* GwServer_Hash */
     uint32_t in_flight;
@@ -86,46 +87,48 @@
 typedef struct {
     const char *name;
     const char *region;
-    bool serves; /* ready and not leaving */
+    bool serves; /* ready and not stopping */
     uint32_t load_count;
     const GwPeerLoad *loads;
 } GwPeerInfo;
 
 void GwRouter_PutPeer(GwRouter *r, int64_t now_us, const GwPeerInfo *info);
-/* Many entries of that region have so much in flight at the server together, as
- * another entry has added up. */
+/* Sets the requests in flight at the server from the entries of a region that
+ * are reported as a sum instead of one by one. */
 void GwRouter_SetSum(GwRouter *r, int64_t now_us, const char *region,
                      uint32_t server, uint32_t count);
-/* No sum is known any more, of any region. */
+/* Clears the sums of all regions. */
 void GwRouter_DropSums(GwRouter *r, int64_t now_us);
 void GwRouter_DropPeer(GwRouter *r, int64_t now_us, const char *name);
-/* This entry's own requests in flight, as it tells its peers: GwPeerLoad. */
+/* Appends this entry's own requests in flight, to be sent to peers:
+ * GwPeerLoad. */
 void GwRouter_OwnLoads(const GwRouter *r, GArray *out);
 
-/* An object that lately got a place at a server: entries of a region tell each
- * other, so that they send its requests to the same one. */
+/* A new placement: a server that has, or will soon have, the object cached.
+ * Entries of a region exchange placements so that they send an object's
+ * requests to the same server. */
 typedef struct {
     uint64_t object;
     uint32_t server; /* GwServer_Hash */
-    bool warm;       /* it has run there; else its first run has just begun */
+    bool warm; /* a run there has ended; else the first run has just begun */
     int64_t at_us;
 } GwPlacement;
 
 void GwRouter_PutPlacement(GwRouter *r, int64_t now_us,
                            const GwPlacement *placement);
-/* All that are warm, the last used first, at most `most`: for an entry that
- * has just started and would else make all places anew. */
+/* Appends the warm placements, last used first, at most `most`: bootstrap
+ * state for a joining entry, which would otherwise start with a cold set. */
 void GwRouter_WarmPlacements(const GwRouter *r, uint32_t most, GArray *out);
-/* Those of this entry that are younger than `age_us`: GwPlacement. What is
- * older than `life_us` is forgotten. */
+/* Appends the placements made by this entry in the last `age_us`
+ * (GwPlacement), and drops those older than `life_us`. */
 void GwRouter_OwnPlacements(GwRouter *r, int64_t now_us, int64_t age_us,
                             int64_t life_us, GArray *out);
 
-/* The requests a second that a server takes from all entries together, as it
- * named them `age_ms` ago. */
+/* The requests per second that a server accepts from all entries together, as
+ * stated `age_ms` ago. */
 typedef struct {
     uint32_t server; /* GwServer_Hash */
-    double per_s;    /* < 0: it names none any more */
+    double per_s;    /* < 0: no limit any more */
     uint32_t age_ms;
 } GwLimit;
 
@@ -133,79 +136,80 @@
 typedef void (*GwLimitNote)(void *ctx, const GwServer *s, double per_s);
 
 void GwRouter_SetLimitNote(GwRouter *r, GwLimitNote note, void *ctx);
-/* Another entry says so; the younger word counts. */
+/* Merges a limit received from another entry; the most recent one wins. */
 void GwRouter_PutLimit(GwRouter *r, int64_t now_us, const GwLimit *limit);
-/* Those that changed here since, at most `most`. Returns how many. */
+/* Copies the limits that changed here since `since_us`, at most `most`.
+ * Returns their number. */
 uint32_t GwRouter_Limits(const GwRouter *r, int64_t now_us, int64_t since_us,
                          GwLimit *out, uint32_t most);
-/* Of all that are in force; the same at entries that know the same, 0 for
- * none. */
+/* Checksum of the limits in force; equal at entries with equal limits, 0
+ * without limits. */
 uint64_t GwRouter_LimitsSum(const GwRouter *r);
-/* When one has changed last; 0: never. */
+/* Time of the last change of any limit; 0: never. */
 int64_t GwRouter_LimitsChangedUs(const GwRouter *r);
 
-/* ---- The life of a request ---------------------------------------------- */
+/* ---- Requests ------------------------------------------------------------ */
 
 typedef struct {
-    void *user; /* the host's */
+    void *user; /* for the host */
     const char *host;
     const char *path;
     const char *key; /* names the object that the request is about; or NULL */
-    int64_t left_us; /* how long the caller waits; < 0: it did not say */
-    const GwFingerprint *fingerprint; /* NULL: GwRouter_WantsFingerprints
-                                         said that it isn't needed */
+    int64_t left_us; /* time that the caller waits; < 0: not stated */
+    const GwFingerprint *fingerprint; /* NULL unless wanted */
 } GwArrival;
 
 typedef enum {
     GW_ATTEMPT_ANSWERED = 1, /* the whole answer of that server */
-    GW_ATTEMPT_REFUSED = 2,  /* it says that it did not run the request */
-    GW_ATTEMPT_UNSENT = 3,   /* not a byte has left */
-    GW_ATTEMPT_BROKEN = 4    /* sent, and no whole answer: may have run */
+    GW_ATTEMPT_REFUSED =
+        2, /* the server states that it did not run the request */
+    GW_ATTEMPT_UNSENT = 3, /* no byte was sent */
+    GW_ATTEMPT_BROKEN = 4 /* sent, no whole answer: the request may have run */
 } GwAttemptOutcome;
 
-/* What an answer says of the requests a second that its server takes. */
+/* Whether an answer states a limit on the server's requests per second. */
 typedef enum {
-    GW_LIMIT_UNSAID = 0, /* no answer, or not to be read */
-    GW_LIMIT_NONE,       /* as many as come */
+    GW_LIMIT_UNSAID = 0, /* no answer, or not readable */
+    GW_LIMIT_NONE,       /* no limit */
     GW_LIMIT_NAMED
 } GwLimitWord;
 
 typedef struct {
     GwAttemptOutcome outcome;
     uint16_t status;   /* ANSWERED, REFUSED */
-    bool other_server; /* REFUSED: another one has this address now */
+    bool other_server; /* REFUSED: another server uses this address now */
     bool has_load;
-    uint32_t running; /* of the load report */
+    uint32_t running; /* from the load report */
     uint32_t waiting;
-    uint32_t cold_ms;   /* > 0: the server says that it is cold */
-    int64_t connect_us; /* time of a connection made for this; 0: reused */
+    uint32_t cold_ms;   /* > 0: the server states that it is cold */
+    int64_t connect_us; /* time to set up a new connection; 0: reused */
     GwLimitWord limit;
-    double limit_per_s; /* where NAMED */
+    double limit_per_s; /* if NAMED */
     bool closed;        /* BROKEN: the server closed or reset the connection */
-    /* Of the request; where `closed`, or GwRouter_WantsFingerprints says so. */
+    /* Of the request; set if `closed` or GwRouter_WantsFingerprints. */
     const GwFingerprint *fingerprint;
 } GwAttemptEnd;
 
-/* What a new connection to a server has met (GW_DO_PROBE). */
+/* Result of a probe connection to a server (GW_DO_PROBE). */
 typedef enum {
     GW_PROBE_ALIVE = 1,
     GW_PROBE_REFUSED, /* nothing listens there: the process has ended */
-    GW_PROBE_SILENT   /* neither, in time */
+    GW_PROBE_SILENT   /* neither before the timeout */
 } GwProbeResult;
 
-/* What decided about a request, for the line that the host logs. */
+/* How a request was handled, for the access log. */
 typedef struct {
     char route[48];
-    char server[48];      /* of the last attempt; "" when there was none */
-    uint64_t version;     /* of the configuration that admitted it */
-    uint32_t attempts;    /* sends, also those that met no server */
-    uint32_t waited_ms;   /* before the last send, or in all */
-    uint32_t took_ms;     /* from its arrival */
-    uint32_t expected_ms; /* that it would take, as of the last look */
-    bool warm;            /* the last server had a place of its object */
+    char server[48];      /* of the last attempt; "" if there was none */
+    uint64_t version;     /* of the configuration that admitted the request */
+    uint32_t attempts;    /* attempts, also those that reached no server */
+    uint32_t waited_ms;   /* until the last attempt, or in all */
+    uint32_t took_ms;     /* since arrival */
+    uint32_t expected_ms; /* total time expected at the last evaluation */
+    bool warm;            /* the last server was a placement of the object */
     bool far;             /* the last server is in another region */
-    /* Of one that was refused for lack of room: the best server, and what it
-     * had to do as this entry knew; else "". */
+    /* If refused for lack of capacity: the best server, its requests in flight
+     * as known to this entry, and its slots; else "". */
     char best[48];
     uint32_t best_busy;
     uint32_t best_slots;
@@ -213,60 +217,63 @@
 
 /* Requests that crashed servers; see quarantine.h. */
 GwQuarantine *GwRouter_Quarantine(GwRouter *r);
-/* Some request is under suspicion, so arrivals are told apart. */
+/* Returns whether any request is a suspect, so that arrivals need
+ * fingerprints. */
 bool GwRouter_WantsFingerprints(const GwRouter *r);
 void GwRouter_Probed(GwRouter *r, int64_t now_us, GwServer *s,
                      GwProbeResult result, GArray *actions);
-/* Starts a request. It may be over when this returns (REPLY). */
+/* Starts a request. It may have ended when this returns (REPLY). */
 void GwRouter_Arrive(GwRouter *r, int64_t now_us, const GwArrival *arrival,
                      GArray *actions);
 void GwRouter_Ended(GwRouter *r, int64_t now_us, GwRequest *req,
                     const GwAttemptEnd *end, GArray *actions);
-/* The caller left, and the host has abandoned the attempt. A caller may take
- * several requests along, so the room that they leave is given to others only
- * by Settle, when all are gone: else one of them could get it. */
+/* The caller disconnected and the host abandoned the attempt. The capacity
+ * that becomes free is used only by GwRouter_Settle, to be called after all
+ * requests of the connection were reported: otherwise one of them could get
+ * it. */
 void GwRouter_Gone(GwRouter *r, int64_t now_us, GwRequest *req,
                    GArray *actions);
-/* How far it has come; for the log. */
+/* Returns the state so far of a request, for the log. */
 GwRequestStory GwRequest_Story(const GwRequest *req, int64_t now_us);
 void GwRouter_Settle(GwRouter *r, int64_t now_us, GArray *actions);
-/* This entry stops: what it has begun by then has to be over at `end_us`, when
- * it closes the connections of its callers. Called once more at the end, it
- * refuses what still waits. */
+/* Begins a graceful stop: attempts that start from now on must end by
+ * `end_us`, when the entry closes the connections of its callers. A second
+ * call at the end refuses the requests that still wait. */
 void GwRouter_Stop(GwRouter *r, int64_t now_us, int64_t end_us,
                    GArray *actions);
-/* What time does; to be called at GwRouter_NextDeadline. */
+/* Handles timeouts and due evaluations; to be called at
+ * GwRouter_NextDeadline. */
 void GwRouter_Tick(GwRouter *r, int64_t now_us, GArray *actions);
 int64_t GwRouter_NextDeadline(const GwRouter *r); /* INT64_MAX: none */
 uint32_t GwRouter_OpenCount(const GwRouter *r);
-/* Servers looked at to place requests, since the start, and what judging a
- * request takes besides as so many looks: most of the core's work. */
+/* Number of server evaluations since the start, which is most of the core's
+ * work; the fixed work per request counts as several of them. */
 uint64_t GwRouter_Looks(const GwRouter *r);
 
 typedef enum {
-    GW_DO_ACCEPT = 1,   /* `request` is the handle of this arrival */
-    GW_DO_SEND,         /* one attempt at `server` */
-    GW_DO_CANCEL,       /* abandon the attempt; its connection is closed */
-    GW_DO_ANSWER,       /* pass on the last attempt's answer; over */
-    GW_DO_REPLY,        /* answer with `status` of our own; over */
-    GW_DO_PROBE,        /* connect to `server`, then GwRouter_Probed */
-    GW_DO_FORGET,       /* `server` is gone: drop what is kept for it */
-    GW_DO_NOTE_EJECTED, /* for the log: `server` is passed over for left_ms */
-    GW_DO_NOTE_BACK     /* for the log: `server` answers well again */
+    GW_DO_ACCEPT = 1, /* `request` is the handle of this arrival */
+    GW_DO_SEND,       /* one attempt at `server` */
+    GW_DO_CANCEL,     /* abandon the attempt and close its connection */
+    GW_DO_ANSWER,     /* pass on the last attempt's answer; ends the request */
+    GW_DO_REPLY,      /* answer with `status`, without a server; ends it */
+    GW_DO_PROBE,      /* connect to `server`, then call GwRouter_Probed */
+    GW_DO_FORGET,     /* `server` was removed: drop the host's state of it */
+    GW_DO_NOTE_EJECTED, /* log that `server` is ejected for left_ms */
+    GW_DO_NOTE_BACK     /* log that `server` answers without errors again */
 } GwDoKind;
 
 typedef enum {
     GW_WHY_NONE = 0,
     GW_WHY_NO_CONFIG,
     GW_WHY_NO_ROUTE,
-    GW_WHY_NO_SERVER,   /* no backend server may take it */
-    GW_WHY_NO_ROOM,     /* it would come too late */
+    GW_WHY_NO_SERVER,   /* no backend server is eligible */
+    GW_WHY_NO_ROOM,     /* no slot would be free in time */
     GW_WHY_NO_RETRY,    /* not run, and no attempt is left */
-    GW_WHY_TIMEOUT,     /* sent, and the time is over */
-    GW_WHY_TIME_UNSENT, /* never sent, and the time is over */
+    GW_WHY_TIMEOUT,     /* sent, then timed out */
+    GW_WHY_TIME_UNSENT, /* timed out before it was sent */
     GW_WHY_BROKEN,      /* it may have run */
-    GW_WHY_LEAVING,     /* the entry stops, and takes nothing new */
-    GW_WHY_QUARANTINED, /* it crashes the servers that run it */
+    GW_WHY_LEAVING,     /* the entry is stopping and accepts nothing new */
+    GW_WHY_QUARANTINED, /* the request crashes the servers that run it */
     GW_WHY_COUNT
 } GwWhy;
 
@@ -277,7 +284,7 @@
     void *user;
     GwRequest *request;
     GwServer *server;
-    uint32_t left_ms;        /* SEND: what is left of the caller's time */
+    uint32_t left_ms;        /* SEND: remaining time of the caller */
     bool idempotent;         /* SEND */
     uint16_t status;         /* REPLY */
     uint32_t retry_after_ms; /* REPLY: 0 for none */
@@ -285,35 +292,35 @@
     GwRequestStory story;    /* ANSWER, REPLY */
 } GwDo;
 
-/* So many entries may be alive, this one included, whether they were heard of
- * or not; they share the extra of retries. */
+/* Sets the number of entries that may be alive, this one included, reachable
+ * or not; they share the fixed part of the retry budget. */
 void GwRouter_SetEntries(GwRouter *r, uint32_t count);
-/* Idle connections that this entry may keep open to the server, so that those
- * of all entries leave half of its connections to requests. */
+/* Maximum of idle connections of this entry to the server, such that the idle
+ * connections of all entries use at most half of the server's connections. */
 uint32_t GwRouter_IdleConnectionsMax(const GwRouter *r, const GwServer *s);
 const char *GwServer_Id(const GwServer *s);
 const char *GwServer_Address(const GwServer *s);
 uint32_t GwServer_Hash(const GwServer *s);
 bool GwServer_IsFar(const GwServer *s); /* in another region */
-/* How a service stands, for those who look from outside. */
+/* State of a service, for metrics. */
 typedef struct {
     const char *name;
-    uint32_t servers; /* listed */
+    uint32_t servers; /* in the registry */
     uint32_t ejected;
-    uint32_t limited;         /* name a limit */
+    uint32_t limited;         /* with a rate limit */
     uint32_t waiting;         /* requests */
-    uint32_t in_flight;       /* of this entry */
-    uint32_t peers_in_flight; /* as they last reported */
+    uint32_t in_flight;       /* requests of this entry */
+    uint32_t peers_in_flight; /* as last reported */
     double retries_left;
 } GwServiceView;
 
 void GwRouter_EachService(const GwRouter *r, int64_t now_us,
                           void (*visit)(void *ctx, const GwServiceView *view),
                           void *ctx);
-/* A place for the host to keep its connections to the server. */
+/* Pointer for the host's connections to the server. */
 void **GwServer_User(GwServer *s);
 
-/* One line of state for dumps: appended to `out` as JSON. */
+/* Appends the state to `out` as one line of JSON. */
 void GwRouter_Dump(const GwRouter *r, int64_t now_us, GString *out);
 
 #endif
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -1,4 +1,4 @@
-/* What the parts of the steering core share. */
+/* Shared declarations of the steering core. */
 #ifndef GW_ROUTER_INTERNAL_H
 #define GW_ROUTER_INTERNAL_H
 
@@ -7,26 +7,26 @@
 #include "router/router.h"
 
 #ifndef GW_MUTANT
-#define GW_MUTANT 0 /* tests/mutants.sh breaks one safeguard at a time */
+#define GW_MUTANT 0 /* tests/mutants.sh disables one safeguard at a time */
 #endif
 
 /* ---- Estimates ----------------------------------------------------------- */
 
-/* Shares of a route's objective that an answer is taken to need until there
- * are measurements: a server that holds the object warm needs about 0.3 of
- * the time of a cold one (docs/MEASURES.md, warmth). */
+/* Initial estimates of the time to an answer, as shares of the route's latency
+ * objective: a server that has the object cached needs about 0.3 of the time
+ * of a cold one. */
 #define GW_COLD_SHARE 1.0
 #define GW_WARM_SHARE 0.36
-/* Weight of a new measurement in a mean. */
+/* Weight of a new sample in a moving average. */
 #define GW_MEAN_WEIGHT 0.1
-/* Round trips assumed until a connection was made there. */
+/* Round trip times assumed before the first connection to a region. */
 #define GW_NEAR_RTT_US 3000
 #define GW_FAR_RTT_US  100000
-/* A server that answers `BROKEN`, or can't be reached, is passed over for
- * this long at first, doubled for each further failure in a row. */
+/* A server that fails (GW_ATTEMPT_BROKEN or unreachable) is ejected for this
+ * long at first; each further failure in a row doubles the time. */
 #define GW_EJECT_US     400000
 #define GW_EJECT_MAX_US 4000000
-#define GW_KEY_SERVERS  4 /* places of one object */
+#define GW_KEY_SERVERS  4 /* placements of one object */
 
 typedef struct {
     double tokens;
@@ -34,55 +34,55 @@
     int64_t at_us;
 } GwBucket;
 
-/* The tokens that Fill would leave there. */
+/* Tokens in the bucket at `now_us`, refilled at `per_s`; changes nothing. */
 double GwBucket_At(const GwBucket *b, int64_t now_us, double per_s);
 void GwBucket_Fill(GwBucket *b, int64_t now_us, double per_s);
 
 typedef struct {
     char *name;
     GPtrArray *servers; /* GwServer, borrowed */
-    GPtrArray *waiting; /* GwRequest in the order in which they are served */
+    GPtrArray *waiting; /* GwRequest, in the order of dispatch */
     GwBucket retries;
-    GPtrArray *claimed;     /* GwServer with claims, in one pass of placing */
-    bool panic;             /* most of the servers are ejected, */
-    int64_t panic_at_us;    /* as of then */
-    bool has_room;          /* requests left; others may be placed */
-    int64_t pass_due_us;    /* all that wait are not judged anew before */
-    double pass_looks;      /* at servers, of the last such pass for each */
-    GwServer *freed;        /* has room since the last pass; or NULL */
-    int64_t unheard_due_us; /* limits that nobody asks for are looked for */
-    double work_us;         /* mean time a request takes a slot */
+    GPtrArray *claimed; /* GwServer with reservations in the current pass */
+    bool panic;         /* too many servers are ejected: ejection is ignored */
+    int64_t panic_at_us; /* when `panic` was last computed */
+    bool has_room;       /* set when callers disconnect */
+    int64_t pass_due_us; /* earliest next evaluation of all waiting requests */
+    double pass_looks;   /* evaluations per request in the last such pass */
+    GwServer *freed;     /* has got capacity since the last pass; or NULL */
+    int64_t unheard_due_us; /* next search for a stale limit */
+    double work_us;         /* mean time that a request occupies a slot */
     double cold_per_s;
-    uint32_t connections_max; /* of one server, from all entries; 0: any */
+    uint32_t connections_max; /* to one server, of all entries; 0: any */
 } GwServiceState;
 
 typedef struct {
     char *name;
     double warm_us;
     double cold_us;
-    double longest_us;   /* that a run took, which fades; 0: none was seen */
-    uint32_t open;       /* requests that point here */
-    int64_t left_max_us; /* what callers give a request at first */
-    int64_t *credit;     /* smooth weighted round robin: one for each part */
+    double longest_us;   /* longest run, decaying; 0: no run has ended yet */
+    uint32_t open;       /* requests that refer to this state */
+    int64_t left_max_us; /* longest time callers allow, decaying */
+    int64_t *credit; /* smooth weighted round robin: one counter per part */
     uint32_t credit_count;
 } GwRouteState;
 
-/* The way to a region. */
+/* Network path to a region. */
 typedef struct {
     char *region;
     double rtt_us;
-    bool measured; /* else it is what is assumed of such a way */
+    bool measured; /* false: rtt_us is the assumed value */
 } GwPath;
 
-/* The requests a second that a server takes from all entries together. */
+/* A server's request rate limit, which holds for all entries together. */
 typedef struct {
-    double per_s;       /* < 0: it names none */
-    int64_t at_us;      /* since then */
-    int64_t seen_us;    /* an answer said so last */
-    int64_t heard_us;   /* last answer of any kind; with its limit, or none */
-    int64_t changed_us; /* it became known here; 0: it never named one */
-    double share;       /* of this entry, a second */
-    int64_t ranked_us;  /* as of then */
+    double per_s;       /* < 0: the server states no limit */
+    int64_t at_us;      /* start of validity of this limit */
+    int64_t seen_us;    /* last answer that confirmed it */
+    int64_t heard_us;   /* last answer of any kind, whatever limit it stated */
+    int64_t changed_us; /* when it became known here; 0: never limited */
+    double share;       /* this entry's share, requests per second */
+    int64_t ranked_us;  /* when the share was last computed */
     GwBucket tokens;
 } GwServerLimit;
 
@@ -90,41 +90,41 @@
     char *id;
     char *address;
     char *domain;
-    GwPath *path; /* to its region */
+    GwPath *path; /* to the server's region */
     GwServiceState *service;
     uint64_t born_ms;
     uint64_t hash;
     uint32_t slots;
-    bool listed; /* in the registry */
+    bool listed; /* still in the registry */
     bool draining;
     bool same_domain;
     bool same_region;
-    uint32_t refs;      /* attempts under way */
-    uint32_t in_flight; /* of this entry */
+    uint32_t refs;      /* attempts in progress */
+    uint32_t in_flight; /* requests of this entry */
     uint32_t peers_in_flight;
-    uint32_t peers_far; /* of them from other regions than its own */
-    uint32_t claims;    /* requests that wait for it, in one pass of placing */
-    uint32_t objects;   /* that have a place here */
-    double busy;        /* mean of its slots in use, decaying */
+    uint32_t peers_far; /* part of them from other regions */
+    uint32_t claims;    /* reserved slots, in the current pass */
+    uint32_t objects;   /* objects with a placement here */
+    double busy;        /* moving average of slots in use over slots */
     int64_t busy_at_us;
-    double slow; /* its time over that of others, for the same work */
+    double slow; /* run time relative to other servers */
     uint32_t failures;
     int64_t eject_until_us;
     int64_t cold_until_us;
     GwBucket cold_tokens;
     GwServerLimit limit;
-    bool feeds;  /* this entry fed it at the last look */
-    bool probed; /* the host connects to it, to see whether it is alive */
+    bool feeds;  /* this entry owned its cold-start rate at the last check */
+    bool probed; /* the host is probing it with a connection */
     int64_t load_at_us;
     uint32_t load_running;
     uint32_t load_waiting;
     void *user;
 };
 
-/* A place of an object: a server that remembers it. */
+/* A placement: a server that has the object cached. */
 typedef struct {
     GwServer *server;
-    int64_t started_us; /* of the first run there */
+    int64_t started_us; /* start of the first run there */
     bool ran;           /* that run has ended */
 } GwKeyServer;
 
@@ -141,16 +141,16 @@
     GArray *loads; /* GwPeerLoad */
 } GwPeer;
 
-/* How much of the traffic runs in other regions, and how much may. */
+/* The share of requests sent to other regions, and its limit. */
 typedef struct {
-    double sent;   /* requests, decaying */
-    double far;    /* of them to other regions */
-    double asked;  /* requests that were placed or refused, decaying */
-    double wanted; /* of them whose best server was in another region */
-    double level;  /* the share that is allowed now */
+    double sent;   /* requests sent, decaying */
+    double far;    /* part of them to other regions */
+    double asked;  /* requests placed or refused, decaying */
+    double wanted; /* part of them whose best server was in another region */
+    double level;  /* share allowed now */
     int64_t at_us;
-    int64_t free_until_us;  /* no limit until then: servers were lost */
-    int64_t start_until_us; /* 0: no request was sent yet */
+    int64_t free_until_us;  /* no limit before this: local servers were lost */
+    int64_t start_until_us; /* end of the start phase; 0: not begun */
     double first_work_us;   /* slot time of the first requests, all cold */
     uint32_t first_count;
     bool has_level;
@@ -164,36 +164,36 @@
     GwServiceState *service;
     GwKey *key; /* or NULL */
     int64_t arrived_us;
-    int64_t aim_us;     /* an answer after this is late */
-    int64_t late_us;    /* it waits for no answer after this */
+    int64_t aim_us;     /* end of the latency objective */
+    int64_t late_us;    /* an answer after this is of no use to the caller */
     int64_t give_up_us; /* the caller or the route waits no longer */
-    int64_t budget_us;  /* what servers are told: end of the time */
-    uint32_t deadline;  /* place in the heap */
+    int64_t budget_us;  /* end of the time that is sent to servers */
+    uint32_t deadline;  /* index in r->deadlines */
     uint32_t attempts;
-    GwServer *server; /* of the attempt under way, or NULL */
+    GwServer *server; /* of the attempt in progress, or NULL */
     int64_t sent_us;
-    int64_t expected_us; /* its time, as of the last look for a server */
-    double room_us;      /* until a slot is free, as of the same look */
+    int64_t expected_us; /* expected total time, as of the last evaluation */
+    double room_us;      /* wait for a free slot, as of the same evaluation */
     bool sent_warm;
     bool sent_far;
-    bool sent_alone; /* a slot was free then: its time is the work's */
-    const GwServer *refused_for; /* the best one; set as the request ends */
+    bool sent_alone; /* a slot was free: the run time includes no queueing */
+    const GwServer *refused_for; /* the best server, when refused */
     bool has_fingerprint;
     GwFingerprint fingerprint;
-    bool is_suspect; /* a server crashed under it: kept apart from others */
-    GwServer *waits_probe; /* broke it, and may have crashed; or NULL */
+    bool is_suspect;       /* a server crashed while running it */
+    GwServer *waits_probe; /* closed the connection; or NULL */
     bool waits;
-    bool late;            /* waits, though its answer will be late */
-    int64_t too_late_us;  /* with a slot as of then its answer is of no use */
-    GwServer *waits_for;  /* it had no room; NULL: to be judged */
-    bool waits_for_place; /* and is a place of its object */
-    bool may_have_run;    /* an attempt ended without proof of the contrary */
-    uint32_t sends;       /* all, also those that met no server */
+    bool late;            /* is waiting and will miss its objective */
+    int64_t too_late_us;  /* a slot after this is too late */
+    GwServer *waits_for;  /* has no capacity yet; NULL: evaluate */
+    bool waits_for_place; /* the server is a placement of the object */
+    bool may_have_run; /* an attempt ended without proof that it did not run */
+    uint32_t sends;    /* all attempts, also those that reached no server */
     char last_server[48];
-    uint32_t arrivals; /* attempts that a server saw */
+    uint32_t arrivals; /* attempts that reached a server */
     uint32_t unsent;
     uint32_t tried_count;
-    GwServer *tried[8]; /* compared only, never followed */
+    GwServer *tried[8]; /* for comparison only, never dereferenced */
 };
 
 struct GwRouter_s {
@@ -206,64 +206,66 @@
     GHashTable *by_hash;  /* 32-bit hash -> GwServer */
     GHashTable *keys;     /* hash -> GwKey */
     GHashTable *peers;    /* name -> GwPeer */
-    GHashTable *sums;     /* region -> (server -> what many have there) */
+    GHashTable *sums;     /* region -> (server hash -> requests in flight) */
     GHashTable *evacuated;
     GHashTable *paths;   /* region -> GwPath */
-    double far_rtt_us;   /* mean to other regions */
-    GHashTable *open;    /* GwRequest set */
-    GPtrArray *awaiting; /* GwRequest, word of a server that broke them */
-    GPtrArray *freed;    /* GwServer, until the next step */
-    GArray *placements;  /* GwPlacement of this entry, oldest first */
+    double far_rtt_us;   /* mean round trip to other regions */
+    GHashTable *open;    /* set of GwRequest */
+    GPtrArray *awaiting; /* GwRequest, waiting for the probe of a server */
+    GPtrArray *freed;    /* GwServer, freed at the start of the next call */
+    GArray *placements;  /* GwPlacement made by this entry, oldest first */
     GwHeap deadlines;
     GwDrift drift;
     GwQuarantine *quarantine;
-    uint32_t entries; /* that may be alive; 0: the host has not said */
-    /* Of servers that may take work, as far as `room_known`: */
+    uint32_t entries; /* that may be alive; 0: not set by the host */
+    /* Capacity of servers that accept requests; valid if `room_known`. */
     bool room_known;
-    bool room_lost; /* the region has fewer since the last look */
+    bool room_lost; /* the local region lost slots since the last check */
     uint32_t near_slots;
     uint32_t all_slots;
     uint32_t regions;
-    int64_t limits_us; /* one has changed last; 0: never */
+    int64_t limits_us; /* last change of any limit; 0: never */
     GwLimitNote note_limit;
     void *note_limit_ctx;
     int64_t started_us;
-    int64_t end_us; /* of a stop; INT64_MAX: none was begun */
-    uint64_t looks; /* at servers, to place requests */
+    int64_t end_us; /* end of a graceful stop; INT64_MAX: not stopping */
+    uint64_t looks; /* server evaluations since the start */
 };
 
 /* servers.c */
 GwServiceState *GwRouter_ServiceOf(GwRouter *r, const char *name);
-/* Requests at the server, on their way there, and waiting here for it. */
-/* Requests in flight, those between regions by their time in a slot. */
+/* Slots in use or about to be: requests in flight, where those sent across
+ * regions count by the part of their time that they spend in a slot. */
 double GwServer_InSlots(const GwRouter *r, const GwServer *s);
 double GwServer_Occupied(const GwRouter *r, const GwServer *s, int64_t now_us);
 bool GwServer_IsCold(const GwServer *s, int64_t now_us);
 void GwServer_Unref(GwRouter *r, GwServer *s, GArray *actions);
 void GwRouter_Learn(GwRouter *r, int64_t now_us, GwRequest *req,
                     const GwAttemptEnd *end, GArray *actions);
-/* The mean of its slots in use over the last seconds, 0 to 1 and above. */
+/* Mean of used slots over slots in the last seconds; above 1 when requests
+ * queue at the server. */
 double GwServer_Busy(const GwRouter *r, const GwServer *s, int64_t now_us);
 void GwServer_NoteBusy(const GwRouter *r, GwServer *s, int64_t now_us);
 
 /* feeding.c */
 bool GwRouter_FeedsCold(GwRouter *r, GwServer *s, int64_t now_us);
 bool GwServer_IsLimited(const GwServer *s);
-/* Whether this entry has a share of the server's limit. */
+/* Returns whether this entry holds a share of the server's limit. */
 bool GwRouter_FeedsLimited(GwRouter *r, GwServer *s, int64_t now_us);
-/* Until its share allows one more, behind those that wait for the server. */
+/* Time until this entry's share allows one more request, after those that
+ * already wait for the server. */
 double GwServer_LimitWaitUs(const GwServer *s, int64_t now_us);
 void GwServer_SpendLimit(GwServer *s, int64_t now_us);
-/* A limited server of which this entry has heard nothing for long, though its
- * share allows a request: that one would tell whether the limit still stands.
- * NULL: none, or it was looked for a moment ago. */
+/* Returns a limited server that has sent no answer for long although this
+ * entry's share allows a request: that request would show whether the limit
+ * still holds. NULL if there is none or the last search was a moment ago. */
 GwServer *GwRouter_UnheardLimited(GwRouter *r, int64_t now_us,
                                   GwServiceState *service);
 void GwRouter_LearnLimit(GwRouter *r, int64_t now_us, GwServer *s,
                          const GwAttemptEnd *end);
 
 /* peers.c */
-/* Adds to a new server what sums have told of it. */
+/* Applies the known load sums to a new server. */
 void GwRouter_AddSums(GwRouter *r, int64_t now_us, GwServer *s);
 
 /* keys.c */
@@ -271,7 +273,7 @@
 GwKey *GwRouter_KeyOf(GwRouter *r, int64_t now_us, const GwRoute *route,
                       const GwServiceState *service, const char *text);
 GwKeyServer *GwKey_At(GwKey *key, const GwServer *s);
-/* A request for the object goes to the server. */
+/* Records that a request for the object is sent to the server. */
 void GwRouter_UseKey(GwRouter *r, GwKey *key, GwServer *s, int64_t now_us);
 void GwKey_Ended(GwKey *key, GwServer *s, bool ran);
 void GwKey_Forget(GwKey *key, const GwServer *s);
@@ -279,89 +281,94 @@
 
 /* choose.c */
 typedef struct {
-    GwServer *server;     /* NULL: none may take it */
+    GwServer *server;     /* NULL: no server can take the request */
     bool ready;           /* a slot is free there now */
-    bool in_time;         /* its answer would be */
+    bool in_time;         /* the answer is expected within the objective */
     bool wants_far;       /* the best server is in another region */
-    bool is_place;        /* it is a place of the object */
-    double est_us;        /* until its answer */
-    double wait_us;       /* of it, until a slot is free */
-    int64_t last_slot_us; /* a later one would be cut by a stop */
+    bool is_place;        /* the server is a placement of the object */
+    double est_us;        /* expected time to the answer */
+    double wait_us;       /* part of it until a slot is free */
+    int64_t last_slot_us; /* a later run would be cut off by a stop */
 } GwChoice;
 
 GwChoice GwRouter_Choose(GwRouter *r, int64_t now_us, GwRequest *req);
-/* One more may be sent there now, beside what waits for it. */
+/* Returns whether the server can take one more request now, beside the
+ * reservations of waiting requests. */
 bool GwServer_HasRoom(const GwRouter *r, const GwServer *s, int64_t now_us);
 
 /* drift.c */
 typedef enum {
     GW_DRIFT_ANY = 0,
-    GW_DRIFT_NEAR, /* no more may leave the region for now */
-    GW_DRIFT_FAR   /* fewer must not leave it for now */
+    GW_DRIFT_NEAR, /* local servers only: share at upper bound */
+    GW_DRIFT_FAR   /* remote servers only: share at lower bound */
 } GwDriftSide;
 
 GwDriftSide GwRouter_DriftSide(GwRouter *r, int64_t now_us);
-/* A request was sent (to another region or not), or refused. */
+/* Count a request that was sent (to another region or not), or refused. */
 void GwRouter_DriftSent(GwRouter *r, int64_t now_us, const GwRequest *req,
                         bool wanted_far, bool far);
 void GwRouter_DriftRefused(GwRouter *r, int64_t now_us, bool wanted_far);
-/* Servers came or went. */
+/* Must be called when servers are added, removed or evacuated. */
 void GwRouter_DriftServers(GwRouter *r);
-/* The first seconds of traffic, when no server is warm. */
+/* Returns whether this is the start phase, in which no server is warm. */
 bool GwRouter_DriftStarts(const GwRouter *r, int64_t now_us);
 
 /* stop.c */
-/* The last time at which it may get a slot at the server, where its run is
- * expected to take `run_us`, and still be over before the entry ends; INT64_MAX
- * where no stop was begun. */
+/* Returns the last time at which a run at the server that is expected to take
+ * `run_us` may start and still end before the entry does; INT64_MAX when the
+ * entry is not stopping. */
 int64_t GwRouter_LastSlotUs(const GwRouter *r, const GwRequest *req,
                             const GwServer *s, double run_us);
-/* The end of the time that servers are given for it. */
+/* Returns the end of the time that a server is given for the request. */
 int64_t GwRouter_ServerUntil(const GwRouter *r, int64_t now_us,
                              const GwRequest *req);
 
 /* crashes.c */
-/* An attempt was broken off by its server: asks the host whether that one is
- * alive. */
+/* Records that the server closed the connection of an attempt, and asks the
+ * host to probe whether the server is alive. */
 void GwRouter_NoteBreak(GwRouter *r, int64_t now_us, GwRequest *req,
                         const GwFingerprint *fingerprint, GArray *actions);
-/* Puts it back among those that wait once the fate of the server that broke it
- * is known. Returns false where it is known already, or nobody asks. */
+/* Makes the request wait for the probe of `s`, after which it is queued again.
+ * Returns false if the result is known already or no probe is in progress. */
 bool GwRequest_AwaitProbe(GwRouter *r, int64_t now_us, GwRequest *req,
                           GwServer *s);
-/* It waits for that no longer, and for nothing else. */
+/* Ends the wait for a probe without queueing the request. */
 void GwRequest_StopAwaiting(GwRouter *r, GwRequest *req);
-/* It goes on without it: with no word of the server, that one is taken to have
- * crashed. */
+/* Queues the request again before the probe has ended; the server is then
+ * assumed to have crashed. */
 void GwRequest_EndAwaiting(GwRouter *r, GwRequest *req);
-/* Until when it must not be sent; 0: it may be. */
+/* Returns the end of the request's quarantine; 0: not quarantined. */
 int64_t GwRequest_HeldUntil(GwRouter *r, int64_t now_us, GwRequest *req);
 
 /* requests.c */
-/* Appends an action of that request, to be filled in. */
+/* Appends an action for the request; the caller fills in the other fields. */
 GwDo *GwRouter_AddDo(GArray *actions, GwDoKind kind, GwRequest *req);
-/* When time is to be looked at for it. */
+/* Sets the time of the next timer event of the request. */
 void GwRequest_SetDeadline(GwRouter *r, GwRequest *req, int64_t at_us);
 /* Sends the request, keeps it waiting, or refuses it. */
 void GwRequest_Place(GwRouter *r, int64_t now_us, GwRequest *req,
                      GArray *actions);
 void GwRouter_EarnRetry(GwRouter *r, GwServiceState *service);
-/* Entries that could be alive: what is bounded for all together is divided by
- * this. */
+/* Upper bound of the number of live entries. Limits that hold for all entries
+ * together are divided by this. */
 uint32_t GwRouter_EntriesMax(const GwRouter *r);
-/* When a caller may come back that was refused though room is not what lacks;
- * spread. */
+/* Randomized retry delay for a caller that is refused for a reason other than
+ * lack of capacity. */
 uint32_t GwRouter_ComebackMs(GwRouter *r);
-/* Frees the servers that nothing names any more; each step begins with it. */
+/* Frees removed servers that no pending action refers to; called at the start
+ * of each public function that appends actions. */
 void GwRouter_FreeFreed(GwRouter *r, const GArray *actions);
 
 /* waiting.c */
-/* Puts it where it is served in its turn: by priority, then arrival. */
+/* Adds the request to its service's queue, ordered by priority, then
+ * arrival. */
 void GwRequest_Wait(GwRequest *req);
 void GwRequest_StopWaiting(GwRequest *req);
-/* For one that waits: in this pass, those behind it find a slot less there. */
+/* Reserves the server's next slot for a waiting request; requests after it in
+ * this pass see one slot less. */
 void GwServer_Claim(GwServer *s);
-/* Places what waits for the service, as far as that may have changed. */
+/* Dispatches waiting requests of the service whose outcome may have
+ * changed. */
 void GwRouter_Pump(GwRouter *r, int64_t now_us, GwServiceState *service,
                    GArray *actions);
 
--- a/lib/router/servers.c
+++ b/lib/router/servers.c
@@ -1,18 +1,18 @@
-/* What the entry believes of backend servers. */
+/* The known state of backend servers: registry data, load and run times. */
 #include "router/router_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-/* A server's time counts as learned only within this range of the mean: one
- * answer that hung for seconds must not bar a server for minutes. */
+/* Range in which a run time, relative to the mean, counts: one answer that
+ * hung for seconds must not exclude a server for minutes. */
 #define SLOW_MIN 0.5
 #define SLOW_MAX 16.0
-/* Over which the mean of slots in use decays: some requests long, and short
- * against the waves of a day. */
+/* Time constant of the mean of slots in use: long against a request, short
+ * against load waves. */
 #define BUSY_TAU_US 1500000.0
 
-/* Of the longest run of a route, how much fades with each further one. */
+/* Decay of a route's longest run time per further run. */
 #define LONGEST_FADES 0.01
 
 double
@@ -61,8 +61,8 @@
 {
     GwDo forget = {.kind = GW_DO_FORGET, .server = s};
 
-    /* The host sees the pointer once more, for its own connections, before
-     * the memory goes with the next step. */
+    /* The host needs the pointer to release its connections; the memory is
+     * freed at the start of the next call. */
     if (actions != NULL && s->user != NULL) {
         g_array_append_val(actions, forget);
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/* Takes a server out of use. Attempts under way keep it until they end. */
+/* Removes a server. Attempts in progress keep it allocated until they end. */
 static void
 delist(GwRouter *r, GwServer *s, GArray *actions)
 {
@@ -166,9 +166,9 @@
         GwRouter_AddSums(r, now_us, s);
     }
     s->slots = info->slots;
-    /* Once a start of a server has said that it leaves, it leaves: a report
-     * that says otherwise is an older one that came late. */
-#if GW_MUTANT == 72 /* breaks: an older report makes a leaving server usable */
+    /* Draining never ends within one start of a server: a report without it is
+     * an older one that arrived late. */
+#if GW_MUTANT == 72 /* breaks: an older report ends draining */
     s->draining = info->draining;
 #else
     s->draining = s->draining || info->draining;
@@ -222,10 +222,10 @@
     GwRouter_DriftServers(r);
 }
 
-/* ---- How busy ------------------------------------------------------------ */
+/* ---- Utilization --------------------------------------------------------- */
 
-/* Of a request to another region, the part of its time that it spends in a
- * slot there; the rest it is on its way. */
+/* For requests between regions, the part of their time that they spend in a
+ * slot; the rest is network time. */
 static double
 far_share(const GwRouter *r, const GwServer *s)
 {
@@ -253,7 +253,7 @@
     return old * s->busy + (1 - old) * now;
 }
 
-/* To be called before the number of its requests in flight changes. */
+/* Must be called before the number of requests in flight changes. */
 void
 GwServer_NoteBusy(const GwRouter *r, GwServer *s, int64_t now_us)
 {
@@ -261,7 +261,7 @@
     s->busy_at_us = now_us;
 }
 
-/* ---- Learning ------------------------------------------------------------ */
+/* ---- Estimates ----------------------------------------------------------- */
 
 static void
 learn_rtt(GwRouter *r, const GwServer *s, int64_t connect_us)
@@ -326,7 +326,7 @@
     double ratio = took / *mean;
     double seen = CLAMP(ratio, SLOW_MIN, SLOW_MAX);
     s->slow += 0.2 * (seen - s->slow);
-    /* A slow server says nothing about the work itself. */
+    /* A slow server is no measure of the work itself. */
     if (ratio < 2.0) {
         *mean += GW_MEAN_WEIGHT * (took - *mean);
     }
@@ -364,7 +364,8 @@
         }
         break;
     case GW_ATTEMPT_REFUSED:
-        /* Full beside our belief that it has room: a moment's pause. */
+        /* The server is full although it seemed to have capacity: a short
+         * pause. */
         s->eject_until_us =
             now_us + (end->other_server ? GW_EJECT_MAX_US : GW_EJECT_US / 4);
         break;
--- a/lib/router/stop.c
+++ b/lib/router/stop.c
@@ -1,16 +1,18 @@
-/* A stop of the entry: what may still be begun.
+/* Graceful stop of the entry: which requests may still be sent.
  *
- * The process ends at a set time and closes the connections of its callers. A
- * request that a server still runs then ends with no answer, and nobody can
- * say whether it ran. So from the signal on each request, by whatever way it
- * comes to be sent, is asked the same: can its run end in the time that is
- * left? One that can't has not run and goes to another entry at once. */
+ * The process exits at a set time and closes the connections of its callers. A
+ * request that a server still runs then ends without an answer, and nobody can
+ * tell whether it ran. So once a stop has begun, each request is sent only if
+ * its run can end in the remaining time, whether it is new, waiting or
+ * retried. A request that can't has not run and is refused at once, so that
+ * the caller can retry at another entry. */
 #include "router/router_internal.h"
 
-/* A run may take so many times what runs of its route took at servers that did
- * not hold the object: servers differ, and slow down when nearly full. */
+/* Upper bound of a run relative to earlier cold runs of its route: servers
+ * differ, and slow down when nearly full. */
 #define RUN_SPREAD 1.5
-/* For the answer's way back, through a busy loop and a narrow link. */
+/* Time for the answer to reach the caller through a busy event loop and a slow
+ * link. */
 #define WAY_BACK_US 200000
 
 void
@@ -32,8 +34,8 @@
     }
 }
 
-/* Whether its caller or its route waits no longer than the entry lives, also
- * where no stop was begun. */
+/* Returns whether the caller or the route gives up before the entry exits, or
+ * no stop has begun. */
 static bool
 gives_up_before(const GwRouter *r, const GwRequest *req)
 {
@@ -41,19 +43,19 @@
            req->give_up_us <= r->end_us - WAY_BACK_US;
 }
 
-/* The longest time that a server may be given: it counts from the start of the
- * run, and keeps the request in its queue for as long at most, whatever this
- * entry believes of its slots. */
+/* The longest time that a server may be given. It counts from the start of the
+ * run and bounds the time in the server's queue too, whatever this entry knows
+ * of the server's slots. */
 static int64_t
 server_time_us(const GwRouter *r, int64_t now_us)
 {
     return (r->end_us - WAY_BACK_US - now_us) / 2;
 }
 
-/* One that may be repeated is judged by what is expected of it at that server:
- * if the run takes longer, the server's word that its time is over lets the
- * caller ask again. One that may run once would be lost by that, so it is taken
- * to be as long as any lately, and its object to be cold everywhere. */
+/* Time to allow for a run. For an idempotent request, the expected run time at
+ * that server: if the run takes longer, the server's answer that the time is
+ * over lets the caller retry. A request that may run only once would be lost
+ * by that, so the longest recent run is assumed, and a cold object. */
 static double
 need_us(const GwRequest *req, const GwServer *s, double run_us)
 {
@@ -68,26 +70,25 @@
 GwRouter_LastSlotUs(const GwRouter *r, const GwRequest *req, const GwServer *s,
                     double run_us)
 {
-#if GW_MUTANT == 77 /* breaks: sent though the entry ends before its run */
+#if GW_MUTANT == 77 /* breaks: sent though the entry exits first */
     return INT64_MAX;
 #endif
     if (gives_up_before(r, req)) {
         return INT64_MAX;
     }
     if (req->state->longest_us == 0) {
-        return INT64_MIN; /* nobody has seen what such a run takes */
+        return INT64_MIN; /* no run of the route has ended yet */
     }
     double after_us = s->path->rtt_us + 2 * need_us(req, s, run_us);
     return r->end_us - WAY_BACK_US - (int64_t)after_us;
 }
 
-/* The end of the time that a server is given for a request. It answers when
- * that is over, so that even a run that takes longer than any before ends with
- * the server's word, and before the entry. */
+/* The server answers when this time is over, so that even a run longer than
+ * any before ends with an answer, and before the entry exits. */
 int64_t
 GwRouter_ServerUntil(const GwRouter *r, int64_t now_us, const GwRequest *req)
 {
-#if GW_MUTANT == 78 /* breaks: a server works on when the entry is gone */
+#if GW_MUTANT == 78 /* breaks: a server works on after the entry has exited */
     return req->budget_us;
 #endif
     return gives_up_before(r, req)
--- a/lib/router/view.c
+++ b/lib/router/view.c
@@ -1,4 +1,4 @@
-/* The steering core as those see it who look from outside; decides nothing. */
+/* Read-only views of the steering core, for metrics and dumps. */
 #include "common/json.h"
 #include "router/router_internal.h"
 
--- a/lib/router/waiting.c
+++ b/lib/router/waiting.c
@@ -1,15 +1,15 @@
-/* What waits for a service, and which of it is judged anew at an event. */
+/* The queue of requests that wait for a server, and the choice of those to
+ * evaluate again after an event. */
 #include "router/router_internal.h"
 
-/* All that wait are judged anew only as often as takes so many looks at
- * servers, which is a tenth of what a tenth of a core has time for
- * (bench_router_cost). */
+/* Bounds the passes over all waiting requests to this many server evaluations
+ * per us, a tenth of what a tenth of a core can do (bench_router_cost). */
 #define LOOKS_PER_US 0.5
-/* Of those that would go to any server with room, so many are judged when one
- * has some; the first mostly takes it. */
+/* Of the requests that any server with capacity would do for, at most this
+ * many are evaluated when one gets capacity; the first mostly takes the
+ * slot. */
 #define ASKED_MAX 2
 
-/* One that waits takes the next slot there, before those behind it. */
 void
 GwServer_Claim(GwServer *s)
 {
@@ -27,21 +27,22 @@
     g_ptr_array_set_size(service->claimed, 0);
 }
 
-/* A pass over what waits for a service. */
+/* One pass over the waiting requests of a service. */
 typedef struct {
     GwRouter *r;
     int64_t now_us;
     GwServiceState *service;
     GArray *actions;
-    bool all;             /* are judged */
-    const GwServer *free; /* has room that one of them may take; or NULL */
-    uint32_t asked;       /* of those who would go to any server */
+    bool all; /* evaluate all */
+    const GwServer
+        *free;      /* has got capacity for one of the requests; or NULL */
+    uint32_t asked; /* evaluated requests that any server would do for */
 } Pass;
 
-/* Whether a look could change anything for it: it is new, there is room where
- * it waits, a slot would come too late now, or there is room elsewhere and it
- * waits for no place in particular. All others stay as they are until the next
- * pass over all. */
+/* Returns whether an evaluation could change anything: the request is new, its
+ * server has capacity, its last useful slot time is over, or another server
+ * has capacity and the request is not tied to a placement. All other requests
+ * stay as they are until the next pass over all. */
 static bool
 is_to_be_judged(Pass *pass, const GwRequest *req)
 {
@@ -72,14 +73,14 @@
         else if (req->late == late) {
             GwServer_Claim(req->waits_for);
         }
-        /* The one that was placed has left the array. */
+        /* A request that was placed has left the array. */
         if (i < waiting->len && waiting->pdata[i] == req) {
             i++;
         }
     }
 }
 
-/* From when on a pass over all may be made again, after one that begins now. */
+/* Earliest start of the next pass over all, after one that starts now. */
 static int64_t
 next_pass_us(const GwServiceState *service, int64_t now_us)
 {
@@ -88,10 +89,10 @@
     return now_us + (int64_t)(looks / LOOKS_PER_US);
 }
 
-/* Places what waits for the service: what can be in time before what can't,
- * each by priority and arrival. Each request that comes or ends calls for it,
- * so if all were judged each time, an entry would spend the more on it the
- * further it is behind. */
+/* Dispatches the waiting requests of a service: those that can meet their
+ * objective first, each group by priority and arrival. Called on each arrival
+ * and end of a request, so evaluating all of them each time would cost more
+ * the longer the queue is. */
 void
 GwRouter_Pump(GwRouter *r, int64_t now_us, GwServiceState *service,
               GArray *actions)
