--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -2,22 +2,22 @@
 #include "router/router_internal.h"
 
 /* Time that a caller waits if it states none. */
-#define DEFAULT_LEFT_US 5000000
+#define DEFAULT_CALLER_TIME_US 5000000
 /* Latency objective of a route that states none. */
-#define DEFAULT_AIM_US 1000000
+#define DEFAULT_OBJECTIVE_US 1000000
 /* Decay of a route's longest caller time towards the time of a new request;
  * and the largest part of its time that a caller can have used when it
  * retries: it waits at most a third of it before each of one or two
  * retries. */
-#define LEFT_FADES    0.02
-#define COMEBACK_MOST 0.67
+#define CALLER_TIME_DECAY 0.02
+#define SPENT_SHARE_MAX   0.67
 /* A server answers shortly after the caller's time is over; that answer states
  * whether the request ran, so it is awaited this long. */
-#define SERVER_WORD_US 120000
+#define SERVER_TIMEOUT_ANSWER_US 120000
 /* After a route's timeout the caller gets its answer at once. */
 #define TIMEOUT_SLACK_US 30000
 /* Longest wait of a request that misses its objective, in objectives. */
-#define LATE_WAIT 1.5
+#define LATE_WAIT_OBJECTIVES 1.5
 
 static GwRouteState *
 state_of(GwRouter *r, const GwRoute *route)
@@ -25,11 +25,11 @@
     GwRouteState *state = g_hash_table_lookup(r->routes, route->name);
 
     if (state == NULL) {
-        double aim_us = MAX(route->objective_ms, 1) * 1000.0;
+        double objective_end_us = MAX(route->objective_ms, 1) * 1000.0;
         state = g_new0(GwRouteState, 1);
         state->name = g_strdup(route->name);
-        state->cold_us = GW_COLD_SHARE * aim_us;
-        state->warm_us = GW_WARM_SHARE * aim_us;
+        state->cold_us = GW_COLD_SHARE * objective_end_us;
+        state->warm_us = GW_WARM_SHARE * objective_end_us;
         g_hash_table_insert(r->routes, state->name, state);
     }
     if (state->credit_count != route->part_count) {
@@ -44,7 +44,7 @@
  * largest one is chosen and reduced by the sum. The shares are exact over each
  * round, so short stretches of requests are split like long ones. */
 static const char *
-take_part(const GwRoute *route, GwRouteState *state)
+next_service(const GwRoute *route, GwRouteState *state)
 {
     int64_t sum = 0;
     uint32_t best = 0;
@@ -66,35 +66,39 @@
  * the longest seen, decaying: a single caller with a long time must not make
  * all others look late for good. */
 static int64_t
-spent_before(GwRouteState *state, int64_t left_us)
+spent_earlier_us(GwRouteState *state, int64_t left_us)
 {
-    int64_t most = state->left_max_us;
+    int64_t most = state->caller_time_max_us;
 
-    most -= (int64_t)((double)(most - left_us) * LEFT_FADES);
-    state->left_max_us = MAX(most, left_us);
-    int64_t spent = state->left_max_us - left_us;
-    return (double)spent > COMEBACK_MOST * (double)state->left_max_us ? 0
-                                                                      : spent;
+    most -= (int64_t)((double)(most - left_us) * CALLER_TIME_DECAY);
+    state->caller_time_max_us = MAX(most, left_us);
+    int64_t spent = state->caller_time_max_us - left_us;
+    return (double)spent > SPENT_SHARE_MAX * (double)state->caller_time_max_us
+               ? 0
+               : spent;
 }
 
 static void
-set_times(GwRequest *req, int64_t now_us, int64_t left_us)
+set_deadlines(GwRequest *req, int64_t now_us, int64_t left_us)
 {
     int64_t timeout_us = (int64_t)req->route->timeout_ms * 1000;
 
     if (left_us < 0) {
-        left_us = timeout_us > 0 ? timeout_us : DEFAULT_LEFT_US;
+        left_us = timeout_us > 0 ? timeout_us : DEFAULT_CALLER_TIME_US;
     }
-    int64_t aim_us = req->route->objective_ms > 0
-                         ? (int64_t)req->route->objective_ms * 1000
-                         : DEFAULT_AIM_US;
+    int64_t objective_end_us = req->route->objective_ms > 0
+                                   ? (int64_t)req->route->objective_ms * 1000
+                                   : DEFAULT_OBJECTIVE_US;
     req->arrived_us = now_us;
-    req->aim_us = now_us + aim_us - spent_before(req->state, left_us);
-    req->late_us = now_us + (int64_t)(aim_us * LATE_WAIT);
-    req->budget_us = now_us + left_us;
-    req->give_up_us = now_us + left_us + SERVER_WORD_US;
+    req->objective_end_us =
+        now_us + objective_end_us - spent_earlier_us(req->state, left_us);
+    req->useless_after_us =
+        now_us + (int64_t)(objective_end_us * LATE_WAIT_OBJECTIVES);
+    req->server_deadline_us = now_us + left_us;
+    req->give_up_us = now_us + left_us + SERVER_TIMEOUT_ANSWER_US;
     if (timeout_us > 0) {
-        req->budget_us = MIN(req->budget_us, now_us + timeout_us);
+        req->server_deadline_us =
+            MIN(req->server_deadline_us, now_us + timeout_us);
         req->give_up_us =
             MIN(req->give_up_us, now_us + timeout_us + TIMEOUT_SLACK_US);
     }
@@ -109,7 +113,8 @@
         .user = arrival->user,
         .why = why,
         .status = why == GW_WHY_NO_ROUTE ? 404 : 503,
-        .retry_after_ms = why == GW_WHY_NO_ROUTE ? 0 : GwRouter_ComebackMs(r),
+        .retry_after_ms =
+            why == GW_WHY_NO_ROUTE ? 0 : GwRouter_RetryAfterMs(r),
     };
 
     g_array_append_val(actions, out);
@@ -119,7 +124,7 @@
 GwRouter_Arrive(GwRouter *r, int64_t now_us, const GwArrival *arrival,
                 GArray *actions)
 {
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     if (r->routing == NULL) {
         refuse_arrival(r, arrival, GW_WHY_NO_CONFIG, actions);
         return;
@@ -136,12 +141,13 @@
     req->route = route;
     req->state = state_of(r, route);
     req->state->open++;
-    req->service = GwRouter_ServiceOf(r, take_part(route, req->state));
+    req->service =
+        GwRouter_FindOrAddService(r, next_service(route, req->state));
     req->deadline = GW_HEAP_OUT;
-    set_times(req, now_us, arrival->left_us);
+    set_deadlines(req, now_us, arrival->left_us);
     if (arrival->key != NULL && route->warm_keys) {
-        req->key =
-            GwRouter_KeyOf(r, now_us, route, req->service, arrival->key);
+        req->key = GwRouter_FindOrAddKey(r, now_us, route, req->service,
+                                         arrival->key);
     }
     if (arrival->fingerprint != NULL) {
         req->has_fingerprint = true;
@@ -150,6 +156,6 @@
     g_hash_table_add(r->open, req);
     GwRouter_EarnRetry(r, req->service);
     (void)GwRouter_AddDo(actions, GW_DO_ACCEPT, req);
-    GwRequest_Wait(req);
-    GwRouter_Pump(r, now_us, req->service, actions);
+    GwRequest_Enqueue(req);
+    GwRouter_DispatchWaiting(r, now_us, req->service, actions);
 }
--- a/lib/router/choose.c
+++ b/lib/router/choose.c
@@ -13,30 +13,30 @@
 #include <string.h>
 
 /* For this long a load report takes precedence over the local count. */
-#define LOAD_FRESH_US 60000
+#define LOAD_REPORT_LIFE_US 60000
 /* With a larger share of a service's servers ejected, the failures have a
  * common cause outside of them: ejection is ignored. */
-#define PANIC_SHARE    0.5
-#define PANIC_EVERY_US 20000
+#define PANIC_SHARE       0.5
+#define PANIC_INTERVAL_US 20000
 /* Cost of leaving the failure domain or the region, as time: traffic across is
  * paid for, and an object that is placed in another region costs the round
  * trip from then on. */
-#define OTHER_DOMAIN_US 60000.0
-#define OTHER_REGION_US 100000.0
+#define CROSS_DOMAIN_COST_US 60000.0
+#define CROSS_REGION_COST_US 100000.0
 /* Entries must agree on the first placement of an object without
  * communication: a hash of object and server adds up to this to the cost. */
-#define SPREAD_US 300000.0
+#define HASH_SPREAD_COST_US 300000.0
 /* Cost of each object that the server has cached already, and of its recent
  * utilization. */
-#define OBJECT_US 10000.0
-#define BUSY_US   150000.0
+#define OBJECT_COST_US      10000.0
+#define UTILIZATION_COST_US 150000.0
 /* Keeps a lower bound below the rounded sum that it bounds. */
 #define ALMOST_ONE (1 - 1e-9)
 /* Fixed work per choice, counted as server evaluations. */
-#define OWN_LOOKS 40
+#define FIXED_EVALUATIONS 40
 /* An object gets a further placement at a server with a recent utilization
  * below this. */
-#define IDLE_BELOW 0.35
+#define IDLE_UTILIZATION_MAX 0.35
 
 static bool
 was_tried(const GwRequest *req, const GwServer *s)
@@ -50,7 +50,7 @@
 }
 
 static bool
-count_panic(const GwServiceState *service, int64_t now_us)
+has_panic_share(const GwServiceState *service, int64_t now_us)
 {
     guint ejected = 0;
 
@@ -66,9 +66,9 @@
 static bool
 is_panic(GwServiceState *service, int64_t now_us)
 {
-    if (now_us - service->panic_at_us >= PANIC_EVERY_US) {
+    if (now_us - service->panic_at_us >= PANIC_INTERVAL_US) {
         service->panic_at_us = now_us;
-        service->panic = count_panic(service, now_us);
+        service->panic = has_panic_share(service, now_us);
     }
     return service->panic;
 }
@@ -78,8 +78,8 @@
     GwRequest *req;
     int64_t now_us;
     bool panic;
-    GwDriftSide side;
-} Look;
+    GwRegionRule side;
+} Search;
 
 /* The set is mostly empty, and a lookup hashes the name. */
 static bool
@@ -90,54 +90,55 @@
 }
 
 static bool
-may_take(const Look *look, GwServer *s)
+is_eligible(const Search *search, GwServer *s)
 {
-    GwRouter *r = look->r;
+    GwRouter *r = search->r;
 
     /* A placement of the object may belong to another service: reports name
      * objects by hash only, and a route may have moved. The request would then
      * be answered by a service that it was never sent to. */
-    if (s->service != look->req->service || s->draining || !s->listed ||
+    if (s->service != search->req->service || s->draining || !s->listed ||
         s->slots == 0 || is_evacuated(r, s) ||
-        (look->side == GW_DRIFT_NEAR && !s->same_region) ||
-        (look->side == GW_DRIFT_FAR && s->same_region) ||
-        !GwRoute_AllowsRegion(look->req->route, s->path->region) ||
-        was_tried(look->req, s) ||
-        (!look->panic && look->now_us < s->eject_until_us)) {
+        (search->side == GW_REGIONS_LOCAL && !s->same_region) ||
+        (search->side == GW_REGIONS_REMOTE && s->same_region) ||
+        !GwRoute_AllowsRegion(search->req->route, s->path->region) ||
+        was_tried(search->req, s) ||
+        (!search->panic && search->now_us < s->eject_until_us)) {
         return false;
     }
-    if (GwServer_IsLimited(s) && !GwRouter_FeedsLimited(r, s, look->now_us)) {
+    if (GwServer_IsLimited(s) &&
+        !GwRouter_HasLimitShare(r, s, search->now_us)) {
         return false;
     }
-    return !GwServer_IsCold(s, look->now_us) ||
-           GwRouter_FeedsCold(r, s, look->now_us);
+    return !GwServer_IsCold(s, search->now_us) ||
+           GwRouter_HasColdToken(r, s, search->now_us);
 }
 
 double
-GwServer_Occupied(const GwRouter *r, const GwServer *s, int64_t now_us)
+GwServer_Load(const GwRouter *r, const GwServer *s, int64_t now_us)
 {
-    double known = GwServer_InSlots(r, s);
+    double known = GwServer_SlotsInUse(r, s);
     double reported = s->load_running + s->load_waiting;
 
-    if (now_us - s->load_at_us < LOAD_FRESH_US && s->load_waiting > 0) {
+    if (now_us - s->load_at_us < LOAD_REPORT_LIFE_US && s->load_waiting > 0) {
         known = MAX(known, reported);
     }
-    return known + s->claims;
+    return known + s->reservations;
 }
 
 bool
-GwServer_HasRoom(const GwRouter *r, const GwServer *s, int64_t now_us)
+GwServer_HasCapacity(const GwRouter *r, const GwServer *s, int64_t now_us)
 {
-    return GwServer_Occupied(r, s, now_us) < s->slots + GW_SLOTS_AHEAD &&
+    return GwServer_Load(r, s, now_us) < s->slots + GW_SLOTS_AHEAD &&
            GwServer_LimitWaitUs(s, now_us) <= 0;
 }
 
 static double
-distance_us(const GwServer *s)
+distance_cost_us(const GwServer *s)
 {
     return s->same_domain   ? 0
-           : s->same_region ? OTHER_DOMAIN_US
-                            : OTHER_REGION_US;
+           : s->same_region ? CROSS_DOMAIN_COST_US
+                            : CROSS_REGION_COST_US;
 }
 
 typedef struct {
@@ -145,40 +146,41 @@
     double wait_us;   /* until a slot is free */
     double est_us;
     double cost_us;
-    bool is_free;
+    bool has_free_slot;
     int64_t last_slot_us;
 } Candidate;
 
 static Candidate
-judge(const Look *look, GwServer *s, double work_us)
+evaluate(const Search *search, GwServer *s, double work_us)
 {
-    double busy = GwServer_Occupied(look->r, s, look->now_us);
+    double load = GwServer_Load(search->r, s, search->now_us);
     double limit = s->slots + GW_SLOTS_AHEAD;
-    double wait = GwServer_LimitWaitUs(s, look->now_us);
-    bool is_free = busy < limit && wait <= 0;
+    double wait = GwServer_LimitWaitUs(s, search->now_us);
+    bool has_free_slot = load < limit && wait <= 0;
 
-    if (busy >= limit) {
-        double slot_us = (busy - limit + 1) * s->service->work_us * s->slow /
-                         (double)s->slots;
+    if (load >= limit) {
+        double slot_us = (load - limit + 1) * s->service->work_us *
+                         s->slowdown / (double)s->slots;
         wait = MAX(wait, slot_us);
     }
-    if (GwServer_IsCold(s, look->now_us)) {
+    if (GwServer_IsCold(s, search->now_us)) {
         work_us *= 2;
     }
-    Candidate c = {.server = s, .wait_us = wait, .is_free = is_free};
-    c.est_us = s->path->rtt_us + wait + work_us * s->slow;
-    c.cost_us = c.est_us + distance_us(s);
+    Candidate c = {
+        .server = s, .wait_us = wait, .has_free_slot = has_free_slot};
+    c.est_us = s->path->rtt_us + wait + work_us * s->slowdown;
+    c.cost_us = c.est_us + distance_cost_us(s);
     c.last_slot_us =
-        GwRouter_LastSlotUs(look->r, look->req, s, work_us * s->slow);
+        GwRouter_LastSlotUs(search->r, search->req, s, work_us * s->slowdown);
     return c;
 }
 
 /* During a stop, a server at which the request could not end in time is no
  * candidate. */
 static void
-keep_better(const Look *look, Candidate *best, const Candidate *c)
+update_best(const Search *search, Candidate *best, const Candidate *c)
 {
-    if (look->now_us + (int64_t)c->wait_us > c->last_slot_us) {
+    if (search->now_us + (int64_t)c->wait_us > c->last_slot_us) {
         return;
     }
     if (best->server == NULL || c->cost_us < best->cost_us) {
@@ -187,30 +189,31 @@
 }
 
 /* The best placement of the object. Includes placements whose first run is
- * still in progress: excluding them until that run has ended performs worse. */
+ * still in progress: excluding them until that run has ended performs worse.
+ * */
 static Candidate
-best_place(const Look *look)
+best_placement(const Search *search)
 {
-    GwRequest *req = look->req;
+    GwRequest *req = search->req;
     Candidate best = {0};
 
     bool uses_places = req->key != NULL && !req->is_suspect;
 
-    for (int i = 0; uses_places && i < GW_KEY_SERVERS; i++) {
-        GwServer *s = req->key->at[i].server;
-        if (s != NULL && may_take(look, s)) {
-            Candidate c = judge(look, s, req->state->warm_us);
-            keep_better(look, &best, &c);
+    for (int i = 0; uses_places && i < GW_KEY_PLACEMENTS_MAX; i++) {
+        GwServer *s = req->key->placements[i].server;
+        if (s != NULL && is_eligible(search, s)) {
+            Candidate c = evaluate(search, s, req->state->warm_us);
+            update_best(search, &best, &c);
         }
     }
     return best;
 }
 
-/* The part of SPREAD_US for this object at this server. Suspects that ran
- * together on a server when it crashed are spread over different servers, so
- * that the next crash tells them apart. */
+/* The part of HASH_SPREAD_COST_US for this object at this server. Suspects
+ * that ran together on a server when it crashed are spread over different
+ * servers, so that the next crash tells them apart. */
 static double
-spread_of(const GwRequest *req, const GwServer *s)
+hash_spread_cost_us(const GwRequest *req, const GwServer *s)
 {
     if (req->key == NULL && !req->is_suspect) {
         return 0;
@@ -219,28 +222,29 @@
     uint64_t mix = (hash ^ s->hash) * 0x9e3779b97f4a7c15ULL;
     mix ^= mix >> 32;
     mix *= 0xd6e8feb86659fd93ULL;
-    return SPREAD_US * (double)(mix >> 11) * 0x1p-53;
+    return HASH_SPREAD_COST_US * (double)(mix >> 11) * 0x1p-53;
 }
 
 /* Lower bound of the cost at this server: a slot is free and the server was
  * idle. The terms are added in the same order as in `judge` and `best_new`, so
  * that rounding can't put the bound above the cost. */
 static double
-least_cost_us(const Look *look, const GwServer *s, double extra_us)
+cost_lower_bound_us(const Search *search, const GwServer *s, double extra_us)
 {
-    double est_us = s->path->rtt_us + look->req->state->cold_us * s->slow;
+    double est_us =
+        s->path->rtt_us + search->req->state->cold_us * s->slowdown;
 
-    return est_us + distance_us(s) + extra_us;
+    return est_us + distance_cost_us(s) + extra_us;
 }
 
 /* Lower bound of the utilization term: the mean lies between the old mean and
  * the current utilization. */
 static double
-least_busy_us(const Look *look, const GwServer *s)
+utilization_lower_bound_us(const Search *search, const GwServer *s)
 {
-    double now = GwServer_InSlots(look->r, s) / (double)MAX(s->slots, 1);
+    double now = GwServer_SlotsInUse(search->r, s) / (double)MAX(s->slots, 1);
 
-    return BUSY_US * MIN(s->busy, now) * ALMOST_ONE;
+    return UTILIZATION_COST_US * MIN(s->utilization, now) * ALMOST_ONE;
 }
 
 /* The best server that is not yet a placement of the object. A service may
@@ -248,56 +252,60 @@
  * that can't be better than the best so far are skipped after a few
  * additions. */
 static Candidate
-best_new(const Look *look)
+best_new(const Search *search)
 {
-    GwRequest *req = look->req;
+    GwRequest *req = search->req;
     GPtrArray *servers = req->service->servers;
     Candidate best = {0};
 
-    look->r->looks += servers->len;
+    search->r->evaluations += servers->len;
     for (guint i = 0; i < servers->len; i++) {
         GwServer *s = servers->pdata[i];
-        double extra_us = spread_of(req, s) + OBJECT_US * s->objects;
+        double extra_us =
+            hash_spread_cost_us(req, s) + OBJECT_COST_US * s->objects;
         /* Cold servers are never skipped: the check refills their tokens. */
-        if (best.server != NULL && !GwServer_IsCold(s, look->now_us)) {
-            double least_us = least_cost_us(look, s, extra_us);
-            if (least_us >= best.cost_us ||
-                least_us + least_busy_us(look, s) >= best.cost_us) {
+        if (best.server != NULL && !GwServer_IsCold(s, search->now_us)) {
+            double bound_us = cost_lower_bound_us(search, s, extra_us);
+            if (bound_us >= best.cost_us ||
+                bound_us + utilization_lower_bound_us(search, s) >=
+                    best.cost_us) {
                 continue;
             }
         }
-        if (!may_take(look, s) ||
-            (req->key != NULL && GwKey_At(req->key, s) != NULL)) {
+        if (!is_eligible(search, s) ||
+            (req->key != NULL && GwKey_FindPlacement(req->key, s) != NULL)) {
             continue;
         }
-        Candidate c = judge(look, s, req->state->cold_us);
+        Candidate c = evaluate(search, s, req->state->cold_us);
         c.cost_us +=
-            extra_us + BUSY_US * GwServer_Busy(look->r, s, look->now_us);
-        keep_better(look, &best, &c);
+            extra_us + UTILIZATION_COST_US *
+                           GwServer_Utilization(search->r, s, search->now_us);
+        update_best(search, &best, &c);
     }
     return best;
 }
 
 static bool
-is_in_time(const Look *look, const Candidate *c)
+is_in_time(const Search *search, const Candidate *c)
 {
-    return look->now_us + (int64_t)c->est_us <= look->req->aim_us;
+    return search->now_us + (int64_t)c->est_us <=
+           search->req->objective_end_us;
 }
 
 static bool
-has_idle(const Look *look, const Candidate *c, double below)
+is_idle_below(const Search *search, const Candidate *c, double below)
 {
-    return c->server != NULL && c->is_free &&
-           GwServer_Busy(look->r, c->server, look->now_us) < below;
+    return c->server != NULL && c->has_free_slot &&
+           GwServer_Utilization(search->r, c->server, search->now_us) < below;
 }
 
 static GwChoice
-choice_of(const Look *look, const Candidate *c)
+choice_of(const Search *search, const Candidate *c)
 {
     return (GwChoice){
         .server = c->server,
-        .ready = c->is_free,
-        .in_time = c->server != NULL && is_in_time(look, c),
+        .has_free_slot = c->has_free_slot,
+        .in_time = c->server != NULL && is_in_time(search, c),
         .est_us = c->est_us,
         .wait_us = c->wait_us,
         .last_slot_us = c->last_slot_us,
@@ -306,39 +314,39 @@
 
 /* The best server without regard to the share of cross-region requests. */
 static GwChoice
-choose_one(Look *look)
+choose_server(Search *search)
 {
-    GwServer *unheard =
-        GwRouter_UnheardLimited(look->r, look->now_us, look->req->service);
+    GwServer *stale = GwRouter_FindStaleLimited(search->r, search->now_us,
+                                                search->req->service);
 
-    if (unheard != NULL && may_take(look, unheard)) {
-        Candidate c = judge(look, unheard, look->req->state->cold_us);
+    if (stale != NULL && is_eligible(search, stale)) {
+        Candidate c = evaluate(search, stale, search->req->state->cold_us);
         Candidate best = {0};
-        keep_better(look, &best, &c);
+        update_best(search, &best, &c);
         if (best.server != NULL) {
-            return choice_of(look, &best);
+            return choice_of(search, &best);
         }
     }
-    Candidate place = best_place(look);
+    Candidate place = best_placement(search);
 
     if (place.server == NULL) {
-        Candidate fresh = best_new(look);
-        return choice_of(look, &fresh);
+        Candidate fresh = best_new(search);
+        return choice_of(search, &fresh);
     }
-    if (!place.is_free && !is_in_time(look, &place)) {
-        Candidate fresh = best_new(look);
-        if (has_idle(look, &fresh, IDLE_BELOW)) {
-            return choice_of(look, &fresh);
+    if (!place.has_free_slot && !is_in_time(search, &place)) {
+        Candidate fresh = best_new(search);
+        if (is_idle_below(search, &fresh, IDLE_UTILIZATION_MAX)) {
+            return choice_of(search, &fresh);
         }
     }
-    GwChoice c = choice_of(look, &place);
-    c.is_place = true;
+    GwChoice c = choice_of(search, &place);
+    c.is_placement = true;
     return c;
 }
 
 /* Returns whether the route names the regions of its servers. */
 static bool
-is_forced(const GwRequest *req)
+has_home_regions(const GwRequest *req)
 {
     return req->route->home_count > 0;
 }
@@ -346,24 +354,24 @@
 GwChoice
 GwRouter_Choose(GwRouter *r, int64_t now_us, GwRequest *req)
 {
-    Look look = {
+    Search search = {
         .r = r,
         .req = req,
         .now_us = now_us,
         .panic = is_panic(req->service, now_us),
     };
-    r->looks += OWN_LOOKS;
-    GwChoice c = choose_one(&look);
-    GwDriftSide side = GwRouter_DriftSide(r, now_us);
+    r->evaluations += FIXED_EVALUATIONS;
+    GwChoice c = choose_server(&search);
+    GwRegionRule side = GwRouter_RegionRule(r, now_us);
 
-    c.wants_far = c.server != NULL && !c.server->same_region;
-    if (c.server == NULL || side == GW_DRIFT_ANY || is_forced(req) ||
-        c.wants_far == (side == GW_DRIFT_FAR)) {
+    c.prefers_remote = c.server != NULL && !c.server->same_region;
+    if (c.server == NULL || side == GW_REGIONS_ALL || has_home_regions(req) ||
+        c.prefers_remote == (side == GW_REGIONS_REMOTE)) {
         return c;
     }
-    look.side = side;
-    GwChoice other = choose_one(&look);
-    other.wants_far = c.wants_far;
+    search.side = side;
+    GwChoice other = choose_server(&search);
+    other.prefers_remote = c.prefers_remote;
     /* The limit on the cross-region share never causes a refusal: without a
      * server on the required side the first choice stands. A request is not
      * moved to another region for the share's sake if it would be late there
@@ -371,9 +379,10 @@
     if (other.server == NULL) {
         return c;
     }
-    if (side == GW_DRIFT_FAR && !GwRouter_DriftStarts(r, now_us) &&
-        (!other.in_time || !other.ready ||
-         (req->key != NULL && GwKey_At(req->key, other.server) == NULL))) {
+    if (side == GW_REGIONS_REMOTE && !GwRouter_IsStartPhase(r, now_us) &&
+        (!other.in_time || !other.has_free_slot ||
+         (req->key != NULL &&
+          GwKey_FindPlacement(req->key, other.server) == NULL))) {
         return c;
     }
     return other;
--- a/lib/router/crashes.c
+++ b/lib/router/crashes.c
@@ -25,8 +25,8 @@
 }
 
 void
-GwRouter_NoteBreak(GwRouter *r, int64_t now_us, GwRequest *req,
-                   const GwFingerprint *fingerprint, GArray *actions)
+GwRouter_NoteConnectionLost(GwRouter *r, int64_t now_us, GwRequest *req,
+                            const GwFingerprint *fingerprint, GArray *actions)
 {
     GwServer *s = req->server;
 
@@ -51,50 +51,50 @@
     if (!s->probed || !may_have_crashed(s)) {
         return false;
     }
-    req->waits_probe = s;
-    g_ptr_array_add(r->awaiting, req);
+    req->probed_server = s;
+    g_ptr_array_add(r->awaiting_probe, req);
     GwRequest_SetDeadline(r, req, MIN(req->give_up_us, now_us + wait_us));
     return true;
 }
 
 void
-GwRequest_StopAwaiting(GwRouter *r, GwRequest *req)
+GwRequest_CancelProbeWait(GwRouter *r, GwRequest *req)
 {
-    if (req->waits_probe != NULL) {
-        req->waits_probe = NULL;
-        (void)g_ptr_array_remove(r->awaiting, req);
+    if (req->probed_server != NULL) {
+        req->probed_server = NULL;
+        (void)g_ptr_array_remove(r->awaiting_probe, req);
     }
 }
 
 void
-GwRequest_EndAwaiting(GwRouter *r, GwRequest *req)
+GwRequest_EndProbeWait(GwRouter *r, GwRequest *req)
 {
-    if (req->waits_probe != NULL) {
-        GwRequest_StopAwaiting(r, req);
+    if (req->probed_server != NULL) {
+        GwRequest_CancelProbeWait(r, req);
         req->is_suspect = true;
-        GwRequest_Wait(req);
+        GwRequest_Enqueue(req);
     }
 }
 
 /* Resumes the requests that wait for the probe of the server. */
 static void
-end_waits(GwRouter *r, int64_t now_us, GwServer *s, GwProbeResult result,
-          GArray *actions)
+end_probe_waits(GwRouter *r, int64_t now_us, GwServer *s, GwProbeResult result,
+                GArray *actions)
 {
     bool any = false;
 
-    for (guint i = 0; i < r->awaiting->len;) {
-        GwRequest *req = r->awaiting->pdata[i];
-        if (req->waits_probe != s) {
+    for (guint i = 0; i < r->awaiting_probe->len;) {
+        GwRequest *req = r->awaiting_probe->pdata[i];
+        if (req->probed_server != s) {
             i++;
             continue;
         }
-        GwRequest_EndAwaiting(r, req);
+        GwRequest_EndProbeWait(r, req);
         req->is_suspect = result != GW_PROBE_ALIVE;
         any = true;
     }
     if (any) {
-        GwRouter_Pump(r, now_us, s->service, actions);
+        GwRouter_DispatchWaiting(r, now_us, s->service, actions);
     }
 }
 
@@ -102,7 +102,7 @@
 GwRouter_Probed(GwRouter *r, int64_t now_us, GwServer *s, GwProbeResult result,
                 GArray *actions)
 {
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     s->probed = false;
     if (result == GW_PROBE_REFUSED && may_have_crashed(s)) {
         GwQuarantine_NoteCrash(r->quarantine, now_us, s->hash);
@@ -110,11 +110,11 @@
     else {
         GwQuarantine_NoteAlive(r->quarantine, s->hash);
     }
-    end_waits(r, now_us, s, result, actions);
+    end_probe_waits(r, now_us, s, result, actions);
 }
 
 int64_t
-GwRequest_HeldUntil(GwRouter *r, int64_t now_us, GwRequest *req)
+GwRequest_QuarantinedUntil(GwRouter *r, int64_t now_us, GwRequest *req)
 {
 #if GW_MUTANT == 82 /* breaks: requests that crash servers are sent on */
     return 0;
--- a/lib/router/drift.c
+++ b/lib/router/drift.c
@@ -13,13 +13,13 @@
 #include <string.h>
 
 /* Time constant of the measured shares. */
-#define TAU_US 1000000.0
+#define SHARE_TAU_US 1000000.0
 /* The allowed share follows the wanted one by at most this per second, and the
- * actual share stays within BAND of it: a change of 0.09 + 0.06 in 2 s, where
- * operators allow 0.15. */
-#define SLOPE_PER_S 0.045
-#define BAND        0.03
-/* With fewer requests in TAU_US a share is not significant. */
+ * actual share stays within SHARE_BAND of it: a change of 0.09 + 0.06 in 2 s,
+ * where operators allow 0.15. */
+#define SHARE_SLOPE_PER_S 0.045
+#define SHARE_BAND        0.03
+/* With fewer requests in SHARE_TAU_US a share is not significant. */
 #define SENT_MIN 5.0
 /* No limit for this long after the first request, while objects get their
  * placements, and after a loss of servers, while the others take over. */
@@ -29,49 +29,50 @@
  * than operators allow (41 in 100 of a region's requests within 2 s), since
  * slots still hold first runs when the change is first measured. Shorter runs
  * end before that, and a forecast would only cost latency. */
-#define SETTLES_US 1000000
+#define LONG_RUN_US 1000000
 /* For this long after the first request the remote share may cause cold runs
  * in other regions: no server is warm yet. */
-#define START_US 3000000
+#define START_PHASE_US 3000000
 /* Arrivals in this time give the forecast of the region's work. */
-#define FIRST_LOOK_US 250000
+#define FORECAST_US 250000
 /* Part of a region's slots that its first, cold work is assumed to use. */
-#define FIRST_ROOM 0.8
+#define FORECAST_UTILIZATION 0.8
 
 static void
-decay(GwDrift *d, int64_t now_us)
+decay(GwCrossRegion *cr, int64_t now_us)
 {
-    double keep = exp(-(double)(now_us - d->at_us) / TAU_US);
-    double step = SLOPE_PER_S * (double)(now_us - d->at_us) / 1e6;
-
-    d->sent *= keep;
-    d->far *= keep;
-    d->asked *= keep;
-    d->wanted *= keep;
-    d->at_us = now_us;
-    if (now_us < d->free_until_us) {
-        d->level = d->sent > 0 ? d->far / d->sent : 0;
+    double keep = exp(-(double)(now_us - cr->at_us) / SHARE_TAU_US);
+    double step = SHARE_SLOPE_PER_S * (double)(now_us - cr->at_us) / 1e6;
+
+    cr->sent *= keep;
+    cr->remote *= keep;
+    cr->demand *= keep;
+    cr->remote_demand *= keep;
+    cr->at_us = now_us;
+    if (now_us < cr->unlimited_until_us) {
+        cr->allowed_share = cr->sent > 0 ? cr->remote / cr->sent : 0;
         return;
     }
-    double wanted = d->asked > 0 ? d->wanted / d->asked : d->level;
-    d->level += CLAMP(wanted - d->level, -step, step);
+    double wanted_share =
+        cr->demand > 0 ? cr->remote_demand / cr->demand : cr->allowed_share;
+    cr->allowed_share += CLAMP(wanted_share - cr->allowed_share, -step, step);
 }
 
 /* Updates the slots of servers that accept requests, in all regions and in
  * this one. Recomputed on use only, since server changes come by the
  * hundred. */
 static void
-count_room(GwRouter *r)
+update_capacity(GwRouter *r)
 {
     GHashTable *regions;
     GHashTableIter iter;
     gpointer value;
-    uint32_t near = 0;
+    uint32_t local = 0;
 
-    if (r->room_known) {
+    if (r->is_capacity_known) {
         return;
     }
-    r->room_known = true;
+    r->is_capacity_known = true;
     r->all_slots = 0;
     regions = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_iter_init(&iter, r->servers);
@@ -82,12 +83,12 @@
         }
         g_hash_table_add(regions, s->path->region);
         r->all_slots += s->slots;
-        near += s->same_region ? s->slots : 0;
+        local += s->same_region ? s->slots : 0;
     }
     r->regions = g_hash_table_size(regions);
     g_hash_table_destroy(regions);
-    r->room_lost = r->room_lost || near < r->near_slots;
-    r->near_slots = near;
+    r->has_lost_capacity = r->has_lost_capacity || local < r->local_slots;
+    r->local_slots = local;
 }
 
 static uint32_t
@@ -112,94 +113,96 @@
  * spread evenly over regions, since arrivals of a quarter of a second are a
  * poor estimate. */
 static double
-first_level(GwRouter *r, const GwDrift *d)
+forecast_share(GwRouter *r, const GwCrossRegion *cr)
 {
-    if (r->all_slots == 0 || r->near_slots == 0) {
+    if (r->all_slots == 0 || r->local_slots == 0) {
         return 0;
     }
-    double evenly = (double)r->all_slots / r->regions / r->near_slots;
-    double per_s = d->first_work_us / (double)FIRST_LOOK_US;
-    double needed = per_s * entries_of_region(r) / r->near_slots;
-    return MAX(1 - FIRST_ROOM / MIN(evenly, needed), 0);
+    double evenly = (double)r->all_slots / r->regions / r->local_slots;
+    double per_s = cr->first_work_us / (double)FORECAST_US;
+    double needed = per_s * entries_of_region(r) / r->local_slots;
+    return MAX(1 - FORECAST_UTILIZATION / MIN(evenly, needed), 0);
 }
 
 bool
-GwRouter_DriftStarts(const GwRouter *r, int64_t now_us)
+GwRouter_IsStartPhase(const GwRouter *r, int64_t now_us)
 {
-    return now_us < r->drift.start_until_us;
+    return now_us < r->cross_region.start_until_us;
 }
 
 /* Ends the forecast window: sets the initial share, or lifts the limit for
  * work that is short. */
 static void
-begin(GwRouter *r, int64_t now_us)
+end_forecast(GwRouter *r, int64_t now_us)
 {
-    GwDrift *d = &r->drift;
+    GwCrossRegion *cr = &r->cross_region;
 
-    d->has_level = true;
-    if (d->first_work_us < d->first_count * (double)SETTLES_US) {
-        d->free_until_us =
-            MAX(d->free_until_us, now_us + START_FREE_US - FIRST_LOOK_US);
-        d->start_until_us = now_us;
+    cr->has_forecast = true;
+    if (cr->first_work_us < cr->first_count * (double)LONG_RUN_US) {
+        cr->unlimited_until_us =
+            MAX(cr->unlimited_until_us, now_us + START_FREE_US - FORECAST_US);
+        cr->start_until_us = now_us;
         return;
     }
-    d->level = first_level(r, d);
+    cr->allowed_share = forecast_share(r, cr);
 }
 
-GwDriftSide
-GwRouter_DriftSide(GwRouter *r, int64_t now_us)
+GwRegionRule
+GwRouter_RegionRule(GwRouter *r, int64_t now_us)
 {
-    GwDrift *d = &r->drift;
+    GwCrossRegion *cr = &r->cross_region;
 
-    count_room(r);
-    if (r->room_lost && d->start_until_us != 0) {
-        d->free_until_us = MAX(d->free_until_us, now_us + LOSS_FREE_US);
+    update_capacity(r);
+    if (r->has_lost_capacity && cr->start_until_us != 0) {
+        cr->unlimited_until_us =
+            MAX(cr->unlimited_until_us, now_us + LOSS_FREE_US);
     }
-    r->room_lost = false;
-    decay(d, now_us);
-    if (d->start_until_us != 0 && !d->has_level &&
-        now_us >= d->start_until_us - START_US + FIRST_LOOK_US) {
-        begin(r, now_us);
+    r->has_lost_capacity = false;
+    decay(cr, now_us);
+    if (cr->start_until_us != 0 && !cr->has_forecast &&
+        now_us >= cr->start_until_us - START_PHASE_US + FORECAST_US) {
+        end_forecast(r, now_us);
     }
-    if (!d->has_level || now_us < d->free_until_us || d->sent < SENT_MIN) {
-        return GW_DRIFT_ANY;
+    if (!cr->has_forecast || now_us < cr->unlimited_until_us ||
+        cr->sent < SENT_MIN) {
+        return GW_REGIONS_ALL;
     }
-    double share = d->far / d->sent;
-    return share >= d->level + BAND   ? GW_DRIFT_NEAR
-           : share <= d->level - BAND ? GW_DRIFT_FAR
-                                      : GW_DRIFT_ANY;
+    double share = cr->remote / cr->sent;
+    return share >= cr->allowed_share + SHARE_BAND   ? GW_REGIONS_LOCAL
+           : share <= cr->allowed_share - SHARE_BAND ? GW_REGIONS_REMOTE
+                                                     : GW_REGIONS_ALL;
 }
 
 void
-GwRouter_DriftSent(GwRouter *r, int64_t now_us, const GwRequest *req,
-                   bool wanted_far, bool far)
+GwRouter_NoteRegionSent(GwRouter *r, int64_t now_us, const GwRequest *req,
+                        bool preferred_remote, bool remote)
 {
-    GwDrift *d = &r->drift;
+    GwCrossRegion *cr = &r->cross_region;
 
-    if (d->start_until_us == 0) {
-        d->start_until_us = now_us + START_US;
+    if (cr->start_until_us == 0) {
+        cr->start_until_us = now_us + START_PHASE_US;
     }
-    if (!d->has_level) {
-        d->first_work_us += req->state->cold_us;
-        d->first_count++;
+    if (!cr->has_forecast) {
+        cr->first_work_us += req->state->cold_us;
+        cr->first_count++;
     }
-    decay(d, now_us);
-    d->sent += 1;
-    d->far += far;
-    d->asked += 1;
-    d->wanted += wanted_far;
+    decay(cr, now_us);
+    cr->sent += 1;
+    cr->remote += remote;
+    cr->demand += 1;
+    cr->remote_demand += preferred_remote;
 }
 
 void
-GwRouter_DriftRefused(GwRouter *r, int64_t now_us, bool wanted_far)
+GwRouter_NoteRegionRefused(GwRouter *r, int64_t now_us, bool preferred_remote)
 {
-    decay(&r->drift, now_us);
-    r->drift.asked += 1;
-    r->drift.wanted += wanted_far;
+    decay(&r->cross_region, now_us);
+    r->cross_region.demand += 1;
+    r->cross_region.remote_demand += preferred_remote;
 }
 
 void
-GwRouter_DriftServers(GwRouter *r)
+GwRouter_NoteServersChanged(GwRouter *r)
 {
-    r->room_known = false;
+    r->is_capacity_known = false;
 }
--- a/lib/router/feeding.c
+++ b/lib/router/feeding.c
@@ -14,52 +14,52 @@
 
 /* After its start an entry knows no peers yet and would consider itself the
  * owner of every server's rate. */
-#define FEED_AFTER_START_US 2000000
+#define OWN_AFTER_START_US 2000000
 /* With many entries, peers of other regions become known later. */
-#define FEED_FAR_AFTER_START_US 20000000
+#define OWN_REMOTE_AFTER_START_US 20000000
 /* Part of a cold server's rate that is used, so that a late or doubled view of
  * its owner still keeps within the rate. */
-#define FEED_SHARE 0.9
-#define FEED_BURST 2.0
+#define COLD_RATE_SHARE 0.9
+#define COLD_RATE_BURST 2.0
 /* Owners of a limit: the requests that they keep ready add to the limit, which
  * may be exceeded by half and 5 requests in 4 s. */
-#define LIMIT_SHARE       0.95
-#define FEEDERS_PER_LIMIT 2.0
-#define FEEDERS_MIN       1.0
+#define LIMIT_SHARE      0.95
+#define OWNERS_PER_LIMIT 2.0
+#define OWNERS_MIN       1.0
 /* Without a minimum, a server with limit 0 would never be asked again. */
-#define LIMIT_FLOOR 0.2
+#define LIMIT_SHARE_MIN_PER_S 0.2
 /* Time for which an owner may save up unused tokens. */
-#define LIMIT_SAVED_S     0.25
+#define LIMIT_BURST_S     0.25
 #define LIMIT_WAIT_MAX_US 3.6e9
 /* Interval at which the owners are recomputed. */
 #define RANK_LIFE_US 100000
 /* Answers of one server may be reordered: a limit rises, or ends, only when no
  * answer has stated the lower one for this long. */
-#define LIMIT_KEPT_US 500000
+#define LIMIT_HOLD_US 500000
 /* After this long without an answer, an owner sends the server a request. */
-#define UNHEARD_US       2000000
-#define UNHEARD_EVERY_US 100000
+#define STALE_LIMIT_US          2000000
+#define STALE_LIMIT_INTERVAL_US 100000
 /* A limit above this can't be reached and is treated as this. */
 #define LIMIT_MAX 1e6
 
 static uint64_t
-feed_rank(const GwServer *s, const char *entry)
+owner_hash(const GwServer *s, const char *entry)
 {
     return GwHash_Text(entry, s->hash);
 }
 
 /* The rank of this entry among the possible rate owners of a server. */
 typedef struct {
-    bool may_feed;
+    bool may_own;
     uint32_t before; /* entries that rank before this one */
     uint32_t count;  /* all entries, including this one */
-} FeedRank;
+} OwnerRank;
 
-static FeedRank
-rank_of(GwRouter *r, const GwServer *s, int64_t now_us)
+static OwnerRank
+compute_rank(GwRouter *r, const GwServer *s, int64_t now_us)
 {
-    FeedRank rank = {.may_feed = true, .count = 1};
-    uint64_t own = feed_rank(s, r->params.name);
+    OwnerRank rank = {.may_own = true, .count = 1};
+    uint64_t own = owner_hash(s, r->params.name);
     GHashTableIter iter;
     gpointer value;
 
@@ -68,16 +68,16 @@
         const GwPeer *peer = value;
         bool in_region = strcmp(peer->region, s->path->region) == 0;
         if (peer->serves && in_region && !s->same_region) {
-            return (FeedRank){.may_feed = false};
+            return (OwnerRank){.may_own = false};
         }
         if (peer->serves && in_region == s->same_region) {
             rank.count++;
-            rank.before += feed_rank(s, peer->name) > own;
+            rank.before += owner_hash(s, peer->name) > own;
         }
     }
-    rank.may_feed =
-        now_us >= r->started_us + FEED_AFTER_START_US &&
-        (s->same_region || now_us >= r->started_us + FEED_FAR_AFTER_START_US);
+    rank.may_own = now_us >= r->started_us + OWN_AFTER_START_US &&
+                   (s->same_region ||
+                    now_us >= r->started_us + OWN_REMOTE_AFTER_START_US);
     return rank;
 }
 
@@ -87,18 +87,18 @@
  * new owner starts without tokens: the previous one may just have spent its
  * own. */
 bool
-GwRouter_FeedsCold(GwRouter *r, GwServer *s, int64_t now_us)
+GwRouter_HasColdToken(GwRouter *r, GwServer *s, int64_t now_us)
 {
-    double per_s = s->service->cold_per_s * FEED_SHARE;
-    FeedRank rank = rank_of(r, s, now_us);
+    double per_s = s->service->cold_per_s * COLD_RATE_SHARE;
+    OwnerRank rank = compute_rank(r, s, now_us);
 
-    if (!rank.may_feed || rank.before > 0) {
-        s->feeds = false;
+    if (!rank.may_own || rank.before > 0) {
+        s->owns_rate = false;
         return false;
     }
-    if (!s->feeds) {
-        s->feeds = true;
-        s->cold_tokens = (GwBucket){.max = FEED_BURST, .at_us = now_us};
+    if (!s->owns_rate) {
+        s->owns_rate = true;
+        s->cold_tokens = (GwBucket){.max = COLD_RATE_BURST, .at_us = now_us};
     }
     GwBucket_Fill(&s->cold_tokens, now_us, per_s);
 #if GW_MUTANT == 73 /* breaks: a cold server has no rate limit */
@@ -118,43 +118,43 @@
 static void
 set_share(GwServer *s, int64_t now_us, double share)
 {
-    bool goes_on = s->limit.share > 0 && share > 0;
+    bool is_continued = s->limit.share_per_s > 0 && share > 0;
 
-    GwBucket_Fill(&s->limit.tokens, now_us, s->limit.share);
-    if (!goes_on) {
+    GwBucket_Fill(&s->limit.tokens, now_us, s->limit.share_per_s);
+    if (!is_continued) {
         s->limit.tokens.tokens = 0;
     }
-    s->limit.tokens.max = MAX(1.0, share * LIMIT_SAVED_S);
-    s->limit.share = share;
+    s->limit.tokens.max = MAX(1.0, share * LIMIT_BURST_S);
+    s->limit.share_per_s = share;
 }
 
 static double
-share_of(GwRouter *r, const GwServer *s, int64_t now_us)
+compute_share(GwRouter *r, const GwServer *s, int64_t now_us)
 {
-    FeedRank rank = rank_of(r, s, now_us);
-    double most = FEEDERS_MIN + FEEDERS_PER_LIMIT * s->limit.per_s;
-    uint32_t feeders = (uint32_t)MIN(most, rank.count);
+    OwnerRank rank = compute_rank(r, s, now_us);
+    double most = OWNERS_MIN + OWNERS_PER_LIMIT * s->limit.per_s;
+    uint32_t owners = (uint32_t)MIN(most, rank.count);
 
 #if GW_MUTANT == 84 /* breaks: each entry uses the whole limit */
     return s->limit.per_s;
 #endif
-    if (!rank.may_feed || rank.before >= feeders) {
+    if (!rank.may_own || rank.before >= owners) {
         return 0;
     }
-    return MAX(s->limit.per_s * LIMIT_SHARE, LIMIT_FLOOR) / feeders;
+    return MAX(s->limit.per_s * LIMIT_SHARE, LIMIT_SHARE_MIN_PER_S) / owners;
 }
 
 bool
-GwRouter_FeedsLimited(GwRouter *r, GwServer *s, int64_t now_us)
+GwRouter_HasLimitShare(GwRouter *r, GwServer *s, int64_t now_us)
 {
-    if (now_us - s->limit.ranked_us >= RANK_LIFE_US) {
-        double share = share_of(r, s, now_us);
-        s->limit.ranked_us = now_us;
-        if (share != s->limit.share) {
+    if (now_us - s->limit.share_at_us >= RANK_LIFE_US) {
+        double share = compute_share(r, s, now_us);
+        s->limit.share_at_us = now_us;
+        if (share != s->limit.share_per_s) {
             set_share(s, now_us, share);
         }
     }
-    return s->limit.share > 0;
+    return s->limit.share_per_s > 0;
 }
 
 double
@@ -163,33 +163,36 @@
     if (!GwServer_IsLimited(s)) {
         return 0;
     }
-    double lacks = 1.0 + s->claims -
-                   GwBucket_At(&s->limit.tokens, now_us, s->limit.share);
-    if (lacks <= 0) {
+    double missing =
+        1.0 + s->reservations -
+        GwBucket_At(&s->limit.tokens, now_us, s->limit.share_per_s);
+    if (missing <= 0) {
         return 0;
     }
-    return MIN(lacks * 1e6 / MAX(s->limit.share, 1e-9), LIMIT_WAIT_MAX_US);
+    return MIN(missing * 1e6 / MAX(s->limit.share_per_s, 1e-9),
+               LIMIT_WAIT_MAX_US);
 }
 
 void
 GwServer_SpendLimit(GwServer *s, int64_t now_us)
 {
-    GwBucket_Fill(&s->limit.tokens, now_us, s->limit.share);
+    GwBucket_Fill(&s->limit.tokens, now_us, s->limit.share_per_s);
     s->limit.tokens.tokens -= 1.0;
 }
 
 GwServer *
-GwRouter_UnheardLimited(GwRouter *r, int64_t now_us, GwServiceState *service)
+GwRouter_FindStaleLimited(GwRouter *r, int64_t now_us, GwServiceState *service)
 {
-    if (r->limits_us == 0 || now_us < service->unheard_due_us) {
+    if (r->limits_changed_us == 0 || now_us < service->stale_limit_due_us) {
         return NULL;
     }
-    service->unheard_due_us = now_us + UNHEARD_EVERY_US;
-    r->looks += service->servers->len;
+    service->stale_limit_due_us = now_us + STALE_LIMIT_INTERVAL_US;
+    r->evaluations += service->servers->len;
     for (guint i = 0; i < service->servers->len; i++) {
         GwServer *s = service->servers->pdata[i];
-        if (GwServer_IsLimited(s) && now_us - s->limit.heard_us > UNHEARD_US &&
-            GwRouter_FeedsLimited(r, s, now_us) &&
+        if (GwServer_IsLimited(s) &&
+            now_us - s->limit.answered_us > STALE_LIMIT_US &&
+            GwRouter_HasLimitShare(r, s, now_us) &&
             GwServer_LimitWaitUs(s, now_us) <= 0) {
             return s;
         }
@@ -204,10 +207,10 @@
 {
     s->limit.per_s = per_s;
     s->limit.at_us = at_us;
-    s->limit.seen_us = at_us;
+    s->limit.confirmed_us = at_us;
     s->limit.changed_us = now_us;
-    s->limit.ranked_us = 0;
-    r->limits_us = now_us;
+    s->limit.share_at_us = 0;
+    r->limits_changed_us = now_us;
     if (r->note_limit != NULL) {
         r->note_limit(r->note_limit_ctx, s, per_s);
     }
@@ -223,17 +226,17 @@
         per_s >= 0 && (!GwServer_IsLimited(s) || per_s < s->limit.per_s);
 
     if (end->limit != GW_LIMIT_UNSAID) {
-        s->limit.heard_us = now_us;
+        s->limit.answered_us = now_us;
     }
     if (end->limit == GW_LIMIT_UNSAID || per_s == s->limit.per_s) {
-        s->limit.seen_us = now_us;
+        s->limit.confirmed_us = now_us;
     }
 #if GW_MUTANT == 85 /* breaks: a limit never ends */
     else if (per_s < 0) {
         return;
     }
 #endif
-    else if (is_lower || now_us - s->limit.seen_us > LIMIT_KEPT_US) {
+    else if (is_lower || now_us - s->limit.confirmed_us > LIMIT_HOLD_US) {
         set_limit(r, now_us, s, per_s, now_us);
     }
 }
@@ -288,7 +291,7 @@
     GHashTableIter iter;
     gpointer value;
 
-    if (r->limits_us == 0) {
+    if (r->limits_changed_us == 0) {
         return 0;
     }
     g_hash_table_iter_init(&iter, r->servers);
@@ -304,7 +307,7 @@
 int64_t
 GwRouter_LimitsChangedUs(const GwRouter *r)
 {
-    return r->limits_us;
+    return r->limits_changed_us;
 }
 
 void
--- a/lib/router/keys.c
+++ b/lib/router/keys.c
@@ -22,12 +22,12 @@
 }
 
 static void
-clear(GwKeyServer *at)
+clear(GwKeyPlacement *at)
 {
     if (at->server != NULL) {
         at->server->objects--;
     }
-    *at = (GwKeyServer){0};
+    *at = (GwKeyPlacement){0};
 }
 
 static gboolean
@@ -39,8 +39,8 @@
     if (key->used_us >= *(int64_t *)limit) {
         return FALSE;
     }
-    for (int i = 0; i < GW_KEY_SERVERS; i++) {
-        clear(&key->at[i]);
+    for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+        clear(&key->placements[i]);
     }
     return TRUE;
 }
@@ -71,20 +71,20 @@
  * the service, so that a route that moves to another service or is split has
  * placements in each. */
 GwKey *
-GwRouter_KeyOf(GwRouter *r, int64_t now_us, const GwRoute *route,
-               const GwServiceState *service, const char *text)
+GwRouter_FindOrAddKey(GwRouter *r, int64_t now_us, const GwRoute *route,
+                      const GwServiceState *service, const char *text)
 {
     uint64_t seed = GwHash_Text(service->name, GwHash_Text(route->name, 0));
 
     return key_of(r, now_us, GwHash_Text(text, seed));
 }
 
-GwKeyServer *
-GwKey_At(GwKey *key, const GwServer *s)
+GwKeyPlacement *
+GwKey_FindPlacement(GwKey *key, const GwServer *s)
 {
-    for (int i = 0; i < GW_KEY_SERVERS; i++) {
-        if (key->at[i].server == s) {
-            return &key->at[i];
+    for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+        if (key->placements[i].server == s) {
+            return &key->placements[i];
         }
     }
     return NULL;
@@ -94,26 +94,26 @@
 static void
 add_place(GwKey *key, GwServer *s, int64_t now_us)
 {
-    GwKeyServer *at = &key->at[0];
+    GwKeyPlacement *at = &key->placements[0];
 
-    for (int i = 0; i < GW_KEY_SERVERS; i++) {
-        if (key->at[i].server == NULL) {
-            at = &key->at[i];
+    for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+        if (key->placements[i].server == NULL) {
+            at = &key->placements[i];
             break;
         }
-        if (key->at[i].started_us < at->started_us) {
-            at = &key->at[i];
+        if (key->placements[i].started_us < at->started_us) {
+            at = &key->placements[i];
         }
     }
     clear(at);
-    *at = (GwKeyServer){.server = s, .started_us = now_us};
+    *at = (GwKeyPlacement){.server = s, .started_us = now_us};
     s->objects++;
 }
 
 void
-GwRouter_UseKey(GwRouter *r, GwKey *key, GwServer *s, int64_t now_us)
+GwRouter_AddPlacement(GwRouter *r, GwKey *key, GwServer *s, int64_t now_us)
 {
-    if (GwKey_At(key, s) == NULL) {
+    if (GwKey_FindPlacement(key, s) == NULL) {
         GwPlacement placement = {
             .object = key->hash, .server = GwServer_Hash(s), .at_us = now_us};
         add_place(key, s, now_us);
@@ -132,11 +132,11 @@
     if (key == NULL) {
         return;
     }
-    if (GwKey_At(key, s) == NULL) {
+    if (GwKey_FindPlacement(key, s) == NULL) {
         add_place(key, s, now_us);
     }
     if (placement->warm) {
-        GwKey_At(key, s)->ran = true;
+        GwKey_FindPlacement(key, s)->ran = true;
     }
 }
 
@@ -158,13 +158,13 @@
     g_hash_table_iter_init(&iter, r->keys);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwKey *key = value;
-        for (int i = 0; i < GW_KEY_SERVERS; i++) {
-            if (key->at[i].server != NULL && key->at[i].ran) {
-                GwPlacement placement = {.object = key->hash,
-                                         .server =
-                                             GwServer_Hash(key->at[i].server),
-                                         .warm = true,
-                                         .at_us = key->used_us};
+        for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+            if (key->placements[i].server != NULL && key->placements[i].ran) {
+                GwPlacement placement = {
+                    .object = key->hash,
+                    .server = GwServer_Hash(key->placements[i].server),
+                    .warm = true,
+                    .at_us = key->used_us};
                 g_array_append_val(out, placement);
             }
         }
@@ -201,9 +201,9 @@
 }
 
 void
-GwKey_Ended(GwKey *key, GwServer *s, bool ran)
+GwKey_EndRun(GwKey *key, GwServer *s, bool ran)
 {
-    GwKeyServer *at = GwKey_At(key, s);
+    GwKeyPlacement *at = GwKey_FindPlacement(key, s);
 
     if (at == NULL) {
         return;
@@ -217,9 +217,9 @@
 }
 
 void
-GwKey_Forget(GwKey *key, const GwServer *s)
+GwKey_RemovePlacement(GwKey *key, const GwServer *s)
 {
-    GwKeyServer *at = GwKey_At(key, s);
+    GwKeyPlacement *at = GwKey_FindPlacement(key, s);
 
     if (at != NULL) {
         clear(at);
@@ -227,13 +227,13 @@
 }
 
 void
-GwRouter_ForgetInKeys(GwRouter *r, const GwServer *s)
+GwRouter_RemovePlacements(GwRouter *r, const GwServer *s)
 {
     GHashTableIter iter;
     gpointer value;
 
     g_hash_table_iter_init(&iter, r->keys);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        GwKey_Forget(value, s);
+        GwKey_RemovePlacement(value, s);
     }
 }
--- a/lib/router/peers.c
+++ b/lib/router/peers.c
@@ -16,10 +16,10 @@
 move_at(GwRouter *r, int64_t now_us, GwServer *s, const char *region,
         uint32_t by, bool add)
 {
-    GwServer_NoteBusy(r, s, now_us);
+    GwServer_UpdateUtilization(r, s, now_us);
     move_count(&s->peers_in_flight, by, add);
     if (strcmp(region, s->path->region) != 0) {
-        move_count(&s->peers_far, by, add);
+        move_count(&s->peers_remote, by, add);
     }
 }
 
--- a/lib/router/quarantine.c
+++ b/lib/router/quarantine.c
@@ -3,22 +3,22 @@
 #include <string.h>
 
 /* Limits of one entry's tables. */
-#define RECORDS_MAX 4096
-#define BREAKS_MAX  1024
+#define RECORDS_MAX          4096
+#define LOST_CONNECTIONS_MAX 1024
 /* A lost connection is dropped if its server is not known to have crashed by
  * then. */
-#define BREAK_LIFE_US 2000000
+#define LOST_CONNECTION_LIFE_US 2000000
 /* Lifetime of a suspicion, and of the record that it was cleared. */
 #define SUSPECT_LIFE_US 600000000LL
 /* A suspect of one crash is sent to other entries only after this: most are
  * retried and cleared at once. */
-#define SETTLE_US 100000
+#define SHARE_AFTER_US 100000
 /* By then the other entries' records of the same crashes have arrived. */
-#define JUDGE_AFTER_US 150000
+#define EVALUATE_AFTER_US 150000
 /* Crashes within this time may have one common cause, other than the requests
  * that ran. Must exceed the difference between the times at which entries
  * detect one crash. */
-#define MOMENT_US 250000
+#define COMMON_CAUSE_US 250000
 /* Maximum number of doublings of the quarantine time. */
 #define DOUBLINGS_MAX 10
 
@@ -41,7 +41,7 @@
 
     q->records = g_hash_table_new_full(GwFingerprint_Hash,
                                        GwFingerprint_EqualKeys, NULL, g_free);
-    q->breaks = g_array_new(FALSE, FALSE, sizeof(GwBreak));
+    q->lost_connections = g_array_new(FALSE, FALSE, sizeof(GwLostConnection));
     q->version = 1;
     return q;
 }
@@ -53,7 +53,7 @@
         return;
     }
     g_hash_table_destroy(q->records);
-    g_array_free(q->breaks, TRUE);
+    g_array_free(q->lost_connections, TRUE);
     g_free(q);
 }
 
@@ -67,7 +67,7 @@
 bool
 GwQuarantine_IsEmpty(const GwQuarantine *q)
 {
-    return g_hash_table_size(q->records) == 0 && q->breaks->len == 0;
+    return g_hash_table_size(q->records) == 0 && q->lost_connections->len == 0;
 }
 
 GwSuspectRecord *
@@ -92,8 +92,8 @@
 /* Returns the highest crash count of any other request that ran on the server
  * when it crashed. */
 static uint32_t
-most_of_others(const GwQuarantine *q, const GwSuspectRecord *rec,
-               uint64_t server)
+max_crashes_of_others(const GwQuarantine *q, const GwSuspectRecord *rec,
+                      uint64_t server)
 {
     uint32_t most = 0;
     GHashTableIter iter;
@@ -117,21 +117,22 @@
 is_cause(const GwQuarantine *q, const GwSuspectRecord *rec)
 {
     uint32_t ahead = 0;
-    uint32_t level = 0;
+    uint32_t not_behind = 0;
 
     for (uint32_t i = 0; i < rec->s.server_count; i++) {
-        uint32_t most = most_of_others(q, rec, rec->s.servers[i]);
+        uint32_t most = max_crashes_of_others(q, rec, rec->s.servers[i]);
         ahead += most < rec->s.server_count;
-        level += most <= rec->s.server_count;
+        not_behind += most <= rec->s.server_count;
     }
 #if GW_MUTANT == 80 /* breaks: bystanders are quarantined too */
     return true;
 #endif
-    return ahead >= GW_QUARANTINE_CRASHES || level > GW_QUARANTINE_CRASHES;
+    return ahead >= GW_QUARANTINE_CRASHES ||
+           not_behind > GW_QUARANTINE_CRASHES;
 }
 
 static int64_t
-hold_us(const GwSuspectRecord *rec)
+quarantine_us(const GwSuspectRecord *rec)
 {
     uint32_t further = rec->s.server_count - GW_QUARANTINE_CRASHES;
 
@@ -139,25 +140,25 @@
 }
 
 int64_t
-GwSuspectRecord_HeldUntil(const GwQuarantine *q, int64_t now_us,
-                          GwSuspectRecord *rec)
+GwSuspectRecord_QuarantinedUntil(const GwQuarantine *q, int64_t now_us,
+                                 GwSuspectRecord *rec)
 {
     if (rec->s.server_count < GW_QUARANTINE_CRASHES) {
         return 0;
     }
 #if GW_MUTANT != 83 /* breaks: a common cause quarantines requests */
-    if (rec->at_us - rec->first_us < MOMENT_US) {
+    if (rec->at_us - rec->first_us < COMMON_CAUSE_US) {
         return 0;
     }
 #endif
-    if (now_us - rec->ripe_us < JUDGE_AFTER_US) {
+    if (now_us - rec->threshold_us < EVALUATE_AFTER_US) {
         return 0;
     }
-    if (rec->judged != q->version) {
-        rec->judged = q->version;
+    if (rec->evaluated_version != q->version) {
+        rec->evaluated_version = q->version;
         rec->is_cause = is_cause(q, rec);
     }
-    int64_t until_us = rec->at_us + hold_us(rec);
+    int64_t until_us = rec->at_us + quarantine_us(rec);
     return rec->is_cause && now_us < until_us ? until_us : 0;
 }
 
@@ -166,7 +167,7 @@
 {
     GwSuspectRecord *rec = GwQuarantine_Find(q, f);
 
-    return rec != NULL ? GwSuspectRecord_HeldUntil(q, now_us, rec) : 0;
+    return rec != NULL ? GwSuspectRecord_QuarantinedUntil(q, now_us, rec) : 0;
 }
 
 uint32_t
@@ -184,8 +185,9 @@
     if (rec->s.server_count == 0) {
         return GW_SUSPECT_NONE;
     }
-    return GwSuspectRecord_HeldUntil(q, now_us, rec) != 0 ? GW_SUSPECT_HELD
-                                                          : GW_SUSPECT_WATCHED;
+    return GwSuspectRecord_QuarantinedUntil(q, now_us, rec) != 0
+               ? GW_SUSPECT_HELD
+               : GW_SUSPECT_WATCHED;
 }
 
 /* ---- Updates ------------------------------------------------------------- */
@@ -206,7 +208,7 @@
     GwSuspectState old = rec->state;
     GwSuspectState state = GwSuspectRecord_State(q, now_us, rec);
 
-    if (!rec->told || state == old) {
+    if (!rec->is_shared || state == old) {
         return;
     }
     rec->state = state;
@@ -221,14 +223,14 @@
 {
     q->version++;
     rec->changed_us = now_us;
-    rec->told = rec->told || rec->s.server_count > 1;
+    rec->is_shared = rec->is_shared || rec->s.server_count > 1;
     if (rec->s.server_count < GW_QUARANTINE_CRASHES) {
-        rec->ripe_us = 0;
+        rec->threshold_us = 0;
     }
-    else if (rec->ripe_us == 0) {
-        rec->ripe_us = rec->at_us;
+    else if (rec->threshold_us == 0) {
+        rec->threshold_us = rec->at_us;
     }
-    if (rec->told) {
+    if (rec->is_shared) {
         q->changed_us = now_us;
     }
     note_state(q, now_us, rec);
@@ -236,7 +238,7 @@
 
 /* Eviction order: fewer crashes first, then older. */
 static bool
-goes_before(const GwSuspectRecord *a, const GwSuspectRecord *b)
+is_evicted_before(const GwSuspectRecord *a, const GwSuspectRecord *b)
 {
     if (a->s.server_count != b->s.server_count) {
         return a->s.server_count < b->s.server_count;
@@ -245,7 +247,7 @@
 }
 
 static void
-make_room(GwQuarantine *q)
+evict_if_full(GwQuarantine *q)
 {
     GwSuspectRecord *first = NULL;
     GHashTableIter iter;
@@ -256,7 +258,7 @@
     }
     g_hash_table_iter_init(&iter, q->records);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (first == NULL || goes_before(value, first)) {
+        if (first == NULL || is_evicted_before(value, first)) {
             first = value;
         }
     }
@@ -270,7 +272,7 @@
     GwSuspectRecord *rec = GwQuarantine_Find(q, f);
 
     if (rec == NULL) {
-        make_room(q);
+        evict_if_full(q);
         rec = g_new0(GwSuspectRecord, 1);
         rec->s.fingerprint = *f;
         rec->at_us = now_us;
@@ -306,7 +308,7 @@
 /* Updates the times for a further crash, whose server was added if there was
  * room. */
 static void
-note_time(GwSuspectRecord *rec, int64_t at_us)
+update_times(GwSuspectRecord *rec, int64_t at_us)
 {
     bool first = rec->s.server_count == 1;
 
@@ -318,32 +320,34 @@
 GwQuarantine_NoteBreak(GwQuarantine *q, int64_t now_us, const GwFingerprint *f,
                        uint64_t server)
 {
-    GwBreak b = {.fingerprint = *f, .server = server, .at_us = now_us};
+    GwLostConnection b = {
+        .fingerprint = *f, .server = server, .at_us = now_us};
 
-    if (q->breaks->len == BREAKS_MAX) {
-        g_array_remove_index(q->breaks, 0);
+    if (q->lost_connections->len == LOST_CONNECTIONS_MAX) {
+        g_array_remove_index(q->lost_connections, 0);
     }
-    g_array_append_val(q->breaks, b);
+    g_array_append_val(q->lost_connections, b);
 }
 
 void
 GwQuarantine_NoteCrash(GwQuarantine *q, int64_t now_us, uint64_t server)
 {
-    for (guint i = 0; i < q->breaks->len;) {
-        GwBreak b = g_array_index(q->breaks, GwBreak, i);
+    for (guint i = 0; i < q->lost_connections->len;) {
+        GwLostConnection b =
+            g_array_index(q->lost_connections, GwLostConnection, i);
         if (b.server != server) {
             i++;
             continue;
         }
-        g_array_remove_index(q->breaks, i);
-        if (now_us - b.at_us > BREAK_LIFE_US) {
+        g_array_remove_index(q->lost_connections, i);
+        if (now_us - b.at_us > LOST_CONNECTION_LIFE_US) {
             continue;
         }
         GwSuspectRecord *rec =
             GwQuarantine_FindOrAdd(q, now_us, &b.fingerprint);
         if (!has_server(&rec->s, server)) {
             (void)GwSuspect_AddServer(&rec->s, server);
-            note_time(rec, b.at_us);
+            update_times(rec, b.at_us);
             GwSuspectRecord_Change(q, now_us, rec);
         }
     }
@@ -352,9 +356,10 @@
 void
 GwQuarantine_NoteAlive(GwQuarantine *q, uint64_t server)
 {
-    for (guint i = q->breaks->len; i > 0; i--) {
-        if (g_array_index(q->breaks, GwBreak, i - 1).server == server) {
-            g_array_remove_index(q->breaks, i - 1);
+    for (guint i = q->lost_connections->len; i > 0; i--) {
+        if (g_array_index(q->lost_connections, GwLostConnection, i - 1)
+                .server == server) {
+            g_array_remove_index(q->lost_connections, i - 1);
         }
     }
 }
@@ -368,7 +373,7 @@
     if (rec == NULL || rec->s.server_count == 0) {
         return false;
     }
-    if (!rec->told) {
+    if (!rec->is_shared) {
         (void)g_hash_table_remove(q->records, f);
         q->version++;
         return true;
@@ -403,20 +408,21 @@
 {
     return rec->s.server_count < GW_QUARANTINE_CRASHES
                ? SUSPECT_LIFE_US
-               : SUSPECT_LIFE_US + hold_us(rec);
+               : SUSPECT_LIFE_US + quarantine_us(rec);
 }
 
 static void
-drop_old_breaks(GwQuarantine *q, int64_t now_us)
+expire_lost_connections(GwQuarantine *q, int64_t now_us)
 {
     guint old = 0;
 
-    while (old < q->breaks->len &&
-           now_us - g_array_index(q->breaks, GwBreak, old).at_us >
-               BREAK_LIFE_US) {
+    while (old < q->lost_connections->len &&
+           now_us - g_array_index(q->lost_connections, GwLostConnection, old)
+                        .at_us >
+               LOST_CONNECTION_LIFE_US) {
         old++;
     }
-    g_array_remove_range(q->breaks, 0, old);
+    g_array_remove_range(q->lost_connections, 0, old);
 }
 
 void
@@ -425,7 +431,7 @@
     GHashTableIter iter;
     gpointer value;
 
-    drop_old_breaks(q, now_us);
+    expire_lost_connections(q, now_us);
     g_hash_table_iter_init(&iter, q->records);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwSuspectRecord *rec = value;
@@ -435,8 +441,8 @@
             g_hash_table_iter_remove(&iter);
             q->version++;
         }
-        else if (!rec->told && now_us - rec->at_us >= SETTLE_US) {
-            rec->told = true;
+        else if (!rec->is_shared && now_us - rec->at_us >= SHARE_AFTER_US) {
+            rec->is_shared = true;
             GwSuspectRecord_Change(q, now_us, rec);
         }
         else {
--- a/lib/router/quarantine_internal.h
+++ b/lib/router/quarantine_internal.h
@@ -13,10 +13,10 @@
     int64_t first_us; /* of the first crash */
     int64_t at_us;    /* of the last crash, or of the clearance */
     int64_t changed_us;
-    int64_t ripe_us;      /* of the crash that reached the threshold */
-    bool told;            /* shared with other entries */
-    GwSuspectState state; /* as last reported by q->note */
-    uint64_t judged;      /* version for which is_cause holds */
+    int64_t threshold_us;       /* of the crash that reached the threshold */
+    bool is_shared;             /* shared with other entries */
+    GwSuspectState state;       /* as last reported by q->note */
+    uint64_t evaluated_version; /* version for which is_cause holds */
     bool is_cause;
 } GwSuspectRecord;
 
@@ -24,12 +24,12 @@
     GwFingerprint fingerprint;
     uint64_t server;
     int64_t at_us;
-} GwBreak;
+} GwLostConnection;
 
 struct GwQuarantine_s {
-    GHashTable *records; /* GwFingerprint -> GwSuspectRecord */
-    GArray *breaks;      /* GwBreak */
-    uint64_t version;    /* incremented with each change of a record */
+    GHashTable *records;      /* GwFingerprint -> GwSuspectRecord */
+    GArray *lost_connections; /* GwLostConnection */
+    uint64_t version;         /* incremented with each change of a record */
     uint64_t sum;
     uint64_t sum_version; /* for which `sum` holds */
     int64_t changed_us;
@@ -50,8 +50,8 @@
 GwSuspect GwSuspectRecord_View(const GwSuspectRecord *rec, int64_t now_us);
 GwSuspectState GwSuspectRecord_State(const GwQuarantine *q, int64_t now_us,
                                      GwSuspectRecord *rec);
-int64_t GwSuspectRecord_HeldUntil(const GwQuarantine *q, int64_t now_us,
-                                  GwSuspectRecord *rec);
+int64_t GwSuspectRecord_QuarantinedUntil(const GwQuarantine *q, int64_t now_us,
+                                         GwSuspectRecord *rec);
 bool GwSuspect_IsFull(const GwSuspect *s);
 /* Keeps the servers sorted and drops the largest of too many, so that all
  * entries keep the same ones. Returns whether the server was added. */
--- a/lib/router/quarantine_news.c
+++ b/lib/router/quarantine_news.c
@@ -5,10 +5,10 @@
 
 /* An unknown record is not accepted this close to its end: entries that expire
  * it a little earlier would otherwise receive it again forever. */
-#define LAST_US 60000000
+#define EXPIRY_MARGIN_US 60000000
 
 static bool
-is_sound(const GwSuspect *s)
+is_valid(const GwSuspect *s)
 {
     return s->server_count <= GW_SUSPECT_SERVERS_MAX;
 }
@@ -55,7 +55,7 @@
 {
     int64_t left_us = from->at_us + GwSuspectRecord_LifeUs(from) - now_us;
 
-    return rec == NULL ? left_us < LAST_US
+    return rec == NULL ? left_us < EXPIRY_MARGIN_US
                        : left_us < 0 || rec->s.generation > from->s.generation;
 }
 
@@ -88,14 +88,14 @@
                              .at_us = now_us - (int64_t)from->age_ms * 1000};
 
     known.first_us = known.at_us - (int64_t)from->span_ms * 1000;
-    if (!is_sound(from) || is_outdated(rec, &known, now_us)) {
+    if (!is_valid(from) || is_outdated(rec, &known, now_us)) {
         return;
     }
     if (rec == NULL) {
         rec = GwQuarantine_FindOrAdd(q, known.at_us, &from->fingerprint);
     }
-    bool changed = merge(rec, &known) || !rec->told;
-    rec->told = true;
+    bool changed = merge(rec, &known) || !rec->is_shared;
+    rec->is_shared = true;
     if (changed) {
         GwSuspectRecord_Change(q, now_us, rec);
     }
@@ -127,7 +127,7 @@
     g_hash_table_iter_init(&iter, q->records);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
-        if (rec->told) {
+        if (rec->is_shared) {
             q->sum += sum_of(&rec->s);
         }
     }
@@ -151,7 +151,7 @@
     g_hash_table_iter_init(&iter, q->records);
     while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
-        if (rec->told && rec->changed_us >= since_us) {
+        if (rec->is_shared && rec->changed_us >= since_us) {
             out[count++] = GwSuspectRecord_View(rec, now_us);
         }
     }
@@ -170,7 +170,7 @@
     g_hash_table_iter_init(&iter, q->records);
     while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
-        if (place++ >= *from && rec->told) {
+        if (place++ >= *from && rec->is_shared) {
             out[count++] = GwSuspectRecord_View(rec, now_us);
         }
     }
@@ -193,7 +193,8 @@
         GwSuspectState state = GwSuspectRecord_State(q, now_us, rec);
         if (state != GW_SUSPECT_NONE) {
             GwSuspect s = GwSuspectRecord_View(rec, now_us);
-            visit(ctx, &s, state, GwSuspectRecord_HeldUntil(q, now_us, rec));
+            visit(ctx, &s, state,
+                  GwSuspectRecord_QuarantinedUntil(q, now_us, rec));
         }
     }
 }
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -5,7 +5,7 @@
 
 /* Interval of evaluations of waiting requests: estimates change with the
  * peers' reports, and a first run may end earlier than expected. */
-#define REJUDGE_US 15000
+#define EVALUATION_INTERVAL_US 15000
 /* Attempts that reached no server cost time only, but are bounded. */
 #define UNSENT_MAX 3
 /* Part of the retries allowed to all entries together that is used: the rest
@@ -14,15 +14,15 @@
 #define RETRY_BURST 8.0
 /* Retry delay of refused callers, randomized so that they don't retry at
  * once. */
-#define COMEBACK_MIN_MS    250
-#define COMEBACK_SPREAD_MS 500
+#define RETRY_AFTER_MIN_MS    250
+#define RETRY_AFTER_SPREAD_MS 500
 /* Bounds of the retry delay after a refusal for lack of capacity: a forecast
  * of a few ms is not stable, and no caller waits longer than a third of its
  * time. */
-#define ROOM_MIN_US 50000.0
-#define ROOM_MAX_US 3000000.0
+#define SLOT_WAIT_MIN_US 50000.0
+#define SLOT_WAIT_MAX_US 3000000.0
 /* A caller refused during a stop may retry at another entry at once. */
-#define ELSEWHERE_MS 20
+#define STOP_RETRY_AFTER_MS 20
 
 const char *
 GwWhy_Name(GwWhy why)
@@ -64,7 +64,7 @@
         .took_ms = (uint32_t)((now_us - req->arrived_us) / 1000),
         .expected_ms = (uint32_t)(req->expected_us / 1000),
         .warm = req->sent_warm,
-        .far = req->sent_far,
+        .far = req->sent_remote,
     };
 
     g_strlcpy(story.route, req->route->name, sizeof(story.route));
@@ -82,8 +82,8 @@
 static void
 finish(GwRouter *r, GwRequest *req)
 {
-    GwRequest_StopWaiting(req);
-    GwRequest_StopAwaiting(r, req);
+    GwRequest_Dequeue(req);
+    GwRequest_CancelProbeWait(r, req);
     if (req->deadline != GW_HEAP_OUT) {
         GwHeap_Remove(&r->deadlines, &req->deadline);
     }
@@ -94,34 +94,36 @@
 }
 
 uint32_t
-GwRouter_ComebackMs(GwRouter *r)
+GwRouter_RetryAfterMs(GwRouter *r)
 {
-    return COMEBACK_MIN_MS + GwRng_Below(&r->rng, COMEBACK_SPREAD_MS);
+    return RETRY_AFTER_MIN_MS + GwRng_Below(&r->rng, RETRY_AFTER_SPREAD_MS);
 }
 
 /* Retry delay until a slot is expected to be free for this kind of request.
  * Requests ahead take the first slots, so callers are spread over the same
  * time again. */
 static uint32_t
-room_ms(GwRouter *r, const GwRequest *req)
+slot_retry_after_ms(GwRouter *r, const GwRequest *req)
 {
-    uint32_t ms =
-        (uint32_t)(CLAMP(req->room_us, ROOM_MIN_US, ROOM_MAX_US) / 1000);
+    uint32_t ms = (uint32_t)(CLAMP(req->slot_wait_us, SLOT_WAIT_MIN_US,
+                                   SLOT_WAIT_MAX_US) /
+                             1000);
 
     return ms + GwRng_Below(&r->rng, ms);
 }
 
 static uint32_t
-comeback_ms(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why)
+choose_retry_after_ms(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why)
 {
     if (why == GW_WHY_NO_ROOM) {
-        return room_ms(r, req);
+        return slot_retry_after_ms(r, req);
     }
     if (why == GW_WHY_QUARANTINED) {
-        int64_t until_us = GwRequest_HeldUntil(r, now_us, req);
+        int64_t until_us = GwRequest_QuarantinedUntil(r, now_us, req);
         return (uint32_t)MIN((until_us - now_us) / 1000 + 1, UINT32_MAX);
     }
-    return r->end_us != INT64_MAX ? ELSEWHERE_MS : GwRouter_ComebackMs(r);
+    return r->end_us != INT64_MAX ? STOP_RETRY_AFTER_MS
+                                  : GwRouter_RetryAfterMs(r);
 }
 
 /* Ends the request with a status of this entry. 503 guarantees that the
@@ -144,7 +146,7 @@
 #endif
     else {
         out->status = 503;
-        out->retry_after_ms = comeback_ms(r, now_us, req, why);
+        out->retry_after_ms = choose_retry_after_ms(r, now_us, req, why);
     }
     finish(r, req);
 }
@@ -166,21 +168,22 @@
 send_to(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
         GArray *actions)
 {
-    GwKeyServer *at = req->key != NULL ? GwKey_At(req->key, s) : NULL;
+    GwKeyPlacement *at =
+        req->key != NULL ? GwKey_FindPlacement(req->key, s) : NULL;
 
-    GwRequest_StopWaiting(req);
+    GwRequest_Dequeue(req);
     req->server = s;
     req->sent_us = now_us;
     req->sent_warm = at != NULL;
-    req->sent_far = !s->same_region;
-    req->sent_alone = s->in_flight + s->peers_in_flight < s->slots;
+    req->sent_remote = !s->same_region;
+    req->sent_to_free_slot = s->in_flight + s->peers_in_flight < s->slots;
     req->attempts++;
     req->sends++;
     g_strlcpy(req->last_server, s->id, sizeof(req->last_server));
     if (req->tried_count < G_N_ELEMENTS(req->tried)) {
         req->tried[req->tried_count++] = s;
     }
-    GwServer_NoteBusy(r, s, now_us);
+    GwServer_UpdateUtilization(r, s, now_us);
     s->refs++;
     s->in_flight++;
     if (GwServer_IsCold(s, now_us)) {
@@ -190,7 +193,7 @@
         GwServer_SpendLimit(s, now_us);
     }
     if (req->key != NULL && !req->is_suspect) {
-        GwRouter_UseKey(r, req->key, s, now_us);
+        GwRouter_AddPlacement(r, req->key, s, now_us);
     }
     GwRequest_SetDeadline(r, req, req->give_up_us);
     GwDo *out = GwRouter_AddDo(actions, GW_DO_SEND, req);
@@ -203,9 +206,9 @@
 
 /* An answer after this is of no use. */
 static int64_t
-too_late_us(const GwRequest *req)
+last_useful_slot_us(const GwRequest *req)
 {
-    return MIN(req->late_us, req->budget_us);
+    return MIN(req->useless_after_us, req->server_deadline_us);
 }
 
 static GwWhy
@@ -224,55 +227,57 @@
 void
 GwRequest_Place(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
-    if (GwRequest_HeldUntil(r, now_us, req) != 0) {
+    if (GwRequest_QuarantinedUntil(r, now_us, req) != 0) {
         reply(r, now_us, req, GW_WHY_QUARANTINED, actions);
         return;
     }
     GwChoice c = GwRouter_Choose(r, now_us, req);
     req->expected_us = now_us - req->arrived_us + (int64_t)c.est_us;
-    req->room_us = c.wait_us;
+    req->slot_wait_us = c.wait_us;
 
     if (c.server == NULL) {
-        GwRouter_DriftRefused(r, now_us, c.wants_far);
+        GwRouter_NoteRegionRefused(r, now_us, c.prefers_remote);
         reply(r, now_us, req, why_no_server(r, req), actions);
         return;
     }
-    if (c.ready) {
-        GwRouter_DriftSent(r, now_us, req, c.wants_far,
-                           !c.server->same_region);
+    if (c.has_free_slot) {
+        GwRouter_NoteRegionSent(r, now_us, req, c.prefers_remote,
+                                !c.server->same_region);
         send_to(r, now_us, req, c.server, actions);
         return;
     }
     int64_t back_us = now_us + (int64_t)c.est_us;
-    bool was_late = req->late;
-    req->late = !c.in_time;
-    if (req->late && back_us > too_late_us(req)) {
-        GwRouter_DriftRefused(r, now_us, c.wants_far);
+    bool was_late = req->is_late;
+    req->is_late = !c.in_time;
+    if (req->is_late && back_us > last_useful_slot_us(req)) {
+        GwRouter_NoteRegionRefused(r, now_us, c.prefers_remote);
         req->refused_for = c.server;
         reply(r, now_us, req, GW_WHY_NO_ROOM, actions);
         return;
     }
-    GwServer_Claim(c.server);
+    GwServer_Reserve(c.server);
     /* A request that has just become late is evaluated again, behind the
      * others. */
-    req->waits_for = req->late == was_late ? c.server : NULL;
-    req->waits_for_place = c.is_place;
-    req->too_late_us = req->late
-                           ? too_late_us(req) - (int64_t)(c.est_us - c.wait_us)
-                           : INT64_MAX;
-    req->too_late_us = MIN(req->too_late_us, c.last_slot_us);
-    int64_t again_us = MAX(now_us + REJUDGE_US, req->service->pass_due_us);
-    again_us = MIN(again_us, req->too_late_us);
+    req->awaited_server = req->is_late == was_late ? c.server : NULL;
+    req->awaits_placement = c.is_placement;
+    req->last_useful_slot_us =
+        req->is_late
+            ? last_useful_slot_us(req) - (int64_t)(c.est_us - c.wait_us)
+            : INT64_MAX;
+    req->last_useful_slot_us = MIN(req->last_useful_slot_us, c.last_slot_us);
+    int64_t again_us =
+        MAX(now_us + EVALUATION_INTERVAL_US, req->service->pass_due_us);
+    again_us = MIN(again_us, req->last_useful_slot_us);
     GwRequest_SetDeadline(r, req, MIN(req->give_up_us, again_us));
 }
 
 /* Removed servers may be referred to by actions that the host has not carried
  * out yet: it may call the router while carrying them out. */
 void
-GwRouter_FreeFreed(GwRouter *r, const GArray *actions)
+GwRouter_FreeRemoved(GwRouter *r, const GArray *actions)
 {
     if (actions->len == 0) {
-        g_ptr_array_set_size(r->freed, 0);
+        g_ptr_array_set_size(r->removed_servers, 0);
     }
 }
 
@@ -290,9 +295,9 @@
 uint32_t
 GwRouter_EntriesMax(const GwRouter *r)
 {
-    uint32_t heard = g_hash_table_size(r->peers) + 1;
+    uint32_t known = g_hash_table_size(r->peers) + 1;
 
-    return MAX(MAX(r->params.entries_max, 1), MAX(heard, r->entries) * 3 / 2);
+    return MAX(MAX(r->params.entries_max, 1), MAX(known, r->entries) * 3 / 2);
 }
 
 void
@@ -316,7 +321,7 @@
         return false;
     }
 #endif
-    if (now_us >= req->budget_us) {
+    if (now_us >= req->server_deadline_us) {
         return false;
     }
     if (req->arrivals == 0) {
@@ -334,17 +339,17 @@
 }
 
 static void
-leave_server(GwRouter *r, int64_t now_us, GwRequest *req, bool ran,
-             GArray *actions)
+release_server(GwRouter *r, int64_t now_us, GwRequest *req, bool ran,
+               GArray *actions)
 {
     GwServer *s = req->server;
 
     if (req->key != NULL) {
-        GwKey_Ended(req->key, s, ran);
+        GwKey_EndRun(req->key, s, ran);
     }
-    GwServer_NoteBusy(r, s, now_us);
+    GwServer_UpdateUtilization(r, s, now_us);
     s->in_flight--;
-    s->service->freed = s->listed ? s : NULL;
+    s->service->freed_server = s->listed ? s : NULL;
     req->server = NULL;
     GwServer_Unref(r, s, actions);
 }
@@ -377,7 +382,7 @@
         return;
     }
     if (!end->closed || !GwRequest_AwaitProbe(r, now_us, req, s)) {
-        GwRequest_Wait(req);
+        GwRequest_Enqueue(req);
     }
 }
 
@@ -391,15 +396,15 @@
 
     GwServer *s = req->server;
 
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     GwRouter_Learn(r, now_us, req, end, actions);
     if (end->closed) {
-        GwRouter_NoteBreak(r, now_us, req, end->fingerprint, actions);
+        GwRouter_NoteConnectionLost(r, now_us, req, end->fingerprint, actions);
     }
     else if (good && end->fingerprint != NULL) {
         GwQuarantine_NoteSuccess(r->quarantine, now_us, end->fingerprint);
     }
-    leave_server(r, now_us, req, good, actions);
+    release_server(r, now_us, req, good, actions);
     if (answered) {
         /* During a stop the server's answer is passed on even if it is an
          * error: a retry might end too late, and the answer would be lost. */
@@ -407,7 +412,7 @@
         req->arrivals++;
         if (again && may_retry(r, now_us, req)) {
             req->may_have_run = true;
-            GwRequest_Wait(req);
+            GwRequest_Enqueue(req);
         }
         else {
             GwDo *out = GwRouter_AddDo(actions, GW_DO_ANSWER, req);
@@ -419,7 +424,7 @@
     else {
         after_failure(r, now_us, req, s, end, actions);
     }
-    GwRouter_Pump(r, now_us, service, actions);
+    GwRouter_DispatchWaiting(r, now_us, service, actions);
 }
 
 static void
@@ -428,18 +433,18 @@
     if (req->server != NULL) {
         GwDo *out = GwRouter_AddDo(actions, GW_DO_CANCEL, req);
         out->server = req->server;
-        leave_server(r, now_us, req, false, actions);
+        release_server(r, now_us, req, false, actions);
     }
 }
 
 void
 GwRouter_Gone(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     if (req->server != NULL) {
-        leave_server(r, now_us, req, false, actions);
+        release_server(r, now_us, req, false, actions);
     }
-    req->service->has_room = true;
+    req->service->needs_dispatch = true;
     finish(r, req);
 }
 
@@ -452,9 +457,9 @@
     g_hash_table_iter_init(&iter, r->services);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwServiceState *service = value;
-        if (service->has_room) {
-            service->has_room = false;
-            GwRouter_Pump(r, now_us, service, actions);
+        if (service->needs_dispatch) {
+            service->needs_dispatch = false;
+            GwRouter_DispatchWaiting(r, now_us, service, actions);
         }
     }
 }
@@ -470,7 +475,7 @@
 void
 GwRouter_Tick(GwRouter *r, int64_t now_us, GArray *actions)
 {
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     while (r->deadlines.count > 0 && GwHeap_TopKey(&r->deadlines) <= now_us) {
         GwRequest *req = GwHeap_Top(&r->deadlines);
         GwServiceState *service = req->service;
@@ -484,9 +489,9 @@
             /* Placing the request moves the deadline again if it still
              * waits. */
             GwRequest_SetDeadline(r, req, req->give_up_us);
-            GwRequest_EndAwaiting(r, req);
+            GwRequest_EndProbeWait(r, req);
         }
-        service->has_room = true;
+        service->needs_dispatch = true;
     }
     GwRouter_Settle(r, now_us, actions);
 }
@@ -500,5 +505,5 @@
 uint64_t
 GwRouter_Looks(const GwRouter *r)
 {
-    return r->looks;
+    return r->evaluations;
 }
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -9,7 +9,7 @@
 
     g_ptr_array_free(service->servers, TRUE);
     g_ptr_array_free(service->waiting, TRUE);
-    g_ptr_array_free(service->claimed, TRUE);
+    g_ptr_array_free(service->reserved_servers, TRUE);
     g_free(service->name);
     g_free(service);
 }
@@ -77,12 +77,12 @@
     r->evacuated =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     r->paths = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_path);
-    r->far_rtt_us = GW_FAR_RTT_US;
+    r->remote_rtt_us = GW_REMOTE_RTT_US;
     r->open = g_hash_table_new(NULL, NULL);
-    r->drift.at_us = now_us;
+    r->cross_region.at_us = now_us;
     r->placements = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
-    r->freed = g_ptr_array_new_with_free_func(free_server);
-    r->awaiting = g_ptr_array_new();
+    r->removed_servers = g_ptr_array_new_with_free_func(free_server);
+    r->awaiting_probe = g_ptr_array_new();
     r->quarantine = GwQuarantine_Create();
     return r;
 }
@@ -97,7 +97,7 @@
      * attempt ends. */
     if (req->server != NULL && !req->server->listed &&
         --req->server->refs == 0) {
-        g_ptr_array_add(r->freed, req->server);
+        g_ptr_array_add(r->removed_servers, req->server);
     }
 
     (void)value;
@@ -119,7 +119,7 @@
     GwHeap_Free(&r->deadlines);
     g_hash_table_iter_init(&iter, r->servers);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        g_ptr_array_add(r->freed, value);
+        g_ptr_array_add(r->removed_servers, value);
     }
     g_hash_table_destroy(r->servers);
     g_hash_table_destroy(r->by_hash);
@@ -131,9 +131,9 @@
     g_hash_table_destroy(r->routes);
     g_hash_table_destroy(r->services);
     g_array_free(r->placements, TRUE);
-    g_ptr_array_free(r->freed, TRUE);
+    g_ptr_array_free(r->removed_servers, TRUE);
     GwRouting_Unref(r->routing);
-    g_ptr_array_free(r->awaiting, TRUE);
+    g_ptr_array_free(r->awaiting_probe, TRUE);
     GwQuarantine_Free(r->quarantine);
     g_free(r);
 }
@@ -153,7 +153,7 @@
 {
     for (uint32_t i = 0; i < r->routing->service_count; i++) {
         const GwRouteService *from = &r->routing->services[i];
-        GwServiceState *service = GwRouter_ServiceOf(r, from->name);
+        GwServiceState *service = GwRouter_FindOrAddService(r, from->name);
         service->cold_per_s = from->cold_per_s;
         service->connections_max = from->connections_max;
     }
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -161,10 +161,9 @@
 
 typedef enum {
     GW_ATTEMPT_ANSWERED = 1, /* the whole answer of that server */
-    GW_ATTEMPT_REFUSED =
-        2, /* the server states that it did not run the request */
-    GW_ATTEMPT_UNSENT = 3, /* no byte was sent */
-    GW_ATTEMPT_BROKEN = 4 /* sent, no whole answer: the request may have run */
+    GW_ATTEMPT_REFUSED = 2,  /* did not run, as the server states */
+    GW_ATTEMPT_UNSENT = 3,   /* no byte was sent */
+    GW_ATTEMPT_BROKEN = 4    /* sent, no whole answer: may have run */
 } GwAttemptOutcome;
 
 /* Whether an answer states a limit on the server's requests per second. */
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -20,13 +20,13 @@
 /* Weight of a new sample in a moving average. */
 #define GW_MEAN_WEIGHT 0.1
 /* Round trip times assumed before the first connection to a region. */
-#define GW_NEAR_RTT_US 3000
-#define GW_FAR_RTT_US  100000
+#define GW_LOCAL_RTT_US  3000
+#define GW_REMOTE_RTT_US 100000
 /* A server that fails (GW_ATTEMPT_BROKEN or unreachable) is ejected for this
  * long at first; each further failure in a row doubles the time. */
-#define GW_EJECT_US     400000
-#define GW_EJECT_MAX_US 4000000
-#define GW_KEY_SERVERS  4 /* placements of one object */
+#define GW_EJECT_US           400000
+#define GW_EJECT_MAX_US       4000000
+#define GW_KEY_PLACEMENTS_MAX 4 /* placements of one object */
 
 typedef struct {
     double tokens;
@@ -43,15 +43,15 @@
     GPtrArray *servers; /* GwServer, borrowed */
     GPtrArray *waiting; /* GwRequest, in the order of dispatch */
     GwBucket retries;
-    GPtrArray *claimed; /* GwServer with reservations in the current pass */
-    bool panic;         /* too many servers are ejected: ejection is ignored */
+    GPtrArray *reserved_servers; /* GwServer with reservations */
+    bool panic; /* too many servers are ejected: ejection is ignored */
     int64_t panic_at_us; /* when `panic` was last computed */
-    bool has_room;       /* set when callers disconnect */
+    bool needs_dispatch; /* set when callers disconnect */
     int64_t pass_due_us; /* earliest next evaluation of all waiting requests */
-    double pass_looks;   /* evaluations per request in the last such pass */
-    GwServer *freed;     /* has got capacity since the last pass; or NULL */
-    int64_t unheard_due_us; /* next search for a stale limit */
-    double work_us;         /* mean time that a request occupies a slot */
+    double pass_evaluations; /* evaluations per request in that pass */
+    GwServer *freed_server; /* has got capacity since the last pass; or NULL */
+    int64_t stale_limit_due_us; /* next search for a stale limit */
+    double work_us;             /* mean time that a request occupies a slot */
     double cold_per_s;
     uint32_t connections_max; /* to one server, of all entries; 0: any */
 } GwServiceState;
@@ -60,9 +60,9 @@
     char *name;
     double warm_us;
     double cold_us;
-    double longest_us;   /* longest run, decaying; 0: no run has ended yet */
-    uint32_t open;       /* requests that refer to this state */
-    int64_t left_max_us; /* longest time callers allow, decaying */
+    double longest_run_us; /* longest run, decaying; 0: no run has ended yet */
+    uint32_t open;         /* requests that refer to this state */
+    int64_t caller_time_max_us; /* longest time callers allow, decaying */
     int64_t *credit; /* smooth weighted round robin: one counter per part */
     uint32_t credit_count;
 } GwRouteState;
@@ -76,13 +76,13 @@
 
 /* A server's request rate limit, which holds for all entries together. */
 typedef struct {
-    double per_s;       /* < 0: the server states no limit */
-    int64_t at_us;      /* start of validity of this limit */
-    int64_t seen_us;    /* last answer that confirmed it */
-    int64_t heard_us;   /* last answer of any kind, whatever limit it stated */
-    int64_t changed_us; /* when it became known here; 0: never limited */
-    double share;       /* this entry's share, requests per second */
-    int64_t ranked_us;  /* when the share was last computed */
+    double per_s;         /* < 0: the server states no limit */
+    int64_t at_us;        /* start of validity of this limit */
+    int64_t confirmed_us; /* last answer that confirmed it */
+    int64_t answered_us;  /* last answer of any kind */
+    int64_t changed_us;   /* when it became known here; 0: never limited */
+    double share_per_s;   /* this entry's share, requests per second */
+    int64_t share_at_us;  /* when the share was last computed */
     GwBucket tokens;
 } GwServerLimit;
 
@@ -102,19 +102,19 @@
     uint32_t refs;      /* attempts in progress */
     uint32_t in_flight; /* requests of this entry */
     uint32_t peers_in_flight;
-    uint32_t peers_far; /* part of them from other regions */
-    uint32_t claims;    /* reserved slots, in the current pass */
-    uint32_t objects;   /* objects with a placement here */
-    double busy;        /* moving average of slots in use over slots */
-    int64_t busy_at_us;
-    double slow; /* run time relative to other servers */
+    uint32_t peers_remote; /* part of them from other regions */
+    uint32_t reservations; /* reserved slots, in the current pass */
+    uint32_t objects;      /* objects with a placement here */
+    double utilization;    /* moving average of slots in use over slots */
+    int64_t utilization_at_us;
+    double slowdown; /* run time relative to other servers */
     uint32_t failures;
     int64_t eject_until_us;
     int64_t cold_until_us;
     GwBucket cold_tokens;
     GwServerLimit limit;
-    bool feeds;  /* this entry owned its cold-start rate at the last check */
-    bool probed; /* the host is probing it with a connection */
+    bool owns_rate; /* this entry owned its cold rate before */
+    bool probed;    /* the host is probing it with a connection */
     int64_t load_at_us;
     uint32_t load_running;
     uint32_t load_waiting;
@@ -126,12 +126,12 @@
     GwServer *server;
     int64_t started_us; /* start of the first run there */
     bool ran;           /* that run has ended */
-} GwKeyServer;
+} GwKeyPlacement;
 
 typedef struct {
     uint64_t hash;
     int64_t used_us;
-    GwKeyServer at[GW_KEY_SERVERS];
+    GwKeyPlacement placements[GW_KEY_PLACEMENTS_MAX];
 } GwKey;
 
 typedef struct {
@@ -143,18 +143,18 @@
 
 /* The share of requests sent to other regions, and its limit. */
 typedef struct {
-    double sent;   /* requests sent, decaying */
-    double far;    /* part of them to other regions */
-    double asked;  /* requests placed or refused, decaying */
-    double wanted; /* part of them whose best server was in another region */
-    double level;  /* share allowed now */
+    double sent;          /* requests sent, decaying */
+    double remote;        /* part of them to other regions */
+    double demand;        /* requests placed or refused, decaying */
+    double remote_demand; /* part that preferred another region */
+    double allowed_share; /* share allowed now */
     int64_t at_us;
-    int64_t free_until_us;  /* no limit before this: local servers were lost */
-    int64_t start_until_us; /* end of the start phase; 0: not begun */
-    double first_work_us;   /* slot time of the first requests, all cold */
+    int64_t unlimited_until_us; /* no limit before this */
+    int64_t start_until_us;     /* end of the start phase; 0: not begun */
+    double first_work_us;       /* slot time of the first requests, all cold */
     uint32_t first_count;
-    bool has_level;
-} GwDrift;
+    bool has_forecast;
+} GwCrossRegion;
 
 struct GwRequest_s {
     void *user;
@@ -164,29 +164,29 @@
     GwServiceState *service;
     GwKey *key; /* or NULL */
     int64_t arrived_us;
-    int64_t aim_us;     /* end of the latency objective */
-    int64_t late_us;    /* an answer after this is of no use to the caller */
-    int64_t give_up_us; /* the caller or the route waits no longer */
-    int64_t budget_us;  /* end of the time that is sent to servers */
-    uint32_t deadline;  /* index in r->deadlines */
+    int64_t objective_end_us;   /* end of the latency objective */
+    int64_t useless_after_us;   /* an answer after this is of no use */
+    int64_t give_up_us;         /* the caller or the route waits no longer */
+    int64_t server_deadline_us; /* end of the time that is sent to servers */
+    uint32_t deadline;          /* index in r->deadlines */
     uint32_t attempts;
     GwServer *server; /* of the attempt in progress, or NULL */
     int64_t sent_us;
     int64_t expected_us; /* expected total time, as of the last evaluation */
-    double room_us;      /* wait for a free slot, as of the same evaluation */
+    double slot_wait_us; /* wait for a free slot, as of the same evaluation */
     bool sent_warm;
-    bool sent_far;
-    bool sent_alone; /* a slot was free: the run time includes no queueing */
+    bool sent_remote;
+    bool sent_to_free_slot;      /* the run time includes no queueing */
     const GwServer *refused_for; /* the best server, when refused */
     bool has_fingerprint;
     GwFingerprint fingerprint;
-    bool is_suspect;       /* a server crashed while running it */
-    GwServer *waits_probe; /* closed the connection; or NULL */
-    bool waits;
-    bool late;            /* is waiting and will miss its objective */
-    int64_t too_late_us;  /* a slot after this is too late */
-    GwServer *waits_for;  /* has no capacity yet; NULL: evaluate */
-    bool waits_for_place; /* the server is a placement of the object */
+    bool is_suspect;         /* a server crashed while running it */
+    GwServer *probed_server; /* closed the connection; or NULL */
+    bool is_waiting;
+    bool is_late;                /* is waiting and will miss its objective */
+    int64_t last_useful_slot_us; /* a slot after this is too late */
+    GwServer *awaited_server;    /* has no capacity yet; NULL: evaluate */
+    bool awaits_placement;       /* the server is a placement of the object */
     bool may_have_run; /* an attempt ended without proof that it did not run */
     uint32_t sends;    /* all attempts, also those that reached no server */
     char last_server[48];
@@ -208,50 +208,52 @@
     GHashTable *peers;    /* name -> GwPeer */
     GHashTable *sums;     /* region -> (server hash -> requests in flight) */
     GHashTable *evacuated;
-    GHashTable *paths;   /* region -> GwPath */
-    double far_rtt_us;   /* mean round trip to other regions */
-    GHashTable *open;    /* set of GwRequest */
-    GPtrArray *awaiting; /* GwRequest, waiting for the probe of a server */
-    GPtrArray *freed;    /* GwServer, freed at the start of the next call */
-    GArray *placements;  /* GwPlacement made by this entry, oldest first */
+    GHashTable *paths;          /* region -> GwPath */
+    double remote_rtt_us;       /* mean round trip to other regions */
+    GHashTable *open;           /* set of GwRequest */
+    GPtrArray *awaiting_probe;  /* GwRequest, waiting for a probe */
+    GPtrArray *removed_servers; /* GwServer, freed in the next call */
+    GArray *placements; /* GwPlacement made by this entry, oldest first */
     GwHeap deadlines;
-    GwDrift drift;
+    GwCrossRegion cross_region;
     GwQuarantine *quarantine;
     uint32_t entries; /* that may be alive; 0: not set by the host */
-    /* Capacity of servers that accept requests; valid if `room_known`. */
-    bool room_known;
-    bool room_lost; /* the local region lost slots since the last check */
-    uint32_t near_slots;
+    /* Slots of servers that accept requests; valid if `is_capacity_known`. */
+    bool is_capacity_known;
+    bool has_lost_capacity; /* local slots were lost since the last check */
+    uint32_t local_slots;
     uint32_t all_slots;
     uint32_t regions;
-    int64_t limits_us; /* last change of any limit; 0: never */
+    int64_t limits_changed_us; /* last change of any limit; 0: never */
     GwLimitNote note_limit;
     void *note_limit_ctx;
     int64_t started_us;
-    int64_t end_us; /* end of a graceful stop; INT64_MAX: not stopping */
-    uint64_t looks; /* server evaluations since the start */
+    int64_t end_us;       /* end of a graceful stop; INT64_MAX: not stopping */
+    uint64_t evaluations; /* server evaluations since the start */
 };
 
 /* servers.c */
-GwServiceState *GwRouter_ServiceOf(GwRouter *r, const char *name);
+GwServiceState *GwRouter_FindOrAddService(GwRouter *r, const char *name);
 /* Slots in use or about to be: requests in flight, where those sent across
  * regions count by the part of their time that they spend in a slot. */
-double GwServer_InSlots(const GwRouter *r, const GwServer *s);
-double GwServer_Occupied(const GwRouter *r, const GwServer *s, int64_t now_us);
+double GwServer_SlotsInUse(const GwRouter *r, const GwServer *s);
+double GwServer_Load(const GwRouter *r, const GwServer *s, int64_t now_us);
 bool GwServer_IsCold(const GwServer *s, int64_t now_us);
 void GwServer_Unref(GwRouter *r, GwServer *s, GArray *actions);
 void GwRouter_Learn(GwRouter *r, int64_t now_us, GwRequest *req,
                     const GwAttemptEnd *end, GArray *actions);
 /* Mean of used slots over slots in the last seconds; above 1 when requests
  * queue at the server. */
-double GwServer_Busy(const GwRouter *r, const GwServer *s, int64_t now_us);
-void GwServer_NoteBusy(const GwRouter *r, GwServer *s, int64_t now_us);
+double GwServer_Utilization(const GwRouter *r, const GwServer *s,
+                            int64_t now_us);
+void GwServer_UpdateUtilization(const GwRouter *r, GwServer *s,
+                                int64_t now_us);
 
 /* feeding.c */
-bool GwRouter_FeedsCold(GwRouter *r, GwServer *s, int64_t now_us);
+bool GwRouter_HasColdToken(GwRouter *r, GwServer *s, int64_t now_us);
 bool GwServer_IsLimited(const GwServer *s);
 /* Returns whether this entry holds a share of the server's limit. */
-bool GwRouter_FeedsLimited(GwRouter *r, GwServer *s, int64_t now_us);
+bool GwRouter_HasLimitShare(GwRouter *r, GwServer *s, int64_t now_us);
 /* Time until this entry's share allows one more request, after those that
  * already wait for the server. */
 double GwServer_LimitWaitUs(const GwServer *s, int64_t now_us);
@@ -259,8 +261,8 @@
 /* Returns a limited server that has sent no answer for long although this
  * entry's share allows a request: that request would show whether the limit
  * still holds. NULL if there is none or the last search was a moment ago. */
-GwServer *GwRouter_UnheardLimited(GwRouter *r, int64_t now_us,
-                                  GwServiceState *service);
+GwServer *GwRouter_FindStaleLimited(GwRouter *r, int64_t now_us,
+                                    GwServiceState *service);
 void GwRouter_LearnLimit(GwRouter *r, int64_t now_us, GwServer *s,
                          const GwAttemptEnd *end);
 
@@ -270,22 +272,23 @@
 
 /* keys.c */
 uint64_t GwHash_Text(const char *text, uint64_t seed);
-GwKey *GwRouter_KeyOf(GwRouter *r, int64_t now_us, const GwRoute *route,
-                      const GwServiceState *service, const char *text);
-GwKeyServer *GwKey_At(GwKey *key, const GwServer *s);
+GwKey *GwRouter_FindOrAddKey(GwRouter *r, int64_t now_us, const GwRoute *route,
+                             const GwServiceState *service, const char *text);
+GwKeyPlacement *GwKey_FindPlacement(GwKey *key, const GwServer *s);
 /* Records that a request for the object is sent to the server. */
-void GwRouter_UseKey(GwRouter *r, GwKey *key, GwServer *s, int64_t now_us);
-void GwKey_Ended(GwKey *key, GwServer *s, bool ran);
-void GwKey_Forget(GwKey *key, const GwServer *s);
-void GwRouter_ForgetInKeys(GwRouter *r, const GwServer *s);
+void GwRouter_AddPlacement(GwRouter *r, GwKey *key, GwServer *s,
+                           int64_t now_us);
+void GwKey_EndRun(GwKey *key, GwServer *s, bool ran);
+void GwKey_RemovePlacement(GwKey *key, const GwServer *s);
+void GwRouter_RemovePlacements(GwRouter *r, const GwServer *s);
 
 /* choose.c */
 typedef struct {
     GwServer *server;     /* NULL: no server can take the request */
-    bool ready;           /* a slot is free there now */
+    bool has_free_slot;   /* a slot is free there now */
     bool in_time;         /* the answer is expected within the objective */
-    bool wants_far;       /* the best server is in another region */
-    bool is_place;        /* the server is a placement of the object */
+    bool prefers_remote;  /* the best server is in another region */
+    bool is_placement;    /* the server is a placement of the object */
     double est_us;        /* expected time to the answer */
     double wait_us;       /* part of it until a slot is free */
     int64_t last_slot_us; /* a later run would be cut off by a stop */
@@ -294,24 +297,26 @@
 GwChoice GwRouter_Choose(GwRouter *r, int64_t now_us, GwRequest *req);
 /* Returns whether the server can take one more request now, beside the
  * reservations of waiting requests. */
-bool GwServer_HasRoom(const GwRouter *r, const GwServer *s, int64_t now_us);
+bool GwServer_HasCapacity(const GwRouter *r, const GwServer *s,
+                          int64_t now_us);
 
 /* drift.c */
 typedef enum {
-    GW_DRIFT_ANY = 0,
-    GW_DRIFT_NEAR, /* local servers only: share at upper bound */
-    GW_DRIFT_FAR   /* remote servers only: share at lower bound */
-} GwDriftSide;
+    GW_REGIONS_ALL = 0,
+    GW_REGIONS_LOCAL, /* local servers only: share at upper bound */
+    GW_REGIONS_REMOTE /* remote servers only: share at lower bound */
+} GwRegionRule;
 
-GwDriftSide GwRouter_DriftSide(GwRouter *r, int64_t now_us);
+GwRegionRule GwRouter_RegionRule(GwRouter *r, int64_t now_us);
 /* Count a request that was sent (to another region or not), or refused. */
-void GwRouter_DriftSent(GwRouter *r, int64_t now_us, const GwRequest *req,
-                        bool wanted_far, bool far);
-void GwRouter_DriftRefused(GwRouter *r, int64_t now_us, bool wanted_far);
+void GwRouter_NoteRegionSent(GwRouter *r, int64_t now_us, const GwRequest *req,
+                             bool preferred_remote, bool remote);
+void GwRouter_NoteRegionRefused(GwRouter *r, int64_t now_us,
+                                bool preferred_remote);
 /* Must be called when servers are added, removed or evacuated. */
-void GwRouter_DriftServers(GwRouter *r);
+void GwRouter_NoteServersChanged(GwRouter *r);
 /* Returns whether this is the start phase, in which no server is warm. */
-bool GwRouter_DriftStarts(const GwRouter *r, int64_t now_us);
+bool GwRouter_IsStartPhase(const GwRouter *r, int64_t now_us);
 
 /* stop.c */
 /* Returns the last time at which a run at the server that is expected to take
@@ -326,19 +331,21 @@
 /* crashes.c */
 /* Records that the server closed the connection of an attempt, and asks the
  * host to probe whether the server is alive. */
-void GwRouter_NoteBreak(GwRouter *r, int64_t now_us, GwRequest *req,
-                        const GwFingerprint *fingerprint, GArray *actions);
+void GwRouter_NoteConnectionLost(GwRouter *r, int64_t now_us, GwRequest *req,
+                                 const GwFingerprint *fingerprint,
+                                 GArray *actions);
 /* Makes the request wait for the probe of `s`, after which it is queued again.
  * Returns false if the result is known already or no probe is in progress. */
 bool GwRequest_AwaitProbe(GwRouter *r, int64_t now_us, GwRequest *req,
                           GwServer *s);
 /* Ends the wait for a probe without queueing the request. */
-void GwRequest_StopAwaiting(GwRouter *r, GwRequest *req);
+void GwRequest_CancelProbeWait(GwRouter *r, GwRequest *req);
 /* Queues the request again before the probe has ended; the server is then
  * assumed to have crashed. */
-void GwRequest_EndAwaiting(GwRouter *r, GwRequest *req);
+void GwRequest_EndProbeWait(GwRouter *r, GwRequest *req);
 /* Returns the end of the request's quarantine; 0: not quarantined. */
-int64_t GwRequest_HeldUntil(GwRouter *r, int64_t now_us, GwRequest *req);
+int64_t GwRequest_QuarantinedUntil(GwRouter *r, int64_t now_us,
+                                   GwRequest *req);
 
 /* requests.c */
 /* Appends an action for the request; the caller fills in the other fields. */
@@ -354,22 +361,22 @@
 uint32_t GwRouter_EntriesMax(const GwRouter *r);
 /* Randomized retry delay for a caller that is refused for a reason other than
  * lack of capacity. */
-uint32_t GwRouter_ComebackMs(GwRouter *r);
+uint32_t GwRouter_RetryAfterMs(GwRouter *r);
 /* Frees removed servers that no pending action refers to; called at the start
  * of each public function that appends actions. */
-void GwRouter_FreeFreed(GwRouter *r, const GArray *actions);
+void GwRouter_FreeRemoved(GwRouter *r, const GArray *actions);
 
 /* waiting.c */
 /* Adds the request to its service's queue, ordered by priority, then
  * arrival. */
-void GwRequest_Wait(GwRequest *req);
-void GwRequest_StopWaiting(GwRequest *req);
+void GwRequest_Enqueue(GwRequest *req);
+void GwRequest_Dequeue(GwRequest *req);
 /* Reserves the server's next slot for a waiting request; requests after it in
  * this pass see one slot less. */
-void GwServer_Claim(GwServer *s);
+void GwServer_Reserve(GwServer *s);
 /* Dispatches waiting requests of the service whose outcome may have
  * changed. */
-void GwRouter_Pump(GwRouter *r, int64_t now_us, GwServiceState *service,
-                   GArray *actions);
+void GwRouter_DispatchWaiting(GwRouter *r, int64_t now_us,
+                              GwServiceState *service, GArray *actions);
 
 #endif
--- a/lib/router/servers.c
+++ b/lib/router/servers.c
@@ -6,14 +6,14 @@
 
 /* Range in which a run time, relative to the mean, counts: one answer that
  * hung for seconds must not exclude a server for minutes. */
-#define SLOW_MIN 0.5
-#define SLOW_MAX 16.0
+#define SLOWDOWN_MIN 0.5
+#define SLOWDOWN_MAX 16.0
 /* Time constant of the mean of slots in use: long against a request, short
  * against load waves. */
-#define BUSY_TAU_US 1500000.0
+#define UTILIZATION_TAU_US 1500000.0
 
 /* Decay of a route's longest run time per further run. */
-#define LONGEST_FADES 0.01
+#define LONGEST_RUN_DECAY 0.01
 
 double
 GwBucket_At(const GwBucket *b, int64_t now_us, double per_s)
@@ -34,7 +34,7 @@
 }
 
 GwServiceState *
-GwRouter_ServiceOf(GwRouter *r, const char *name)
+GwRouter_FindOrAddService(GwRouter *r, const char *name)
 {
     GwServiceState *service = g_hash_table_lookup(r->services, name);
 
@@ -43,7 +43,7 @@
         service->name = g_strdup(name);
         service->servers = g_ptr_array_new();
         service->waiting = g_ptr_array_new();
-        service->claimed = g_ptr_array_new();
+        service->reserved_servers = g_ptr_array_new();
         service->work_us = 200000;
         g_hash_table_insert(r->services, service->name, service);
     }
@@ -66,9 +66,9 @@
     if (actions != NULL && s->user != NULL) {
         g_array_append_val(actions, forget);
     }
-    GwRouter_ForgetInKeys(r, s);
+    GwRouter_RemovePlacements(r, s);
     g_hash_table_remove(r->by_hash, GUINT_TO_POINTER(GwServer_Hash(s)));
-    g_ptr_array_add(r->freed, s);
+    g_ptr_array_add(r->removed_servers, s);
 }
 
 void
@@ -87,13 +87,13 @@
     GPtrArray *waiting = s->service->waiting;
 
     s->listed = false;
-    if (s->service->freed == s) {
-        s->service->freed = NULL;
+    if (s->service->freed_server == s) {
+        s->service->freed_server = NULL;
     }
     for (guint i = 0; i < waiting->len; i++) {
         GwRequest *req = waiting->pdata[i];
-        if (req->waits_for == s) {
-            req->waits_for = NULL;
+        if (req->awaited_server == s) {
+            req->awaited_server = NULL;
         }
     }
     (void)g_ptr_array_remove(s->service->servers, s);
@@ -109,10 +109,10 @@
     GwPath *path = g_hash_table_lookup(r->paths, region);
 
     if (path == NULL) {
-        bool near = strcmp(region, r->params.region) == 0;
+        bool is_local = strcmp(region, r->params.region) == 0;
         path = g_new0(GwPath, 1);
         path->region = g_strdup(region);
-        path->rtt_us = near ? GW_NEAR_RTT_US : GW_FAR_RTT_US;
+        path->rtt_us = is_local ? GW_LOCAL_RTT_US : GW_REMOTE_RTT_US;
         g_hash_table_insert(r->paths, path->region, path);
     }
     return path;
@@ -127,13 +127,13 @@
     s->address = g_strdup(info->address);
     s->domain = g_strdup(info->domain);
     s->path = path_to(r, info->region);
-    s->service = GwRouter_ServiceOf(r, info->service);
+    s->service = GwRouter_FindOrAddService(r, info->service);
     s->born_ms = info->born_ms;
     s->hash = GwHash_Text(info->id, info->born_ms);
     s->same_domain = strcmp(info->domain, r->params.domain) == 0;
     s->same_region = strcmp(info->region, r->params.region) == 0;
-    s->slow = 1.0;
-    s->busy_at_us = r->started_us;
+    s->slowdown = 1.0;
+    s->utilization_at_us = r->started_us;
     s->limit.per_s = -1;
     s->listed = true;
     g_ptr_array_add(s->service->servers, s);
@@ -176,7 +176,7 @@
     if (info->warmup_left_ms > 0) {
         s->cold_until_us = now_us + (int64_t)info->warmup_left_ms * 1000;
     }
-    GwRouter_DriftServers(r);
+    GwRouter_NoteServersChanged(r);
 }
 
 void
@@ -187,7 +187,7 @@
 
     if (s != NULL) {
         delist(r, s, actions);
-        GwRouter_DriftServers(r);
+        GwRouter_NoteServersChanged(r);
     }
 }
 
@@ -219,7 +219,7 @@
     else {
         g_hash_table_remove(r->evacuated, domain);
     }
-    GwRouter_DriftServers(r);
+    GwRouter_NoteServersChanged(r);
 }
 
 /* ---- Utilization --------------------------------------------------------- */
@@ -227,38 +227,39 @@
 /* For requests between regions, the part of their time that they spend in a
  * slot; the rest is network time. */
 static double
-far_share(const GwRouter *r, const GwServer *s)
+slot_time_share(const GwRouter *r, const GwServer *s)
 {
     double work_us = s->service->work_us;
-    double rtt_us = s->same_region ? r->far_rtt_us : s->path->rtt_us;
+    double rtt_us = s->same_region ? r->remote_rtt_us : s->path->rtt_us;
 
     return work_us / (work_us + rtt_us);
 }
 
 double
-GwServer_InSlots(const GwRouter *r, const GwServer *s)
+GwServer_SlotsInUse(const GwRouter *r, const GwServer *s)
 {
-    uint32_t far = s->peers_far + (s->same_region ? 0 : s->in_flight);
+    uint32_t remote = s->peers_remote + (s->same_region ? 0 : s->in_flight);
     uint32_t all = s->in_flight + s->peers_in_flight;
 
-    return all - far * (1 - far_share(r, s));
+    return all - remote * (1 - slot_time_share(r, s));
 }
 
 double
-GwServer_Busy(const GwRouter *r, const GwServer *s, int64_t now_us)
+GwServer_Utilization(const GwRouter *r, const GwServer *s, int64_t now_us)
 {
-    double old = exp(-(double)(now_us - s->busy_at_us) / BUSY_TAU_US);
-    double now = GwServer_InSlots(r, s) / (double)MAX(s->slots, 1);
+    double old =
+        exp(-(double)(now_us - s->utilization_at_us) / UTILIZATION_TAU_US);
+    double now = GwServer_SlotsInUse(r, s) / (double)MAX(s->slots, 1);
 
-    return old * s->busy + (1 - old) * now;
+    return old * s->utilization + (1 - old) * now;
 }
 
 /* Must be called before the number of requests in flight changes. */
 void
-GwServer_NoteBusy(const GwRouter *r, GwServer *s, int64_t now_us)
+GwServer_UpdateUtilization(const GwRouter *r, GwServer *s, int64_t now_us)
 {
-    s->busy = GwServer_Busy(r, s, now_us);
-    s->busy_at_us = now_us;
+    s->utilization = GwServer_Utilization(r, s, now_us);
+    s->utilization_at_us = now_us;
 }
 
 /* ---- Estimates ----------------------------------------------------------- */
@@ -270,7 +271,7 @@
     double took_us = (double)connect_us;
 
     if (!s->same_region) {
-        r->far_rtt_us += GW_MEAN_WEIGHT * (took_us - r->far_rtt_us);
+        r->remote_rtt_us += GW_MEAN_WEIGHT * (took_us - r->remote_rtt_us);
     }
     if (!path->measured) {
         path->measured = true;
@@ -281,7 +282,7 @@
 }
 
 static void
-note(GwDoKind kind, GwServer *s, int64_t for_us, GArray *actions)
+add_log_action(GwDoKind kind, GwServer *s, int64_t for_us, GArray *actions)
 {
     GwDo out = {
         .kind = kind, .server = s, .left_ms = (uint32_t)(for_us / 1000)};
@@ -292,18 +293,19 @@
 static void
 learn_failure(GwServer *s, int64_t now_us, GArray *actions)
 {
-    int64_t away_us = MIN(GW_EJECT_US << MIN(s->failures, 6), GW_EJECT_MAX_US);
+    int64_t eject_us =
+        MIN(GW_EJECT_US << MIN(s->failures, 6), GW_EJECT_MAX_US);
 
     s->failures++;
-    s->eject_until_us = now_us + away_us;
-    note(GW_DO_NOTE_EJECTED, s, away_us, actions);
+    s->eject_until_us = now_us + eject_us;
+    add_log_action(GW_DO_NOTE_EJECTED, s, eject_us, actions);
 }
 
 static void
 learn_success(GwServer *s, GArray *actions)
 {
     if (s->failures > 0) {
-        note(GW_DO_NOTE_BACK, s, 0, actions);
+        add_log_action(GW_DO_NOTE_BACK, s, 0, actions);
     }
     s->failures = 0;
 }
@@ -315,17 +317,17 @@
     GwServer *s = req->server;
     double took =
         (double)(now_us - req->sent_us - end->connect_us) - s->path->rtt_us;
-    double faded = req->state->longest_us * (1 - LONGEST_FADES);
+    double faded = req->state->longest_run_us * (1 - LONGEST_RUN_DECAY);
 
-    req->state->longest_us = MAX(faded, took);
-    if (took < 1000.0 || !req->sent_alone) {
+    req->state->longest_run_us = MAX(faded, took);
+    if (took < 1000.0 || !req->sent_to_free_slot) {
         return;
     }
     double *mean =
         req->sent_warm ? &req->state->warm_us : &req->state->cold_us;
     double ratio = took / *mean;
-    double seen = CLAMP(ratio, SLOW_MIN, SLOW_MAX);
-    s->slow += 0.2 * (seen - s->slow);
+    double seen = CLAMP(ratio, SLOWDOWN_MIN, SLOWDOWN_MAX);
+    s->slowdown += 0.2 * (seen - s->slowdown);
     /* A slow server is no measure of the work itself. */
     if (ratio < 2.0) {
         *mean += GW_MEAN_WEIGHT * (took - *mean);
--- a/lib/router/stop.c
+++ b/lib/router/stop.c
@@ -10,10 +10,10 @@
 
 /* Upper bound of a run relative to earlier cold runs of its route: servers
  * differ, and slow down when nearly full. */
-#define RUN_SPREAD 1.5
+#define RUN_TIME_FACTOR 1.5
 /* Time for the answer to reach the caller through a busy event loop and a slow
  * link. */
-#define WAY_BACK_US 200000
+#define ANSWER_DELAY_US 200000
 
 void
 GwRouter_Stop(GwRouter *r, int64_t now_us, int64_t end_us, GArray *actions)
@@ -21,16 +21,16 @@
     GHashTableIter iter;
     gpointer value;
 
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     r->end_us = end_us;
-    while (r->awaiting->len > 0) {
-        GwRequest_EndAwaiting(r, r->awaiting->pdata[0]);
+    while (r->awaiting_probe->len > 0) {
+        GwRequest_EndProbeWait(r, r->awaiting_probe->pdata[0]);
     }
     g_hash_table_iter_init(&iter, r->services);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwServiceState *service = value;
         service->pass_due_us = now_us;
-        GwRouter_Pump(r, now_us, service, actions);
+        GwRouter_DispatchWaiting(r, now_us, service, actions);
     }
 }
 
@@ -40,7 +40,7 @@
 gives_up_before(const GwRouter *r, const GwRequest *req)
 {
     return r->end_us == INT64_MAX ||
-           req->give_up_us <= r->end_us - WAY_BACK_US;
+           req->give_up_us <= r->end_us - ANSWER_DELAY_US;
 }
 
 /* The longest time that a server may be given. It counts from the start of the
@@ -49,7 +49,7 @@
 static int64_t
 server_time_us(const GwRouter *r, int64_t now_us)
 {
-    return (r->end_us - WAY_BACK_US - now_us) / 2;
+    return (r->end_us - ANSWER_DELAY_US - now_us) / 2;
 }
 
 /* Time to allow for a run. For an idempotent request, the expected run time at
@@ -57,13 +57,14 @@
  * over lets the caller retry. A request that may run only once would be lost
  * by that, so the longest recent run is assumed, and a cold object. */
 static double
-need_us(const GwRequest *req, const GwServer *s, double run_us)
+allowed_run_us(const GwRequest *req, const GwServer *s, double run_us)
 {
     if (req->route->idempotent) {
-        return RUN_SPREAD * run_us;
+        return RUN_TIME_FACTOR * run_us;
     }
-    double cold_us = req->state->cold_us * MAX(s->slow, 1.0);
-    return MAX(RUN_SPREAD * MAX(run_us, cold_us), req->state->longest_us);
+    double cold_us = req->state->cold_us * MAX(s->slowdown, 1.0);
+    return MAX(RUN_TIME_FACTOR * MAX(run_us, cold_us),
+               req->state->longest_run_us);
 }
 
 int64_t
@@ -76,11 +77,11 @@
     if (gives_up_before(r, req)) {
         return INT64_MAX;
     }
-    if (req->state->longest_us == 0) {
+    if (req->state->longest_run_us == 0) {
         return INT64_MIN; /* no run of the route has ended yet */
     }
-    double after_us = s->path->rtt_us + 2 * need_us(req, s, run_us);
-    return r->end_us - WAY_BACK_US - (int64_t)after_us;
+    double after_us = s->path->rtt_us + 2 * allowed_run_us(req, s, run_us);
+    return r->end_us - ANSWER_DELAY_US - (int64_t)after_us;
 }
 
 /* The server answers when this time is over, so that even a run longer than
@@ -89,9 +90,9 @@
 GwRouter_ServerUntil(const GwRouter *r, int64_t now_us, const GwRequest *req)
 {
 #if GW_MUTANT == 78 /* breaks: a server works on after the entry has exited */
-    return req->budget_us;
+    return req->server_deadline_us;
 #endif
-    return gives_up_before(r, req)
-               ? req->budget_us
-               : MIN(req->budget_us, now_us + server_time_us(r, now_us));
+    return gives_up_before(r, req) ? req->server_deadline_us
+                                   : MIN(req->server_deadline_us,
+                                         now_us + server_time_us(r, now_us));
 }
--- a/lib/router/waiting.c
+++ b/lib/router/waiting.c
@@ -4,27 +4,27 @@
 
 /* Bounds the passes over all waiting requests to this many server evaluations
  * per us, a tenth of what a tenth of a core can do (bench_router_cost). */
-#define LOOKS_PER_US 0.5
+#define EVALUATIONS_PER_US 0.5
 /* Of the requests that any server with capacity would do for, at most this
  * many are evaluated when one gets capacity; the first mostly takes the
  * slot. */
-#define ASKED_MAX 2
+#define UNBOUND_EVALUATIONS_MAX 2
 
 void
-GwServer_Claim(GwServer *s)
+GwServer_Reserve(GwServer *s)
 {
-    if (s->claims++ == 0) {
-        g_ptr_array_add(s->service->claimed, s);
+    if (s->reservations++ == 0) {
+        g_ptr_array_add(s->service->reserved_servers, s);
     }
 }
 
 static void
-drop_claims(GwServiceState *service)
+clear_reservations(GwServiceState *service)
 {
-    for (guint i = 0; i < service->claimed->len; i++) {
-        ((GwServer *)service->claimed->pdata[i])->claims = 0;
+    for (guint i = 0; i < service->reserved_servers->len; i++) {
+        ((GwServer *)service->reserved_servers->pdata[i])->reservations = 0;
     }
-    g_ptr_array_set_size(service->claimed, 0);
+    g_ptr_array_set_size(service->reserved_servers, 0);
 }
 
 /* One pass over the waiting requests of a service. */
@@ -33,10 +33,9 @@
     int64_t now_us;
     GwServiceState *service;
     GArray *actions;
-    bool all; /* evaluate all */
-    const GwServer
-        *free;      /* has got capacity for one of the requests; or NULL */
-    uint32_t asked; /* evaluated requests that any server would do for */
+    bool is_full;           /* evaluates all requests */
+    const GwServer *free;   /* has got capacity; or NULL */
+    uint32_t unbound_count; /* evaluated requests without a placement */
 } Pass;
 
 /* Returns whether an evaluation could change anything: the request is new, its
@@ -44,34 +43,34 @@
  * has capacity and the request is not tied to a placement. All other requests
  * stay as they are until the next pass over all. */
 static bool
-is_to_be_judged(Pass *pass, const GwRequest *req)
+needs_evaluation(Pass *pass, const GwRequest *req)
 {
-    if (pass->all || req->waits_for == NULL ||
-        pass->now_us >= req->too_late_us ||
-        GwServer_HasRoom(pass->r, req->waits_for, pass->now_us)) {
+    if (pass->is_full || req->awaited_server == NULL ||
+        pass->now_us >= req->last_useful_slot_us ||
+        GwServer_HasCapacity(pass->r, req->awaited_server, pass->now_us)) {
         return true;
     }
-    if (pass->free == NULL || req->waits_for_place ||
-        pass->asked == ASKED_MAX ||
-        !GwServer_HasRoom(pass->r, pass->free, pass->now_us)) {
+    if (pass->free == NULL || req->awaits_placement ||
+        pass->unbound_count == UNBOUND_EVALUATIONS_MAX ||
+        !GwServer_HasCapacity(pass->r, pass->free, pass->now_us)) {
         return false;
     }
-    pass->asked++;
+    pass->unbound_count++;
     return true;
 }
 
 static void
-place_all(Pass *pass, bool late)
+place_requests(Pass *pass, bool late)
 {
     GPtrArray *waiting = pass->service->waiting;
 
     for (guint i = 0; i < waiting->len;) {
         GwRequest *req = waiting->pdata[i];
-        if (req->late == late && is_to_be_judged(pass, req)) {
+        if (req->is_late == late && needs_evaluation(pass, req)) {
             GwRequest_Place(pass->r, pass->now_us, req, pass->actions);
         }
-        else if (req->late == late) {
-            GwServer_Claim(req->waits_for);
+        else if (req->is_late == late) {
+            GwServer_Reserve(req->awaited_server);
         }
         /* A request that was placed has left the array. */
         if (i < waiting->len && waiting->pdata[i] == req) {
@@ -84,9 +83,9 @@
 static int64_t
 next_pass_us(const GwServiceState *service, int64_t now_us)
 {
-    double looks = service->pass_looks * service->waiting->len;
+    double evaluations = service->pass_evaluations * service->waiting->len;
 
-    return now_us + (int64_t)(looks / LOOKS_PER_US);
+    return now_us + (int64_t)(evaluations / EVALUATIONS_PER_US);
 }
 
 /* Dispatches the waiting requests of a service: those that can meet their
@@ -94,8 +93,8 @@
  * and end of a request, so evaluating all of them each time would cost more
  * the longer the queue is. */
 void
-GwRouter_Pump(GwRouter *r, int64_t now_us, GwServiceState *service,
-              GArray *actions)
+GwRouter_DispatchWaiting(GwRouter *r, int64_t now_us, GwServiceState *service,
+                         GArray *actions)
 {
     guint count = service->waiting->len;
     Pass pass = {
@@ -103,29 +102,29 @@
         .now_us = now_us,
         .service = service,
         .actions = actions,
-        .all = now_us >= service->pass_due_us,
-        .free = service->freed,
+        .is_full = now_us >= service->pass_due_us,
+        .free = service->freed_server,
     };
-    uint64_t looks = r->looks;
+    uint64_t before = r->evaluations;
 
-    service->freed = NULL;
+    service->freed_server = NULL;
     if (count == 0) {
         return;
     }
-    if (pass.all) {
+    if (pass.is_full) {
         service->pass_due_us = next_pass_us(service, now_us);
     }
-    drop_claims(service);
-    place_all(&pass, false);
-    place_all(&pass, true);
-    drop_claims(service);
-    if (pass.all) {
-        service->pass_looks = (double)(r->looks - looks) / count;
+    clear_reservations(service);
+    place_requests(&pass, false);
+    place_requests(&pass, true);
+    clear_reservations(service);
+    if (pass.is_full) {
+        service->pass_evaluations = (double)(r->evaluations - before) / count;
     }
 }
 
 void
-GwRequest_Wait(GwRequest *req)
+GwRequest_Enqueue(GwRequest *req)
 {
     GPtrArray *waiting = req->service->waiting;
     guint at = waiting->len;
@@ -138,15 +137,15 @@
         at--;
     }
     g_ptr_array_insert(waiting, (gint)at, req);
-    req->waits = true;
-    req->waits_for = NULL;
+    req->is_waiting = true;
+    req->awaited_server = NULL;
 }
 
 void
-GwRequest_StopWaiting(GwRequest *req)
+GwRequest_Dequeue(GwRequest *req)
 {
-    if (req->waits) {
-        req->waits = false;
+    if (req->is_waiting) {
+        req->is_waiting = false;
         (void)g_ptr_array_remove(req->service->waiting, req);
     }
 }
--- a/tests/unit/test_edge_late.c
+++ b/tests/unit/test_edge_late.c
@@ -412,10 +412,10 @@
 static void
 forget_speeds(EdgeHost *h)
 {
-    GPtrArray *servers = GwRouter_ServiceOf(h->edge->router, "s")->servers;
+    GPtrArray *servers = GwRouter_FindOrAddService(h->edge->router, "s")->servers;
 
     for (guint i = 0; i < servers->len; i++) {
-        ((GwServer *)servers->pdata[i])->slow = 1.0;
+        ((GwServer *)servers->pdata[i])->slowdown = 1.0;
     }
 }
 
--- a/tests/unit/test_router_choice.c
+++ b/tests/unit/test_router_choice.c
@@ -17,12 +17,12 @@
 {
     s->slots = 1 + GwRng_Below(rng, 8);
     s->peers_in_flight = GwRng_Below(rng, 2 * s->slots);
-    s->peers_far = GwRng_Below(rng, s->peers_in_flight + 1);
-    s->claims = GwRng_Below(rng, 3);
+    s->peers_remote = GwRng_Below(rng, s->peers_in_flight + 1);
+    s->reservations = GwRng_Below(rng, 3);
     s->objects = GwRng_Below(rng, 20);
-    s->busy = GwRng_Below(rng, 1500) / 1000.0;
-    s->busy_at_us = now_us - GwRng_Below(rng, 4000000);
-    s->slow = 0.5 + GwRng_Below(rng, 4000) / 1000.0;
+    s->utilization = GwRng_Below(rng, 1500) / 1000.0;
+    s->utilization_at_us = now_us - GwRng_Below(rng, 4000000);
+    s->slowdown = 0.5 + GwRng_Below(rng, 4000) / 1000.0;
     s->draining = GwRng_Below(rng, 20) == 0;
     s->eject_until_us = GwRng_Below(rng, 20) == 0 ? now_us + 1 : 0;
     s->cold_until_us = GwRng_Below(rng, 20) == 0 ? now_us + 1 : 0;
@@ -62,7 +62,7 @@
                        .serves = true,
                        .load_count = SERVERS,
                        .loads = loads};
-    GPtrArray *servers = GwRouter_ServiceOf(f->router, "s")->servers;
+    GPtrArray *servers = GwRouter_FindOrAddService(f->router, "s")->servers;
 
     for (guint i = 0; i < servers->len; i++) {
         loads[i] = (GwPeerLoad){GwServer_Hash(servers->pdata[i]), 6};
@@ -104,7 +104,7 @@
                          best->id);
         }
         for (guint i = 0; i < all->len; i++) {
-            ((GwServer *)all->pdata[i])->claims = 0;
+            ((GwServer *)all->pdata[i])->reservations = 0;
         }
         Steering_Finish(f);
     }
@@ -121,8 +121,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(slow); i++) {
         FakeSteering *f = Steering_Start(2);
         FakeSteering_Put(f, "idle", "r1", "d1", 10);
-        GPtrArray *servers = GwRouter_ServiceOf(f->router, "s")->servers;
-        ((GwServer *)servers->pdata[0])->slow = slow[i];
+        GPtrArray *servers =
+            GwRouter_FindOrAddService(f->router, "s")->servers;
+        ((GwServer *)servers->pdata[0])->slowdown = slow[i];
         FakeSteering_Put(f, "back", "r1", "d1", 10);
         for (int k = 0; k < 20; k++) {
             FakeRequest *req = FakeSteering_Arrive(f, "/again/", NULL, 8000);
