--- a/tests/property/router.cpp
+++ b/tests/property/router.cpp
@@ -1,6 +1,7 @@
-// The steering core under any course of events: arrivals, ends of attempts of
-// every kind, callers that leave, servers that come, drain, go and turn cold,
-// new versions, and time. The fake host writes down each promise not kept.
+// The steering core under random events: arrivals, attempt results of every
+// kind, disconnecting callers, servers that are added, drain, are removed or
+// become cold, new configurations, and time. The fake host records each
+// violated invariant.
 #include <glib.h>
 
 extern "C" {
@@ -45,7 +46,7 @@
 }
 
 void
-endOne(World &w, uint32_t arg)
+endRequest(World &w, uint32_t arg)
 {
     static const struct {
         GwAttemptOutcome outcome;
@@ -74,7 +75,7 @@
 }
 
 void
-putAgain(World &w, const std::string &name)
+repeatReport(World &w, const std::string &name)
 {
     for (guint i = 0; i < w.f->servers->len; i++) {
         auto *s = static_cast<FakeServer *>(w.f->servers->pdata[i]);
@@ -102,7 +103,7 @@
     case 4:
     case 5:
     case 6:
-        endOne(w, arg);
+        endRequest(w, arg);
         break;
     case 7:
         if (FakeRequest *req = openRequest(w, arg)) {
@@ -119,7 +120,7 @@
         FakeSteering_Drop(w.f, serverName(w, arg).c_str());
         break;
     case 11:
-        if (arg % 4 == 0) { // an older version, late from a peer
+        if (arg % 4 == 0) { // an older version, received late
             FakeSteering_Configure(w.f, w.version / 2, 9);
             RC_ASSERT(GwRouter_Routing(w.f->router)->version == w.version);
             break;
@@ -127,10 +128,10 @@
         FakeSteering_Configure(w.f, ++w.version, 1 + arg % 3);
         w.attempts = std::max(w.attempts, 1 + arg % 3);
         break;
-    case 13: // an older report of a server that may be leaving
-        putAgain(w, serverName(w, arg));
+    case 13: // an older report of a server that may be draining
+        repeatReport(w, serverName(w, arg));
         break;
-    case 14: // the entry stops, once
+    case 14: // graceful stop of the entry, once
         if (arg % 4 == 0 && w.f->end_us == 0) {
             FakeSteering_Stop(w.f, (arg % 3000) * kMs);
         }
@@ -145,7 +146,8 @@
     }
 }
 
-// Every request ends; none was sent to more servers than its route allows.
+// Every request has ended; none was sent to more servers than its route
+// allows.
 void
 checkEnds(World &w)
 {
@@ -159,7 +161,7 @@
 }
 
 void
-anyCourse()
+checkInvariants()
 {
     auto steps = *rc::gen::scale(
         4.0, rc::gen::container<std::vector<std::pair<uint32_t, uint32_t>>>(
@@ -180,10 +182,10 @@
     FakeSteering_Free(w.f);
 }
 
-// Every server fails every attempt. All entries together may repeat a fifth of
-// the first attempts and 60 in a window of 10 s; this is one of three.
+// Every server fails every attempt. All entries together may retry a fifth of
+// the first attempts plus 60 in a window of 10 s; this entry is one of three.
 void
-budget()
+checkRetryBudget()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     GwRng rng = GwRng_Make(seed);
@@ -208,10 +210,10 @@
     FakeSteering_Free(w.f);
 }
 
-// Every server refuses every attempt, and the budget has room: each request is
-// sent to as many servers as its route allows and no more.
+// Every server refuses every attempt, and the retry budget suffices: each
+// request is sent to as many servers as its route allows and no more.
 void
-attempts()
+checkAttempts()
 {
     uint32_t most = *rc::gen::inRange(1u, 4u);
     bool reached = false;
@@ -224,7 +226,7 @@
         addServer(w, 1);
     }
     for (uint32_t i = 0; i < 60; i++) {
-        for (int j = 0; j < 4; j++) { // earn what the repeats will cost
+        for (int j = 0; j < 4; j++) { // earn the budget of the retries
             FakeSteering_End(
                 w.f, FakeSteering_Arrive(w.f, "/again/", nullptr, 3000),
                 GW_ATTEMPT_ANSWERED, 200);
@@ -234,7 +236,7 @@
         for (int j = 0; j < 9 && !req->over; j++) {
             FakeSteering_End(w.f, req, GW_ATTEMPT_REFUSED, 503);
         }
-        FakeSteering_Pass(w.f, 200 * kMs); // the servers are passed over
+        FakeSteering_Pass(w.f, 200 * kMs); // the servers are ejected
         RC_ASSERT(req->servers <= most);
         reached = reached || req->servers == most;
     }
@@ -242,10 +244,10 @@
     FakeSteering_Free(w.f);
 }
 
-// However many callers press, whatever a cold server refuses or breaks: in
-// any second it gets no more than what it bears, from this entry alone.
+// Whatever the load, and whatever a cold server refuses or breaks: in any
+// second it receives no more than its rate, from this entry alone.
 void
-coldServer()
+checkColdServer()
 {
     auto seed = *rc::gen::arbitrary<uint64_t>();
     GwRng rng = GwRng_Make(seed);
@@ -259,7 +261,7 @@
         (void)FakeSteering_Arrive(
             w.f, GwRng_Below(&rng, 2) == 0 ? "/once/" : "/again/", nullptr,
             3000);
-        endOne(w, static_cast<uint32_t>(GwRng_Next(&rng) & 0xfffff));
+        endRequest(w, static_cast<uint32_t>(GwRng_Next(&rng) & 0xfffff));
         FakeSteering_Pass(w.f, (1 + GwRng_Below(&rng, 20)) * kMs);
     }
     auto *server = static_cast<FakeServer *>(w.f->servers->pdata[0]);
@@ -279,13 +281,15 @@
 int
 main()
 {
-    bool ok = rc::check("promises hold in any course of events", anyCourse);
-    ok = rc::check("retries stay within their budget", budget) && ok;
+    bool ok =
+        rc::check("invariants hold under random events", checkInvariants);
+    ok = rc::check("retries stay within their budget", checkRetryBudget) && ok;
     ok =
         rc::check("a request is sent to no more servers than its route allows",
-                  attempts) &&
+                  checkAttempts) &&
         ok;
-    ok = rc::check("a cold server gets no more than it bears", coldServer) &&
+    ok = rc::check("a cold server receives no more than its rate",
+                   checkColdServer) &&
          ok;
     return ok ? 0 : 1;
 }
--- a/tests/unit/steering_cases.h
+++ b/tests/unit/steering_cases.h
@@ -1,4 +1,4 @@
-/* What the cases of the steering core begin and end with. */
+/* Common fixture of the steering core's test cases. */
 #ifndef GW_TESTS_UNIT_STEERING_CASES_H
 #define GW_TESTS_UNIT_STEERING_CASES_H
 
@@ -6,12 +6,12 @@
 
 /* A core in region r1, domain d1, with a configuration. */
 FakeSteering *Steering_Start(uint32_t attempts_max);
-/* No promise was broken on the way. */
+/* Checks that no invariant was violated, and frees the fake host. */
 void Steering_Finish(FakeSteering *f);
-/* One request for the object, sent and answered. */
+/* Sends one request for the object and answers it. */
 void Steering_Warm(FakeSteering *f, const char *path, const char *key);
-/* The request that takes the last slot, and those that are sent ahead of the
- * next one; all are sent. Gives the first. */
+/* Sends the request that takes the last slot and those sent ahead of the next
+ * free slot; all must be sent. Returns the first. */
 FakeRequest *Steering_FillAhead(FakeSteering *f, const char *path,
                                 const char *key);
 
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -1,23 +1,24 @@
-/* Many entries steer to the same servers while more comes than these can do.
+/* Many entries share servers under more load than the servers can serve.
  *
- * Callers of 67 entries saw answers in time fall from 3,600 to 1,900 in two
- * seconds when traffic rose by 2.5, and stay low after it: what the entries
- * knew of each other's load was a second old, each kept sending, the queue
- * stood at the servers, and refused callers came back into it. */
+ * With load reports a second old, 67 entries kept sending to full servers when
+ * traffic rose by 2.5: answers in time fell from 3,600 to 1,900 in two seconds
+ * and stayed low afterwards, since the queue stood at the servers and refused
+ * callers retried into it. */
 #include "fakes/fleet.h"
 
 #include <criterion/criterion.h>
 #include <math.h>
 
 #define CASES(cases) (sizeof(cases) / sizeof((cases)[0]))
-/* Until a play's own chance is well below what is asked of it: few entries see
- * few requests. */
+/* Enough runs to make the variation between runs small against the bound: few
+ * entries see few requests. */
 #define SEEDS_OF(entries) ((entries) > 15 ? 3 : 72)
 
-/* Loads reach an entry by one that adds up: half a period, and one more. */
+/* Loads arrive through an entry that sums them: half a period, and one
+ * more. */
 #define SUMS_MS  50
 #define SUMS_LAG 75
-/* And from each to each. */
+/* And directly from each entry to each. */
 #define DIRECT_LAG 50
 
 static FleetParams
@@ -51,13 +52,14 @@
         .burst = burst,
         .burst_from_s = 14,
         .burst_to_s = 20,
-        .seconds = 30, /* two more than are judged: all of these are over */
+        .seconds =
+            30, /* two more than are evaluated, so that all requests of those have ended */
         .seed = seed,
     };
 }
 
-/* Answers in time in two seconds: the mean before the burst, the least within
- * it, and the mean from four seconds after its end. */
+/* Answers in time in two seconds: the mean before the burst, the minimum
+ * within it, and the mean from four seconds after its end. */
 typedef struct {
     double before;
     double within;
@@ -102,9 +104,9 @@
     double burst;
 } cases[] = {{12, 1.3}, {12, 2.5}, {70, 1.3}, {70, 2.5}};
 
-/* What the servers can do in time they do, whatever comes beside it: in any
- * two seconds 0.95 of what they did before, as operators ask. */
-Test(overload, a_burst_costs_no_answer_in_time)
+/* Under a burst the servers still answer in time what they did before: at
+ * least 0.95 of it in any two seconds, as operators ask. */
+Test(overload, a_burst_does_not_reduce_answers_in_time)
 {
     for (size_t i = 0; i < CASES(cases); i++) {
         Goodput g = goodput_of_seeds(cases[i].entries, cases[i].burst);
@@ -113,14 +115,15 @@
     }
 }
 
-/* When the burst is over callers have again what they would have had without
- * it: objects got further places while it lasted, more than servers remember,
- * and some went to other regions; both go on for seconds.
+/* After a burst callers get what they would have got without it. During the
+ * burst objects get further placements, more than servers can cache, and some
+ * go to other regions; both take seconds to recover.
  *
- * Each play is held against the same one without a burst. Held against its own
- * time before the burst a fleet of 12 was found wanting with no burst at all:
- * that time is its best, and the last requests were not over when it ended. */
-Test(overload, a_burst_leaves_nothing_behind)
+ * Each run is compared with the same run without a burst. The time before the
+ * burst is no fair reference: a fleet of 12 falls below it even without a
+ * burst, since it is the fleet's best time and the last requests have not
+ * ended when the run does. */
+Test(overload, after_a_burst_the_fleet_recovers)
 {
     Goodput calm = {0};
 
@@ -134,9 +137,9 @@
     }
 }
 
-/* With loads a second old, as they were, a fleet of 70 collapses and doesn't
- * come back: the case above can fail. */
-Test(overload, old_loads_collapse)
+/* With loads a second old, a fleet of 70 collapses and doesn't recover: shows
+ * that the cases above can fail. */
+Test(overload, old_load_reports_cause_a_collapse)
 {
     FleetParams params = fleet_of(70, 2.5, 1);
 
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -1,4 +1,4 @@
-/* Which requests are held for the servers that crashed under them. */
+/* Which requests are quarantined because of crashed servers. */
 #include "router/quarantine.h"
 
 #include "common/rng.h"
@@ -8,10 +8,10 @@
 
 #define MS       1000LL
 #define S        (1000 * MS)
-#define APART_US (400 * MS) /* crashes that have no cause in common */
+#define APART_US (400 * MS) /* crashes without a common cause */
 #define ENTRIES  5
 #define FLOOD    20000
-#define RECORDS  4096 /* that an entry keeps */
+#define RECORDS  4096 /* kept by an entry */
 
 static GwFingerprint
 request(uint64_t number)
@@ -19,7 +19,7 @@
     return (GwFingerprint){.hi = number * 0x9e3779b97f4a7c15ULL, .lo = number};
 }
 
-/* The server breaks off the requests and crashes. */
+/* The server closes the connections of the requests and crashes. */
 static void
 crash(GwQuarantine *q, int64_t now_us, uint64_t server, uint64_t first,
       uint64_t last)
@@ -32,7 +32,7 @@
 }
 
 static bool
-is_held(GwQuarantine *q, int64_t now_us, uint64_t number)
+is_quarantined(GwQuarantine *q, int64_t now_us, uint64_t number)
 {
     GwFingerprint f = request(number);
 
@@ -40,30 +40,31 @@
 }
 
 /* Guards against: a request crashes one server after the other. */
-Test(quarantine, three_crashes_hold_a_request)
+Test(quarantine, three_crashes_quarantine_a_request)
 {
     GwQuarantine *q = GwQuarantine_Create();
     int64_t now_us = S;
 
     for (uint64_t server = 1; server <= 3; server++) {
-        cr_expect_not(is_held(q, now_us + S, 1));
+        cr_expect_not(is_quarantined(q, now_us + S, 1));
         now_us += APART_US;
         crash(q, now_us, server, 1, 1);
         crash(q, now_us, server, 1, 1); /* the same start counts once */
     }
-    cr_expect(is_held(q, now_us + S, 1));
+    cr_expect(is_quarantined(q, now_us + S, 1));
     GwQuarantine_Free(q);
 }
 
-/* Guards against: a request is refused for what it has no part in. */
-Test(quarantine, other_ends_hold_nothing)
+/* Guards against: a request is refused that caused no crash. */
+Test(quarantine, other_failures_quarantine_nothing)
 {
     static const struct {
         const char *name;
         int64_t apart_us;
-        bool alive;   /* the server is, after all */
-        bool cleared; /* a run ends well before the last crash */
-        bool late;    /* the crash is seen long after the break */
+        bool alive;   /* the server turns out to be alive */
+        bool cleared; /* a run succeeds before the last crash */
+        bool
+            late; /* the crash is detected long after the connection was lost */
     } cases[] = {
         {"lost answers", .apart_us = APART_US, .alive = true},
         {"one cause", .apart_us = 40 * MS},
@@ -87,12 +88,13 @@
             GwQuarantine_NoteCrash(q, now_us + (cases[i].late ? 3 * S : 0),
                                    server);
         }
-        cr_expect_not(is_held(q, now_us + S, 1), "%s", cases[i].name);
+        cr_expect_not(is_quarantined(q, now_us + S, 1), "%s", cases[i].name);
         GwQuarantine_Free(q);
     }
 }
 
-/* Guards against: who shares servers with the cause is held with it. */
+/* Guards against: requests that ran beside the cause are quarantined with
+ * it. */
 Test(quarantine, the_cause_explains_the_crashes_of_others)
 {
     GwQuarantine *q = GwQuarantine_Create();
@@ -101,32 +103,33 @@
     for (uint64_t server = 1; server <= 4; server++) {
         now_us += APART_US;
         crash(q, now_us, server, 1, server <= 3 ? 2 : 1);
-        if (server == 3) { /* which of the two is not known yet */
-            cr_expect_not(is_held(q, now_us + S, 1));
-            cr_expect_not(is_held(q, now_us + S, 2));
+        if (server == 3) { /* which of the two is the cause is not known yet */
+            cr_expect_not(is_quarantined(q, now_us + S, 1));
+            cr_expect_not(is_quarantined(q, now_us + S, 2));
         }
     }
-    cr_expect(is_held(q, now_us + S, 1));
-    cr_expect_not(is_held(q, now_us + S, 2));
+    cr_expect(is_quarantined(q, now_us + S, 1));
+    cr_expect_not(is_quarantined(q, now_us + S, 2));
     GwQuarantine_Free(q);
 }
 
-/* Guards against: two that always crash servers together protect each other. */
-Test(quarantine, a_tie_is_held_with_one_more_crash)
+/* Guards against: two requests that always crash servers together protect each
+ * other. */
+Test(quarantine, a_tie_is_quarantined_after_one_more_crash)
 {
     GwQuarantine *q = GwQuarantine_Create();
 
     for (uint64_t server = 1; server <= 4; server++) {
         crash(q, S + (int64_t)server * APART_US, server, 1, 2);
     }
-    cr_expect(is_held(q, 4 * S, 1));
-    cr_expect(is_held(q, 4 * S, 2));
+    cr_expect(is_quarantined(q, 4 * S, 1));
+    cr_expect(is_quarantined(q, 4 * S, 2));
     GwQuarantine_Free(q);
 }
 
-/* Guards against: a wrong conviction that lasts, and a right one that is tried
+/* Guards against: a wrong quarantine that lasts, and a right one that is tried
  * again and again. */
-Test(quarantine, a_hold_ends_and_the_next_is_longer)
+Test(quarantine, a_quarantine_ends_and_the_next_is_longer)
 {
     GwQuarantine *q = GwQuarantine_Create();
     int64_t now_us = S;
@@ -144,14 +147,15 @@
         last_us = until_us - now_us;
         now_us = until_us;
         GwQuarantine_Tick(q, now_us);
-        cr_expect_not(is_held(q, now_us, 1));
+        cr_expect_not(is_quarantined(q, now_us, 1));
         crash(q, now_us, server, 1, 1);
     }
     GwQuarantine_Free(q);
 }
 
-/* Guards against: what an operator lets go is held again by what others know. */
-Test(quarantine, a_release_holds_everywhere)
+/* Guards against: a request released by an operator is quarantined again by
+ * other entries' records. */
+Test(quarantine, a_release_applies_at_all_entries)
 {
     GwQuarantine *a = GwQuarantine_Create();
     GwQuarantine *b = GwQuarantine_Create();
@@ -166,23 +170,23 @@
     }
     cr_assert_eq(GwQuarantine_Page(a, now_us, &from, &s, 1), 1);
     GwQuarantine_Merge(b, now_us, &s);
-    cr_expect(is_held(b, now_us + S, 1));
+    cr_expect(is_quarantined(b, now_us + S, 1));
     cr_expect(GwQuarantine_Release(a, now_us, &f));
     cr_expect_not(GwQuarantine_Release(a, now_us, &f));
     GwQuarantine_Merge(a, now_us, &s); /* late */
     from = 0;
     cr_assert_eq(GwQuarantine_Page(a, now_us, &from, &s, 1), 1);
     GwQuarantine_Merge(b, now_us, &s);
-    cr_expect_not(is_held(a, now_us + S, 1));
-    cr_expect_not(is_held(b, now_us + S, 1));
+    cr_expect_not(is_quarantined(a, now_us + S, 1));
+    cr_expect_not(is_quarantined(b, now_us + S, 1));
     cr_expect_eq(GwQuarantine_Sum(a), GwQuarantine_Sum(b));
     GwQuarantine_Free(a);
     GwQuarantine_Free(b);
 }
 
-/* Tells one record of one entry to another, or tells it once more. */
+/* Sends a record from one entry to another, or repeats an earlier one. */
 static void
-tell_one(GwRng *rng, GwQuarantine *const *entries, int64_t now_us)
+send_record(GwRng *rng, GwQuarantine *const *entries, int64_t now_us)
 {
     const GwQuarantine *from = entries[GwRng_Below(rng, ENTRIES)];
     GwSuspect s[64];
@@ -195,7 +199,8 @@
     }
 }
 
-/* Guards against: entries disagree on what is held, by the order of news. */
+/* Guards against: entries disagree on the quarantine, depending on the order
+ * of messages. */
 Test(quarantine, records_merge_to_the_same_in_any_order)
 {
     for (uint64_t seed = 1; seed <= 50; seed++) {
@@ -216,7 +221,7 @@
             else if (i < 60) {
                 crash(q, now_us, 1 + GwRng_Below(&rng, 20), f.lo, f.lo);
             }
-            tell_one(&rng, entries, now_us);
+            send_record(&rng, entries, now_us);
             GwQuarantine_Tick(q, now_us);
         }
         now_us += S;
@@ -224,7 +229,7 @@
             GwQuarantine_Tick(entries[i], now_us);
         }
         for (int i = 0; i < 4000; i++) {
-            tell_one(&rng, entries, now_us);
+            send_record(&rng, entries, now_us);
         }
         for (int i = 1; i < ENTRIES; i++) {
             cr_expect_eq(GwQuarantine_Sum(entries[i]),
@@ -237,8 +242,8 @@
     }
 }
 
-/* Guards against: records that entries tell to and fro never fade. */
-Test(quarantine, telling_makes_no_record_younger)
+/* Guards against: records that entries exchange never expire. */
+Test(quarantine, exchange_makes_no_record_younger)
 {
     GwQuarantine *a = GwQuarantine_Create();
     GwQuarantine *b = GwQuarantine_Create();
@@ -248,7 +253,7 @@
 
     crash(a, now_us, 1, 1, 1);
     GwQuarantine_Tick(a, now_us + S);
-    for (int i = 0; i < 700; i++) { /* a way of one second each */
+    for (int i = 0; i < 700; i++) { /* transmission of one second each */
         GwQuarantine *to = i % 2 == 0 ? b : a;
         if (GwQuarantine_Page(i % 2 == 0 ? a : b, now_us, &from, &s, 1) > 0) {
             GwQuarantine_Merge(to, now_us + S, &s);
@@ -273,8 +278,8 @@
     ++*(uint32_t *)ctx;
 }
 
-/* Guards against: a flood of requests that meet one crash each takes the
- * memory, or the place of the one that is to be held. */
+/* Guards against: a flood of requests with one crash each exhausts the memory,
+ * or evicts the record of a request to be quarantined. */
 Test(quarantine, memory_is_bounded_and_the_most_suspect_stays)
 {
     GwQuarantine *q = GwQuarantine_Create();
@@ -290,12 +295,13 @@
     GwQuarantine_Each(q, now_us, count_one, &count);
     cr_expect_leq(count, RECORDS);
     crash(q, now_us, 3, 1, 1);
-    cr_expect(is_held(q, now_us + S, 1));
+    cr_expect(is_quarantined(q, now_us + S, 1));
     GwQuarantine_Free(q);
 }
 
-/* Guards against: what another build or a damaged datagram says is believed. */
-Test(quarantine, unsound_records_are_ignored)
+/* Guards against: invalid values from another build or a damaged datagram are
+ * accepted. */
+Test(quarantine, invalid_records_are_ignored)
 {
     GwQuarantine *q = GwQuarantine_Create();
     GwSuspect many = {.fingerprint = request(1),
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -1,5 +1,5 @@
-/* The steering core, case by case: what becomes of a request. Promises that
- * hold always are checked by the fake host (fakes/steering.c) in each case. */
+/* Steering core: outcomes of requests, server and configuration changes. The
+ * fake host (fakes/steering.c) checks the invariants in each case. */
 #include "unit/steering_cases.h"
 
 #include <criterion/criterion.h>
@@ -12,7 +12,7 @@
         const char *path;
         GwAttemptOutcome first;
         uint16_t first_status;
-        uint32_t sends; /* in all; the second one is answered 200 */
+        uint32_t sends; /* in all; the second attempt is answered 200 */
         uint16_t status;
     } cases[] = {
         {"answered", "/once/", GW_ATTEMPT_ANSWERED, 200, 1, 0},
@@ -32,7 +32,7 @@
         FakeSteering *f = Steering_Start(2);
         FakeSteering_Put(f, "a", "r1", "d1", 2);
         FakeSteering_Put(f, "b", "r1", "d1", 2);
-        for (int j = 0; j < 12; j++) { /* earns the budget of retries */
+        for (int j = 0; j < 12; j++) { /* earns retry budget */
             Steering_Warm(f, "/again/", NULL);
         }
         FakeRequest *req = FakeSteering_Arrive(f, cases[i].path, "k", 3000);
@@ -46,11 +46,11 @@
     }
 }
 
-/* A caller sends requests on one connection and leaves. The first have the
- * slot and what is sent ahead, the last waits. Their room must not go to it
- * when they are taken away: the host drops all together, and a send for one of
- * them was carried out on freed memory. */
-Test(router, a_caller_takes_all_its_requests_along)
+/* A caller with several requests on one connection disconnects: some are sent,
+ * the last one waits. Their capacity must not be used for the waiting one
+ * while the host drops all of them: a send for it would be carried out on
+ * freed memory. */
+Test(router, a_disconnect_ends_all_requests_of_the_connection)
 {
     FakeSteering *f = Steering_Start(1);
     FakeSteering_Put(f, "a", "r1", "d1", 1);
@@ -72,7 +72,7 @@
     Steering_Finish(f);
 }
 
-Test(router, who_may_take_a_request)
+Test(router, only_eligible_servers_receive_a_request)
 {
     static const struct {
         const char *what;
@@ -105,9 +105,9 @@
     }
 }
 
-/* A drain once seen stays, whatever a report that was overtaken says; a new
- * start under the same id is another server. */
-Test(router, a_drain_is_not_unlearned)
+/* Draining persists whatever a reordered report says; a new start under the
+ * same id is another server. */
+Test(router, draining_persists_until_a_new_start)
 {
     FakeSteering *f = Steering_Start(2);
     GwServerInfo again = FakeSteering_Info("a", "s", "r1", "d1", 2);
@@ -125,9 +125,9 @@
     Steering_Finish(f);
 }
 
-/* Time-outs: sent and silent is 504 at the route's time-out, never sent is a
- * true 503. What servers are told is what is left. */
-Test(router, a_silent_server_does_not_hold_a_caller)
+/* A sent request without an answer ends with 504 at the route's timeout, one
+ * that was never sent with 503. Servers receive the remaining time. */
+Test(router, a_silent_server_ends_in_a_timeout)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "a", "r1", "d1", 1);
@@ -142,7 +142,7 @@
     Steering_Finish(f);
 }
 
-Test(router, versions_never_fall)
+Test(router, older_versions_are_ignored)
 {
     FakeSteering *f = Steering_Start(1);
     GwRouting *older = FakeSteering_Routing(1, 3);
@@ -154,9 +154,9 @@
     Steering_Finish(f);
 }
 
-/* Routes come and go with the versions; what was learned of one that is gone
- * is dropped, but not under a request that is still open. */
-Test(router, gone_routes_are_forgotten)
+/* The state of a route is dropped after a version removes the route, but not
+ * while a request of the route is open. */
+Test(router, state_of_removed_routes_is_dropped)
 {
     FakeSteering *f = Steering_Start(1);
     FakeRequest *open = NULL;
@@ -186,7 +186,7 @@
     Steering_Finish(f);
 }
 
-Test(router, without_a_configuration_nothing_is_missing)
+Test(router, without_a_configuration_requests_are_refused)
 {
     FakeSteering *f = FakeSteering_Create("r1", "d1");
     FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
@@ -198,7 +198,7 @@
     Steering_Finish(f);
 }
 
-/* Each stretch of a split is split as the whole is. */
+/* Each stretch of requests is split like the whole. */
 Test(router, a_split_keeps_its_weights)
 {
     FakeSteering *f = FakeSteering_Create("r1", "d1");
--- a/tests/unit/test_router_choice.c
+++ b/tests/unit/test_router_choice.c
@@ -1,4 +1,5 @@
-/* Which of a service's servers is chosen, whatever shortens the search. */
+/* Choice of a server: the shortcuts of the search must not change its
+ * result. */
 #include "router/router_internal.h"
 #include "unit/steering_cases.h"
 
@@ -11,9 +12,9 @@
 static const char *const regions[] = {"r1", "r2", "r3"};
 static const char *const domains[] = {"d1", "d2", "d3"};
 
-/* A state of the server that requests and reports could have led to. */
+/* Sets a state that requests and reports could have led to. */
 static void
-set_any(GwServer *s, GwRng *rng, int64_t now_us)
+set_random_state(GwServer *s, GwRng *rng, int64_t now_us)
 {
     s->slots = 1 + GwRng_Below(rng, 8);
     s->peers_in_flight = GwRng_Below(rng, 2 * s->slots);
@@ -39,7 +40,7 @@
     return chosen;
 }
 
-/* Between the two, with the other one looked at first. */
+/* Chooses between two servers, with `other` evaluated first. */
 static GwServer *
 better_of(FakeSteering *f, GwRequest *req, GwServer *other, GwServer *best)
 {
@@ -52,7 +53,7 @@
     return chosen;
 }
 
-/* All servers are full as it arrives, so it waits. */
+/* A request that waits, since all servers are full when it arrives. */
 static GwRequest *
 waiting_request(FakeSteering *f, const char *key)
 {
@@ -74,12 +75,12 @@
     return req->handle;
 }
 
-/* A service may have a thousand servers, and a look at each of them for each
- * request takes more than a small instance has; so most are passed over on a
- * bound of their cost. If that bound were too high for any of them, requests
- * would go to a worse server, and nothing but their times would tell. Each
- * server is held against the chosen one alone, and is looked at first. */
-Test(router_choice, no_server_that_is_passed_over_is_better)
+/* Most of a service's servers are skipped on a lower bound of their cost,
+ * since a full evaluation of a thousand per request takes too long on a small
+ * instance. With too high a bound, requests would go to a worse server,
+ * visible only in their latency. Each server is compared with the chosen one
+ * alone, and is evaluated first. */
+Test(router_choice, no_skipped_server_is_better)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         GwRng rng = GwRng_Make(seed);
@@ -93,7 +94,7 @@
         GwRequest *req = waiting_request(f, seed % 2 == 0 ? "k" : NULL);
         GPtrArray *all = req->service->servers;
         for (guint i = 0; i < all->len; i++) {
-            set_any(all->pdata[i], &rng, f->now_us);
+            set_random_state(all->pdata[i], &rng, f->now_us);
         }
         GwServer *best = choose_among(f, req, all);
         cr_assert_not_null(best, "seed %d", (int)seed);
@@ -112,8 +113,9 @@
 
 #define MS 1000
 
-/* Callers were refused for lack of room while two servers stood idle: they had
- * been slower lately, and a full one that had just come back cost less. */
+/* Requests were refused for lack of capacity beside two idle servers: these
+ * had been slower recently, and a full server that had just recovered had a
+ * lower cost. */
 Test(router_choice, nobody_is_refused_beside_an_idle_server)
 {
     static const double slow[] = {1.5, 2, 4};
--- a/tests/unit/test_router_drift.c
+++ b/tests/unit/test_router_drift.c
@@ -1,7 +1,7 @@
-/* A burst fills the region's servers for seconds and ends. Callers of the
- * region see their requests run elsewhere little by little, and come back
- * little by little: without the limit a quarter of the traffic changed its
- * region within 2 s at the start of a burst, where operators allow 0.15. */
+/* The share of requests sent to other regions changes slowly when a burst
+ * fills the region's servers and when it ends. Without the limit, a quarter of
+ * the traffic changed its region within 2 s at the start of a burst, where
+ * operators allow 0.15. */
 #include "fakes/steering.h"
 
 #include <criterion/criterion.h>
@@ -30,7 +30,7 @@
 } Load;
 
 static void
-note(Load *load, FakeRequest *req)
+record_sent(Load *load, FakeRequest *req)
 {
     Run run = {req, load->f->now_us + load->work_us};
     Sent sent = {load->f->now_us, req->server_id[0] == 'b'};
@@ -53,21 +53,21 @@
     }
 }
 
-/* Requests that waited and were sent by the last step. */
+/* Records waiting requests that were sent by the last step. */
 static void
-note_waiting(Load *load)
+record_sent_waiting(Load *load)
 {
     for (guint i = 0; i < load->f->requests->len; i++) {
         FakeRequest *req = load->f->requests->pdata[i];
         if (req->server != NULL && req->left_ms != UINT32_MAX) {
-            req->left_ms = UINT32_MAX; /* noted */
-            note(load, req);
+            req->left_ms = UINT32_MAX; /* recorded */
+            record_sent(load, req);
         }
     }
 }
 
 static void
-drive(Load *load, double per_s, double seconds)
+run_load(Load *load, double per_s, double seconds)
 {
     for (double t = 0; t < seconds; t += STEP_US / 1e6) {
         end_due(load);
@@ -75,7 +75,7 @@
              load->due -= 1) {
             (void)FakeSteering_Arrive(load->f, "/once/", NULL, LEFT_MS);
         }
-        note_waiting(load);
+        record_sent_waiting(load);
         FakeSteering_Pass(load->f, STEP_US);
     }
 }
@@ -96,9 +96,10 @@
     return all > 0 ? (double)far / all : 0;
 }
 
-/* The largest change of the share from one window of 2 s to the next. */
+/* Returns the largest change of the share between consecutive windows of 2
+ * s. */
 static double
-most_moved(const Load *load, int64_t from_us, int64_t to_us)
+largest_share_change(const Load *load, int64_t from_us, int64_t to_us)
 {
     double most = 0;
 
@@ -136,26 +137,26 @@
     g_array_free(load->sent, TRUE);
 }
 
-Test(router_drift, a_burst_moves_traffic_slowly)
+Test(router_drift, a_burst_changes_the_remote_share_slowly)
 {
     Load load = start();
     double most;
 
-    drive(&load, 50, 8);
+    run_load(&load, 50, 8);
     int64_t calm_us = load.f->now_us;
-    drive(&load, 250, 4);
-    drive(&load, 50, 10);
+    run_load(&load, 250, 4);
+    run_load(&load, 50, 10);
     cr_expect_lt(share(&load, calm_us - 3000000, calm_us), 0.02);
-    most = most_moved(&load, calm_us, load.f->now_us);
+    most = largest_share_change(&load, calm_us, load.f->now_us);
     cr_expect_lt(most, 0.15, "%.3f of the traffic moved within 2 s", most);
     cr_expect_gt(share(&load, calm_us + 3000000, calm_us + 4000000), 0.05,
                  "some did move");
     finish(&load);
 }
 
-/* A service that has no server in the region: its requests can only leave, and
- * the limit on how fast traffic moves must not refuse them. */
-Test(router_drift, what_can_only_leave_is_not_refused)
+/* Requests of a service without servers in the region can only leave it, and
+ * the limit must not refuse them. */
+Test(router_drift, requests_without_local_servers_are_not_refused)
 {
     Load load = start();
     GwRouting *routing = FakeSteering_Routing(2, 1);
@@ -164,7 +165,7 @@
 
     FakeSteering_MoveRoutes(routing, "t");
     GwRouter_PutServer(load.f->router, load.f->now_us, &far, load.f->actions);
-    drive(&load, 50, 8); /* near, to service "s" */
+    run_load(&load, 50, 8); /* in the region, to service "s" */
     cr_assert(GwRouter_SetRouting(load.f->router, routing));
     GwRouting_Unref(routing);
     for (int i = 0; i < 200; i++) {
@@ -177,26 +178,27 @@
     finish(&load);
 }
 
-/* When servers of the region are lost the limit must not hold callers back:
- * their requests have nowhere else to go. */
+/* After a loss of servers in the region the limit is lifted: the requests have
+ * nowhere else to go. */
 Test(router_drift, lost_servers_lift_the_limit)
 {
     Load load = start();
 
-    drive(&load, 50, 8);
+    run_load(&load, 50, 8);
     FakeSteering_Drop(load.f, "a1");
     FakeSteering_Drop(load.f, "a2");
     int64_t lost_us = load.f->now_us;
-    drive(&load, 50, 2);
+    run_load(&load, 50, 2);
     cr_expect_gt(share(&load, lost_us + 500000, load.f->now_us), 0.99);
     finish(&load);
 }
 
-/* The day begins with long, cold work in a region that has few servers. It
- * filled them within the first second, then sent two thirds of its traffic
- * away at once, and took it back when the first runs ended: 41 in 100 changed
- * their region within 2 s. Traffic that can't stay leaves from the start. */
-Test(router_drift, a_cold_start_of_long_work_moves_little)
+/* Start with long, cold work in a region that has few servers. Without a
+ * forecast, the region's servers were full within the first second, two thirds
+ * of the traffic then left at once, and returned when the first runs ended: 41
+ * in 100 changed their region within 2 s. Traffic that can't stay must leave
+ * from the start. */
+Test(router_drift, a_cold_start_of_long_work_changes_the_share_little)
 {
     Load load = start();
     GwRouting *routing = FakeSteering_Routing(2, 1);
@@ -212,11 +214,11 @@
     FakeSteering_Put(load.f, "b1", "r2", "d3", 400);
     load.work_us = 2500000;
     int64_t start_us = load.f->now_us;
-    drive(&load, 80, 3);
+    run_load(&load, 80, 3);
     load.work_us = 800000; /* warm by now */
-    drive(&load, 80, 6);
-    double most =
-        most_moved(&load, start_us + 2000000, load.f->now_us - 2000000);
+    run_load(&load, 80, 6);
+    double most = largest_share_change(&load, start_us + 2000000,
+                                       load.f->now_us - 2000000);
     cr_expect_lt(most, 0.15, "%.3f of the traffic moved within 2 s", most);
     finish(&load);
 }
--- a/tests/unit/test_router_limits.c
+++ b/tests/unit/test_router_limits.c
@@ -1,12 +1,12 @@
-/* What bounds the core: slots, time, the budget of retries, cold servers, and
- * connections. */
+/* Limits of the steering core: slots, time, retry budget, cold servers, rate
+ * limits and idle connections. */
 #include "unit/steering_cases.h"
 
 #include <criterion/criterion.h>
 
-/* Not sent, all slots taken by long work: the caller is told at once to come
- * back, not at the end of its time. */
-Test(router, what_has_no_room_is_refused_at_once)
+/* With all slots taken by long work, the caller is refused at once with a
+ * retry delay, not at the end of its time. */
+Test(router, requests_without_capacity_are_refused_at_once)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "a", "r1", "d1", 1);
@@ -20,11 +20,11 @@
     Steering_Finish(f);
 }
 
-/* Servers are full and callers are told when to come back. Told any time
- * between 250 and 750 ms, they came while the work of 50 ms had long ended, or
- * met a queue of seconds once more. They are told when a slot is expected, and
- * spread over as long again, as those before them take the first slots. */
-Test(router, refused_callers_are_told_when_a_slot_is_expected)
+/* The retry delay of a refused caller follows the expected time of a free
+ * slot, spread over the same time again, since callers ahead take the first
+ * slots. With a fixed delay of 250 to 750 ms, callers retried long after work
+ * of 50 ms had ended, or found a queue of seconds again. */
+Test(router, the_retry_delay_follows_the_expected_free_slot)
 {
     static const struct {
         int64_t work_us;
@@ -34,7 +34,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = Steering_Start(2);
         FakeSteering_Put(f, "a", "r1", "d1", cases[i].slots);
-        for (int k = 0; k < 150; k++) { /* learns what the work takes */
+        for (int k = 0; k < 150; k++) { /* to learn the work's run time */
             FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
             FakeSteering_Pass(f, cases[i].work_us);
             FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
@@ -51,8 +51,8 @@
             }
         }
         cr_assert_gt(told, 50, "case %zu", i);
-        /* What waits is kept until 1.5 objectives (600 ms), so a slot is free
-         * about then; each takes its work in turn. */
+        /* Requests wait up to 1.5 objectives (600 ms), so a slot is free about
+         * then; each of them takes its work's time in turn. */
         double slot_ms = cases[i].work_us / 1000.0 / cases[i].slots;
         cr_expect_geq(least, 600 - cases[i].work_us / 1000 - 2 * slot_ms - 10,
                       "case %zu: %u", i, least);
@@ -72,10 +72,10 @@
     FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
 }
 
-/* One caller gives its request a minute. Those that give three seconds, as all
- * did before, must not be taken for callers that come back late: they would
- * stand behind every other request, for good. */
-Test(router, a_patient_caller_makes_nobody_late)
+/* A single caller allows a minute. Callers that allow three seconds, as
+ * before, must not be taken for retries: their requests would wait behind all
+ * others from then on. */
+Test(router, one_long_caller_time_makes_no_other_request_late)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "a", "r1", "d1", 1);
@@ -99,9 +99,10 @@
     Steering_Finish(f);
 }
 
-/* The fixed extra of retries is shared: with many more entries than settings
- * foresaw, each takes a smaller part, or all together would exceed it. */
-Test(router, more_entries_have_less_to_retry_each)
+/* The fixed part of the retry budget is divided by the number of entries: with
+ * many more entries than configured, each uses a smaller part, or all together
+ * would exceed it. */
+Test(router, the_retry_budget_is_divided_by_entries)
 {
     uint32_t repeats[2];
 
@@ -134,10 +135,10 @@
     cr_expect_leq(repeats[1], 10, "%u", repeats[1]);
 }
 
-/* A cold server bears cold_per_s requests a second from all entries together.
- * One entry feeds it, and less than that; right after its own start an entry
- * knows no others and feeds none. */
-Test(router, a_cold_server_gets_little)
+/* A cold server accepts cold_per_s requests per second from all entries
+ * together. Only the rate owner sends to it, at a lower rate; an entry that
+ * has just started knows no peers and owns no rate. */
+Test(router, only_the_rate_owner_sends_to_a_cold_server)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "a", "r1", "d1", 2);
@@ -159,9 +160,9 @@
     Steering_Finish(f);
 }
 
-/* An entry that has heard of nobody in the server's region fed it beside that
- * region's own feeder. */
-Test(router, a_newcomer_leaves_cold_servers_of_other_regions_alone)
+/* An entry that did not yet know the entries of the server's region sent to
+ * the cold server beside that region's rate owner. */
+Test(router, a_new_entry_owns_no_rate_in_other_regions)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "far", "r2", "d9", 2);
@@ -186,20 +187,21 @@
     Steering_Finish(f);
 }
 
-/* Servers reset connections beyond a bound that counts those of all entries.
- * If each entry kept what it ever opened, a fleet of entries would fill the
- * bound with idle ones, and requests would meet resets. */
-Test(router, idle_connections_leave_half_to_requests)
+/* Servers reset connections beyond a limit that counts those of all entries.
+ * If entries kept every connection open, idle ones would reach the limit, and
+ * requests would meet resets. */
+Test(router, idle_connections_use_at_most_half)
 {
     static const struct {
         uint32_t connections_max;
-        uint32_t entries_max; /* by settings; nobody is heard */
+        uint32_t entries_max; /* configured; no peer is known */
         uint32_t expected;
     } cases[] = {
-        {330, 11, 15},      /* half of it, by eleven */
-        {330, 165, 1},      /* exactly one */
-        {330, 650, 1},      /* never none: each would be a new connection */
-        {0, 11, UINT32_MAX} /* the operator names no bound */
+        {330, 11, 15}, /* half of it, divided by eleven */
+        {330, 165, 1}, /* exactly one */
+        {330, 650,
+         1}, /* never zero: each request would need a new connection */
+        {0, 11, UINT32_MAX} /* no limit configured */
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -219,11 +221,11 @@
     }
 }
 
-/* A request to another region spends part of its time on the way and only the
- * rest in a slot. Counted as if it held one all the time, servers that serve
- * far callers look full at two thirds of their work, and callers are refused
- * beside them: 23 in 100 on the heaviest day. */
-Test(router, far_requests_hold_a_slot_for_a_part_of_their_time)
+/* A request to another region occupies a slot for only part of its time.
+ * Counted in full, servers with cross-region callers seem full at two thirds
+ * of their load, and callers are refused beside them: 23 in 100 in a simulated
+ * day. */
+Test(router, remote_requests_count_by_their_slot_time)
 {
     static const struct {
         const char *server_region;
@@ -231,11 +233,12 @@
         uint32_t peer_load;
         uint32_t sent; /* of ten at once; two slots and one ahead */
     } cases[] = {
-        {"r1", "r1", 0, 3}, /* near: each counts whole */
-        {"r2", "r2", 0, 5}, /* far, 100 ms away: two thirds of 200 ms work */
-        {"r1", "r1", 2, 1}, /* a neighbour's count whole too */
+        {"r1", "r1", 0, 3}, /* local: each counts in full */
+        {"r2", "r2", 0,
+         5}, /* remote, 100 ms away: two thirds of 200 ms work */
+        {"r1", "r1", 2, 1}, /* a local peer's count in full too */
         {"r1", "r2", 2, 2}, /* those of another region don't */
-        {"r2", "r2", 2, 2}, /* its own neighbour's do */
+        {"r2", "r2", 2, 2}, /* those of the server's own region do */
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -261,7 +264,7 @@
     }
 }
 
-/* One answer of the server "a", which says this of its limit. */
+/* Sends a request to server "a", whose answer states this limit. */
 static void
 answer_with_limit(FakeSteering *f, FakeRequest *req, GwLimitWord word,
                   double per_s)
@@ -276,7 +279,7 @@
     FakeSteering_Carry(f);
 }
 
-/* What this entry believes; below zero for none. */
+/* The limit known to this entry; negative for none. */
 static double
 limit_known(const FakeSteering *f)
 {
@@ -286,12 +289,12 @@
     return limit.per_s;
 }
 
-/* Guards against: an answer that was overtaken lifts a limit, or an old word of
- * another entry does. */
-Test(router, a_lower_limit_holds_at_once_and_a_higher_one_later)
+/* Guards against: a reordered answer, or an old report of another entry, lifts
+ * a limit. */
+Test(router, a_lower_limit_applies_at_once_and_a_higher_one_later)
 {
     static const struct {
-        int64_t after_ms; /* the answer before */
+        int64_t after_ms; /* time since the answer before */
         GwLimitWord word;
         double per_s;
         double known;
@@ -324,9 +327,9 @@
     Steering_Finish(f);
 }
 
-/* Guards against: a limited server gets a burst from each entry, or nothing
- * while callers are refused. */
-Test(router, a_limited_server_gets_its_share_and_no_more)
+/* Guards against: a limited server receives a burst from each entry, or
+ * nothing while callers are refused. */
+Test(router, a_limited_server_receives_its_rate_and_no_more)
 {
     FakeSteering *f = Steering_Start(1);
     GwPeerInfo peer = {.name = "other", .region = "r1", .serves = true};
@@ -348,7 +351,7 @@
         before = i == 100 ? server->arrivals->len : before;
     }
     uint32_t sent = server->arrivals->len - before;
-    /* Half of 6 a second, for 18 s. */
+    /* Half of 6 per second, for 18 s. */
     cr_expect_geq(sent, 40, "%u", sent);
     cr_expect_leq(sent, 56, "%u", sent);
     Steering_Finish(f);
--- a/tests/unit/test_router_places.c
+++ b/tests/unit/test_router_places.c
@@ -1,14 +1,14 @@
-/* Where objects run: they stay where they are warm, and entries agree. */
+/* Placements: requests for an object go to servers that have it cached, and
+ * entries agree on them. */
 #include "unit/steering_cases.h"
 
 #include <criterion/criterion.h>
 
-/* Heavy load on objects that are warm at one server each: every request goes
- * there and waits rather than make a cold run elsewhere. Spread over all
- * servers, all runs were cold and took three times the slot time, and the
- * system stayed so (worth of the heaviest days 0.14 to 0.24, then 0.40 to
- * 0.70). */
-Test(router, warm_objects_stay_where_they_are)
+/* Under heavy load, with each object warm at one server, every request goes to
+ * that server and waits rather than causing a cold run elsewhere. Spread over
+ * all servers, all runs were cold and took three times the slot time, and the
+ * system did not recover. */
+Test(router, requests_for_warm_objects_go_to_their_placement)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "a", "r1", "d1", 2);
@@ -29,11 +29,11 @@
     Steering_Finish(f);
 }
 
-/* The first request for an object is a cold run; those that come meanwhile go
- * to the same server at once: none waits for the end of that run, which was
- * measured to be too late for it, and none makes a second server cold for the
- * object while the first has room. */
-Test(router, requests_beside_a_first_run_go_to_its_server)
+/* The first request for an object is a cold run. Requests that arrive
+ * meanwhile go to the same server at once: waiting for the end of that run
+ * would make them late, and another server would be a second cold run while
+ * the first has capacity. */
+Test(router, requests_during_a_first_run_go_to_the_same_server)
 {
     FakeSteering *f = Steering_Start(2);
     FakeSteering_Put(f, "a", "r1", "d1", 2);
@@ -54,7 +54,7 @@
 }
 
 static void
-tell(FakeSteering *f, const GArray *placed)
+exchange_placements(FakeSteering *f, const GArray *placed)
 {
     for (guint i = 0; i < placed->len; i++) {
         GwRouter_PutPlacement(f->router, f->now_us,
@@ -62,7 +62,7 @@
     }
 }
 
-/* Both entries send a request for the object, at once, to the same server. */
+/* Both entries send a request for the object at once, to the same server. */
 static void
 expect_same_server(FakeSteering *one, FakeSteering *two, const char *key)
 {
@@ -76,8 +76,8 @@
     FakeSteering_End(two, second, GW_ATTEMPT_ANSWERED, 200);
 }
 
-/* What another entry of the region placed is a place here too. */
-Test(router, entries_meet_at_the_same_server)
+/* A placement reported by another entry of the region is used here too. */
+Test(router, entries_agree_on_the_first_placement)
 {
     FakeSteering *one = Steering_Start(2);
     FakeSteering *two = Steering_Start(2);
@@ -97,7 +97,7 @@
     GwRouter_OwnPlacements(one->router, one->now_us, INT64_MAX, INT64_MAX,
                            placed);
     cr_assert_eq(placed->len, 20);
-    tell(two, placed);
+    exchange_placements(two, placed);
     FakeSteering_Pass(two, FAKE_US_PER_S);
     for (int k = 0; k < 20; k++) {
         char key[8];
@@ -109,10 +109,10 @@
     Steering_Finish(two);
 }
 
-/* An entry that was restarted is told by its peers where objects are warm.
- * Without that it sends each of them to some server anew: cold runs, and the
- * servers forget what the other entries still send there. */
-Test(router, a_restarted_entry_learns_where_objects_are_warm)
+/* A restarted entry receives the warm placements from its peers. Without them
+ * it would choose a server for each object anew: cold runs, which evict
+ * objects that other entries still send there. */
+Test(router, a_restarted_entry_receives_warm_placements)
 {
     FakeSteering *old = Steering_Start(2);
     FakeSteering *fresh = Steering_Start(2);
@@ -130,7 +130,7 @@
     }
     GwRouter_WarmPlacements(old->router, 10, placed);
     cr_assert_eq(placed->len, 10, "the last used ten");
-    tell(fresh, placed);
+    exchange_placements(fresh, placed);
     for (int k = 10; k < 20; k++) {
         g_snprintf(key, sizeof(key), "%d", k);
         expect_same_server(old, fresh, key);
@@ -140,10 +140,11 @@
     Steering_Finish(fresh);
 }
 
-/* A route moves to another service while its objects are warm at servers of
- * the old one. The next request for such an object must go to the new service:
- * the old one ran 52 requests that no configuration sent to it. */
-Test(router, a_moved_route_leaves_its_old_servers)
+/* A route moves to another service while its objects have placements at
+ * servers of the old one. The next request for such an object must go to
+ * the new service: the old one ran 52 requests that no configuration sent
+ * to it. */
+Test(router, a_moved_route_does_not_use_its_old_servers)
 {
     FakeSteering *f = Steering_Start(2);
     GwRouting *moved = FakeSteering_Routing(2, 2);
@@ -158,7 +159,7 @@
     GwRouting_Unref(moved);
     FakeRequest *req = FakeSteering_Arrive(f, "/again/", "k", 3000);
     cr_expect_str_eq(req->server_id, "t1");
-    /* A peer that still has the old version names the old server. */
+    /* A peer that still has the old version reports the old server. */
     GwRouter_OwnPlacements(f->router, f->now_us, INT64_MAX, INT64_MAX, placed);
     cr_assert_eq(placed->len, 2);
     GwPlacement wrong = g_array_index(placed, GwPlacement, 1);
@@ -173,12 +174,13 @@
     Steering_Finish(f);
 }
 
-/* An object's first run hangs at a server that turned slow. Who came next for
- * the object waited for that run, and was refused as too late while servers
- * had free slots, and came back to the same. Whoever it is, it is sent. */
-Test(router, a_hanging_first_run_does_not_refuse_beside_idle_servers)
+/* An object's first run hangs at a server that became slow. Further requests
+ * for the object waited for that run and were refused as late while servers
+ * had free slots, and their retries too. Each must be sent. */
+Test(router, a_hanging_first_run_causes_no_refusals_beside_idle_servers)
 {
-    static const int64_t cases[] = {3000, 2000, 300}; /* left, in ms */
+    static const int64_t cases[] = {3000, 2000,
+                                    300}; /* remaining time, in ms */
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = Steering_Start(2);
--- a/tests/unit/test_router_stop.c
+++ b/tests/unit/test_router_stop.c
@@ -1,31 +1,27 @@
-/* Requests that come while their entry stops.
+/* Requests that arrive during a graceful stop of their entry.
  *
- * Seen: entries were replaced one after the other, with nothing else at fault,
- * and callers' connections were closed with no answer while a server ran their
- * requests; a dose may have been issued, and nobody could say. Each request had
- * come late in its entry's stop, on a kept connection, and was sent to a server
- * at once, with all of its caller's time; the process ended before the run.
- *
- * Cause: nobody compared the time that a request may need with the time that is
- * left. A flag said "takes nothing new", set by a sweep at half of the grace.
- * Proved by two traces: sent 46 and 38 ms after half of the grace, before the
- * sweep, and cut at its end; half of the grace is shorter than many runs. A
- * third was cut at the end itself: its server, believed to have a free slot,
- * had kept it queued for 2 s and counted its time from the start of the run. */
+ * Each request was sent to a server with all of its caller's time, although
+ * the entry would exit before the run ended: the caller's connection was
+ * closed without an answer, and nobody could tell whether the request had run.
+ * This happened to requests that arrived late in a stop on a kept connection
+ * (46 and 38 ms after half of the grace, before the sweep that refused new
+ * ones), and to a request that a server with a supposedly free slot had queued
+ * for 2 s, counting its time from the start of the run. The entry must compare
+ * the time that a request may need with the time left. */
 #include "unit/steering_cases.h"
 
 #include <criterion/criterion.h>
 
 #define MS      1000
 #define RUN_MS  200  /* of every request here */
-#define STOP_MS 5400 /* from the signal to the end */
-#define LEFT_MS 8000 /* what callers give, more than the stop does */
-#define TEACH   80   /* runs, until the core knows what one takes */
+#define STOP_MS 5400 /* from the signal to the exit */
+#define LEFT_MS 8000 /* stated by callers, longer than the stop */
+#define TEACH   80   /* runs, until the core knows the run time */
 
-/* The ways by which a request comes to a server. */
+/* The ways in which a request reaches a server. */
 typedef enum {
     BY_ARRIVAL,
-    BY_A_SLOT,        /* it has waited for one */
+    BY_A_SLOT,        /* waited for a free slot */
     BY_A_REFUSAL,     /* the first server did not run it */
     BY_NO_CONNECTION, /* the first server was not reached */
     BY_A_LOST_ANSWER  /* the first server may have run it */
@@ -35,7 +31,7 @@
     const char *what;
     Way way;
     const char *path;
-    int64_t before_ms; /* the end, when it could be sent */
+    int64_t before_ms; /* time before the end at which it could be sent */
     bool sent;
     uint16_t status; /* of the refusal */
 } Row;
@@ -68,10 +64,10 @@
     FakeSteering_Pass(f, f->end_us - before_ms * MS - f->now_us);
 }
 
-/* Fills all slots, also those that are sent ahead; `held` takes the requests.
- * Gives their number. */
+/* Fills all slots, including the requests sent ahead; `filling` receives the
+ * requests. Returns their number. */
 static uint32_t
-fill(FakeSteering *f, FakeRequest **held, uint32_t most)
+fill(FakeSteering *f, FakeRequest **filling, uint32_t most)
 {
     uint32_t count = 0;
 
@@ -81,20 +77,20 @@
             FakeSteering_Leave(f, req);
             break;
         }
-        held[count++] = req;
+        filling[count++] = req;
     }
     return count;
 }
 
 static FakeRequest *
-come_to_a_server(FakeSteering *f, const Row *row)
+reach_server(FakeSteering *f, const Row *row)
 {
     static const GwAttemptOutcome outcomes[] = {
         [BY_A_REFUSAL] = GW_ATTEMPT_REFUSED,
         [BY_NO_CONNECTION] = GW_ATTEMPT_UNSENT,
         [BY_A_LOST_ANSWER] = GW_ATTEMPT_BROKEN,
     };
-    FakeRequest *held[16];
+    FakeRequest *filling[16];
     FakeRequest *req;
 
     switch (row->way) {
@@ -103,13 +99,14 @@
         return FakeSteering_Arrive(f, row->path, NULL, LEFT_MS);
     case BY_A_SLOT:
         pass_until(f, row->before_ms + 100);
-        for (uint32_t i = fill(f, held, G_N_ELEMENTS(held)); i > 0; i--) {
-            FakeSteering_Leave(f, held[i - 1]);
+        for (uint32_t i = fill(f, filling, G_N_ELEMENTS(filling)); i > 0;
+             i--) {
+            FakeSteering_Leave(f, filling[i - 1]);
         }
-        (void)fill(f, held, G_N_ELEMENTS(held));
+        (void)fill(f, filling, G_N_ELEMENTS(filling));
         req = FakeSteering_Arrive(f, row->path, NULL, LEFT_MS);
         pass_until(f, row->before_ms);
-        FakeSteering_End(f, held[0], GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_End(f, filling[0], GW_ATTEMPT_ANSWERED, 200);
         return req;
     case BY_A_REFUSAL:
     case BY_NO_CONNECTION:
@@ -125,7 +122,7 @@
     return req;
 }
 
-Test(router_stop, what_can_not_end_in_the_stop_is_refused)
+Test(router_stop, requests_that_can_not_end_in_the_stop_are_refused)
 {
     static const Row rows[] = {
         {"long before", BY_ARRIVAL, "/once/", 5000, true, 0},
@@ -149,7 +146,7 @@
         const Row *row = &rows[i];
         FakeSteering *f = start();
         FakeSteering_Stop(f, STOP_MS * MS);
-        FakeRequest *req = come_to_a_server(f, row);
+        FakeRequest *req = reach_server(f, row);
         cr_expect_eq(req->server != NULL, row->sent, "%s", row->what);
         if (row->sent) {
             FakeSteering_Pass(f, RUN_MS * MS);
@@ -168,15 +165,16 @@
     }
 }
 
-/* What waits when the signal comes is not kept until it is too late: those
- * whose turn would come too late go to other entries at once. */
-Test(router_stop, those_that_wait_too_long_are_refused_at_once)
+/* Requests that wait at the signal are not kept until they are late: those
+ * whose turn would come too late are refused at once, to be retried at other
+ * entries. */
+Test(router_stop, requests_that_wait_too_long_are_refused_at_once)
 {
     FakeSteering *f = start();
-    FakeRequest *held[16];
+    FakeRequest *filling[16];
     FakeRequest *waits;
 
-    (void)fill(f, held, G_N_ELEMENTS(held));
+    (void)fill(f, filling, G_N_ELEMENTS(filling));
     waits = FakeSteering_Arrive(f, "/once/", NULL, LEFT_MS);
     cr_assert_not(waits->over);
     FakeSteering_Stop(f, (RUN_MS + RUN_MS / 2) * MS);
@@ -185,10 +183,10 @@
     Steering_Finish(f);
 }
 
-/* An entry that has just started is stopped again: it has seen no run of the
- * route, or one that was far longer than the mean. What it takes such work to
- * need by its objective may be far too little. */
-Test(router_stop, what_may_take_long_is_refused)
+/* An entry that has just started is stopped again: no run of the route has
+ * ended, or one that was far longer than the mean. The estimate from the
+ * objective may be far too low. */
+Test(router_stop, requests_that_may_take_long_are_refused)
 {
     static const struct {
         const char *what;
@@ -217,9 +215,8 @@
     }
 }
 
-/* What was under way when the signal came goes on with all of its time: it was
- * taken before anybody knew. */
-Test(router_stop, what_was_under_way_goes_on)
+/* Attempts in progress at the signal go on with all of their time. */
+Test(router_stop, attempts_in_progress_go_on)
 {
     FakeSteering *f = start();
     FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, LEFT_MS);
@@ -233,9 +230,9 @@
     Steering_Finish(f);
 }
 
-/* A server fails one that may be repeated, too late for a second server: its
- * own answer is passed on, and not one of ours in its place. */
-Test(router_stop, a_failure_that_can_not_be_repeated_in_time_is_passed_on)
+/* A server answers an idempotent request with an error, too late for a second
+ * server: its answer is passed on, not replaced by one of the entry. */
+Test(router_stop, an_error_too_late_to_retry_is_passed_on)
 {
     FakeSteering *f = start();
 
@@ -249,9 +246,9 @@
     Steering_Finish(f);
 }
 
-/* The place of the object is busy until it is too late, and another server is
- * idle: that one takes the request. */
-Test(router_stop, another_server_that_could_end_it_in_time_is_used)
+/* The object's placement is busy until it is too late, and another server is
+ * idle: that one runs the request. */
+Test(router_stop, another_server_that_can_end_in_time_is_used)
 {
     FakeSteering *f = start();
 
@@ -268,9 +265,8 @@
     Steering_Finish(f);
 }
 
-/* The same where the only other server is too far away for the time that is
- * left. */
-Test(router_stop, a_failure_is_not_given_up_for_a_server_too_late)
+/* The same, with the only other server too far away for the remaining time. */
+Test(router_stop, an_error_is_not_retried_at_a_server_too_far_away)
 {
     FakeSteering *f = start();
 
@@ -287,9 +283,9 @@
     Steering_Finish(f);
 }
 
-/* Guards against: a request is sent to ask after a server's limit though the
- * stop ends before its run. */
-Test(router_stop, no_limit_is_asked_after_with_what_can_not_end)
+/* Guards against: a request is sent to check a server's limit though the stop
+ * ends before its run. */
+Test(router_stop, no_limit_is_checked_with_a_request_that_can_not_end)
 {
     FakeSteering *f = Steering_Start(1);
     GwLimit limit = {.per_s = 6};
--- a/tests/unit/test_router_work.c
+++ b/tests/unit/test_router_work.c
@@ -1,15 +1,16 @@
-/* What the core spends on placing requests, counted in looks at servers. */
+/* Cost of placing requests, in server evaluations. */
 #include "unit/steering_cases.h"
 
 #include <criterion/criterion.h>
 
-/* An entry with a tenth of a core gets this many requests a second, and at
- * most half of its processor may go into placing them: 50 ms a second. A look
- * takes 20 ns (bench_router_cost), so it may make so many a second. */
+/* An entry with a tenth of a core gets this many requests per second, and may
+ * spend at most half of its processor time on placing them: 50 ms per second.
+ * An evaluation takes 20 ns (bench_router_cost), which bounds the evaluations
+ * per second. */
 #define REQUESTS_PER_S 250
 #define LOOKS_PER_S    2500000
 #define SLOTS          4
-/* Of callers with time, so that many wait. */
+/* Long, so that many requests wait. */
 #define OBJECTIVE_MS 4000
 #define LEFT_MS      10000
 #define SECONDS      2
@@ -43,7 +44,7 @@
 }
 
 static void
-see_waiting(void *ctx, const GwServiceView *view)
+add_waiting(void *ctx, const GwServiceView *view)
 {
     *(uint32_t *)ctx = view->waiting;
 }
@@ -53,11 +54,11 @@
 {
     uint32_t waiting = 0;
 
-    GwRouter_EachService(f->router, f->now_us, see_waiting, &waiting);
+    GwRouter_EachService(f->router, f->now_us, add_waiting, &waiting);
     return waiting;
 }
 
-/* Until so many wait, at most. */
+/* Adds requests until at most this many wait. */
 static void
 fill(FakeSteering *f, uint32_t waiting, bool keyed)
 {
@@ -69,7 +70,7 @@
     }
 }
 
-/* Ends the oldest request that is at a server. */
+/* Ends the oldest request that was sent to a server. */
 static void
 end_oldest(FakeSteering *f, uint32_t *oldest)
 {
@@ -80,11 +81,11 @@
 }
 
 /* Servers are full and requests wait at an entry with a small part of a core.
- * Each request that comes, each that ends and each moment of time had all that
- * wait judged anew, each against all servers: the more waited the further the
- * entry fell behind, until it read nothing for seconds and callers left. What
- * it spends is bounded, however many wait and however large the service. */
-Test(router_work, judging_what_waits_is_bounded)
+ * Each arrival, end and timer evaluated all waiting requests against all
+ * servers: the longer the queue, the further the entry fell behind, until it
+ * read nothing for seconds and callers disconnected. The cost must be bounded
+ * whatever the queue and the service's size. */
+Test(router_work, evaluations_of_waiting_requests_are_bounded)
 {
     static const struct {
         uint32_t servers;
