--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -20,7 +20,7 @@
 #define LATE_WAIT_OBJECTIVES 1.5
 
 static GwRouteState *
-state_of(GwRouter *r, const GwRoute *route)
+find_or_add_state(GwRouter *r, const GwRoute *route)
 {
     GwRouteState *state = g_hash_table_lookup(r->routes, route->name);
 
@@ -139,7 +139,7 @@
     req->user = arrival->user;
     req->routing = GwRouting_Ref(r->routing);
     req->route = route;
-    req->state = state_of(r, route);
+    req->state = find_or_add_state(r, route);
     req->state->open++;
     req->service =
         GwRouter_FindOrAddService(r, next_service(route, req->state));
@@ -155,7 +155,7 @@
     }
     g_hash_table_add(r->open, req);
     GwRouter_EarnRetry(r, req->service);
-    (void)GwRouter_AddDo(actions, GW_DO_ACCEPT, req);
+    (void)GwRouter_AddAction(actions, GW_DO_ACCEPT, req);
     GwRequest_Enqueue(req);
     GwRouter_DispatchWaiting(r, now_us, req->service, actions);
 }
--- a/lib/router/drift.c
+++ b/lib/router/cross_region.c
@@ -118,10 +118,10 @@
     if (r->all_slots == 0 || r->local_slots == 0) {
         return 0;
     }
-    double evenly = (double)r->all_slots / r->regions / r->local_slots;
+    double even_load = (double)r->all_slots / r->regions / r->local_slots;
     double per_s = cr->first_work_us / (double)FORECAST_US;
-    double needed = per_s * entries_of_region(r) / r->local_slots;
-    return MAX(1 - FORECAST_UTILIZATION / MIN(evenly, needed), 0);
+    double needed_load = per_s * entries_of_region(r) / r->local_slots;
+    return MAX(1 - FORECAST_UTILIZATION / MIN(even_load, needed_load), 0);
 }
 
 bool
--- a/lib/router/keys.c
+++ b/lib/router/keys.c
@@ -46,7 +46,7 @@
 }
 
 static GwKey *
-key_of(GwRouter *r, int64_t now_us, uint64_t hash)
+find_or_add_key(GwRouter *r, int64_t now_us, uint64_t hash)
 {
     GwKey *key = g_hash_table_lookup(r->keys, &hash);
 
@@ -76,7 +76,7 @@
 {
     uint64_t seed = GwHash_Text(service->name, GwHash_Text(route->name, 0));
 
-    return key_of(r, now_us, GwHash_Text(text, seed));
+    return find_or_add_key(r, now_us, GwHash_Text(text, seed));
 }
 
 GwKeyPlacement *
@@ -127,7 +127,8 @@
 {
     GwServer *s =
         g_hash_table_lookup(r->by_hash, GUINT_TO_POINTER(placement->server));
-    GwKey *key = s != NULL ? key_of(r, now_us, placement->object) : NULL;
+    GwKey *key =
+        s != NULL ? find_or_add_key(r, now_us, placement->object) : NULL;
 
     if (key == NULL) {
         return;
--- a/lib/router/peers.c
+++ b/lib/router/peers.c
@@ -7,38 +7,38 @@
 /* A server added after a report was applied counts nothing of that report: the
  * count saturates at zero. */
 static void
-move_count(uint32_t *count, uint32_t by, bool add)
+adjust_count(uint32_t *count, uint32_t by, bool add)
 {
     *count = add ? *count + by : *count > by ? *count - by : 0;
 }
 
 static void
-move_at(GwRouter *r, int64_t now_us, GwServer *s, const char *region,
-        uint32_t by, bool add)
+adjust_load(GwRouter *r, int64_t now_us, GwServer *s, const char *region,
+            uint32_t by, bool add)
 {
     GwServer_UpdateUtilization(r, s, now_us);
-    move_count(&s->peers_in_flight, by, add);
+    adjust_count(&s->peers_in_flight, by, add);
     if (strcmp(region, s->path->region) != 0) {
-        move_count(&s->peers_remote, by, add);
+        adjust_count(&s->peers_remote, by, add);
     }
 }
 
 static void
-count_loads(GwRouter *r, int64_t now_us, const GwPeer *peer, bool add)
+adjust_loads(GwRouter *r, int64_t now_us, const GwPeer *peer, bool add)
 {
     for (guint i = 0; i < peer->loads->len; i++) {
         const GwPeerLoad *load = &g_array_index(peer->loads, GwPeerLoad, i);
         GwServer *s =
             g_hash_table_lookup(r->by_hash, GUINT_TO_POINTER(load->server));
         if (s != NULL) {
-            move_at(r, now_us, s, peer->region, load->in_flight, add);
+            adjust_load(r, now_us, s, peer->region, load->in_flight, add);
         }
     }
 }
 
 /* Finds or creates the peer. */
 static GwPeer *
-peer_of(GHashTable *peers, const char *name, const char *region)
+find_or_add_peer(GHashTable *peers, const char *name, const char *region)
 {
     GwPeer *peer = g_hash_table_lookup(peers, name);
 
@@ -56,41 +56,41 @@
 set_loads(GwRouter *r, int64_t now_us, GwPeer *peer, uint32_t count,
           const GwPeerLoad *loads)
 {
-    count_loads(r, now_us, peer, false);
+    adjust_loads(r, now_us, peer, false);
     g_array_set_size(peer->loads, 0);
     if (count > 0) {
         g_array_append_vals(peer->loads, loads, count);
     }
-    count_loads(r, now_us, peer, true);
+    adjust_loads(r, now_us, peer, true);
 }
 
 void
 GwRouter_PutPeer(GwRouter *r, int64_t now_us, const GwPeerInfo *info)
 {
-    GwPeer *peer = peer_of(r->peers, info->name, info->region);
+    GwPeer *peer = find_or_add_peer(r->peers, info->name, info->region);
 
     peer->serves = info->serves;
     set_loads(r, now_us, peer, info->load_count, info->loads);
 }
 
 /* Only changes of sums are sent, so the sum of an unknown server is kept until
- * the server is added (GwRouter_AddSums). */
+ * the server is added (GwRouter_AddRegionLoads). */
 void
 GwRouter_SetSum(GwRouter *r, int64_t now_us, const char *region,
                 uint32_t server, uint32_t count)
 {
     gpointer key = GUINT_TO_POINTER(server);
-    GHashTable *counts = g_hash_table_lookup(r->sums, region);
+    GHashTable *counts = g_hash_table_lookup(r->region_loads, region);
     GwServer *s = g_hash_table_lookup(r->by_hash, key);
 
     if (counts == NULL) {
         counts = g_hash_table_new(g_direct_hash, g_direct_equal);
-        g_hash_table_insert(r->sums, g_strdup(region), counts);
+        g_hash_table_insert(r->region_loads, g_strdup(region), counts);
     }
     uint32_t old = GPOINTER_TO_UINT(g_hash_table_lookup(counts, key));
     if (s != NULL) {
-        move_at(r, now_us, s, region, old, false);
-        move_at(r, now_us, s, region, count, true);
+        adjust_load(r, now_us, s, region, old, false);
+        adjust_load(r, now_us, s, region, count, true);
     }
     if (count > 0) {
         g_hash_table_insert(counts, key, GUINT_TO_POINTER(count));
@@ -101,17 +101,17 @@
 }
 
 void
-GwRouter_AddSums(GwRouter *r, int64_t now_us, GwServer *s)
+GwRouter_AddRegionLoads(GwRouter *r, int64_t now_us, GwServer *s)
 {
     GHashTableIter iter;
     gpointer region;
     gpointer counts;
 
-    g_hash_table_iter_init(&iter, r->sums);
+    g_hash_table_iter_init(&iter, r->region_loads);
     while (g_hash_table_iter_next(&iter, &region, &counts)) {
         gpointer count =
             g_hash_table_lookup(counts, GUINT_TO_POINTER(GwServer_Hash(s)));
-        move_at(r, now_us, s, region, GPOINTER_TO_UINT(count), true);
+        adjust_load(r, now_us, s, region, GPOINTER_TO_UINT(count), true);
     }
 }
 
@@ -122,7 +122,7 @@
     gpointer region;
     gpointer counts;
 
-    g_hash_table_iter_init(&iter, r->sums);
+    g_hash_table_iter_init(&iter, r->region_loads);
     while (g_hash_table_iter_next(&iter, &region, &counts)) {
         GHashTableIter at;
         gpointer key;
@@ -131,11 +131,12 @@
         while (g_hash_table_iter_next(&at, &key, &count)) {
             GwServer *s = g_hash_table_lookup(r->by_hash, key);
             if (s != NULL) {
-                move_at(r, now_us, s, region, GPOINTER_TO_UINT(count), false);
+                adjust_load(r, now_us, s, region, GPOINTER_TO_UINT(count),
+                            false);
             }
         }
     }
-    g_hash_table_remove_all(r->sums);
+    g_hash_table_remove_all(r->region_loads);
 }
 
 void
@@ -144,7 +145,7 @@
     GwPeer *peer = g_hash_table_lookup(r->peers, name);
 
     if (peer != NULL) {
-        count_loads(r, now_us, peer, false);
+        adjust_loads(r, now_us, peer, false);
         g_hash_table_remove(r->peers, name);
     }
 }
--- a/lib/router/quarantine.c
+++ b/lib/router/quarantine.c
@@ -58,9 +58,9 @@
 }
 
 void
-GwQuarantine_SetNote(GwQuarantine *q, GwQuarantineNote note, void *ctx)
+GwQuarantine_SetNote(GwQuarantine *q, GwQuarantineNote callback, void *ctx)
 {
-    q->note = note;
+    q->callback = callback;
     q->ctx = ctx;
 }
 
@@ -203,7 +203,7 @@
 }
 
 static void
-note_state(GwQuarantine *q, int64_t now_us, GwSuspectRecord *rec)
+report_state(GwQuarantine *q, int64_t now_us, GwSuspectRecord *rec)
 {
     GwSuspectState old = rec->state;
     GwSuspectState state = GwSuspectRecord_State(q, now_us, rec);
@@ -212,9 +212,9 @@
         return;
     }
     rec->state = state;
-    if (q->note != NULL) {
+    if (q->callback != NULL) {
         GwSuspect s = GwSuspectRecord_View(rec, now_us);
-        q->note(q->ctx, &s, old, state);
+        q->callback(q->ctx, &s, old, state);
     }
 }
 
@@ -233,7 +233,7 @@
     if (rec->is_shared) {
         q->changed_us = now_us;
     }
-    note_state(q, now_us, rec);
+    report_state(q, now_us, rec);
 }
 
 /* Eviction order: fewer crashes first, then older. */
@@ -437,7 +437,7 @@
         GwSuspectRecord *rec = value;
         if (now_us - rec->at_us > GwSuspectRecord_LifeUs(rec)) {
             rec->s.server_count = 0;
-            note_state(q, now_us, rec);
+            report_state(q, now_us, rec);
             g_hash_table_iter_remove(&iter);
             q->version++;
         }
@@ -446,7 +446,7 @@
             GwSuspectRecord_Change(q, now_us, rec);
         }
         else {
-            note_state(q, now_us, rec);
+            report_state(q, now_us, rec);
         }
     }
 }
--- a/lib/router/quarantine.h
+++ b/lib/router/quarantine.h
@@ -59,7 +59,8 @@
 
 GwQuarantine *GwQuarantine_Create(void);
 void GwQuarantine_Free(GwQuarantine *q);
-void GwQuarantine_SetNote(GwQuarantine *q, GwQuarantineNote note, void *ctx);
+void GwQuarantine_SetNote(GwQuarantine *q, GwQuarantineNote callback,
+                          void *ctx);
 
 /* Returns whether there are no records and no lost connections. */
 bool GwQuarantine_IsEmpty(const GwQuarantine *q);
--- a/lib/router/quarantine_news.c
+++ b/lib/router/quarantine_merge.c
@@ -14,7 +14,7 @@
 }
 
 static bool
-take_servers(GwSuspectRecord *rec, const GwSuspect *from)
+add_servers(GwSuspectRecord *rec, const GwSuspect *from)
 {
     bool changed = false;
 
@@ -28,7 +28,7 @@
  * get younger by its transmission time. A full record doesn't show which crash
  * was its last. */
 static void
-take_times(GwSuspectRecord *rec, const GwSuspectRecord *from, bool is_same)
+merge_times(GwSuspectRecord *rec, const GwSuspectRecord *from, bool is_same)
 {
     bool is_older = is_same && !GwSuspect_IsFull(&rec->s);
 
@@ -42,7 +42,7 @@
 {
     rec->s.generation = from->s.generation;
     rec->s.server_count = 0;
-    (void)take_servers(rec, &from->s);
+    (void)add_servers(rec, &from->s);
     rec->first_us = from->first_us;
     rec->at_us = from->at_us;
 }
@@ -70,12 +70,12 @@
         replace(rec, from);
         return true;
     }
-    if (take_servers(rec, &from->s)) {
-        take_times(rec, from, false);
+    if (add_servers(rec, &from->s)) {
+        merge_times(rec, from, false);
         return true;
     }
     if (is_same) {
-        take_times(rec, from, true);
+        merge_times(rec, from, true);
     }
     return false;
 }
@@ -102,7 +102,7 @@
 }
 
 static uint64_t
-sum_of(const GwSuspect *s)
+checksum_of(const GwSuspect *s)
 {
     uint64_t sum = GwRng_Mix(s->fingerprint.hi ^ GwRng_Mix(s->fingerprint.lo) ^
                              GwRng_Mix(s->generation + 1));
@@ -128,7 +128,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
         if (rec->is_shared) {
-            q->sum += sum_of(&rec->s);
+            q->sum += checksum_of(&rec->s);
         }
     }
     return q->sum;
--- a/lib/router/feeding.c
+++ b/lib/router/rate_owners.c
@@ -211,8 +211,8 @@
     s->limit.changed_us = now_us;
     s->limit.share_at_us = 0;
     r->limits_changed_us = now_us;
-    if (r->note_limit != NULL) {
-        r->note_limit(r->note_limit_ctx, s, per_s);
+    if (r->limit_callback != NULL) {
+        r->limit_callback(r->limit_callback_ctx, s, per_s);
     }
 }
 
@@ -311,8 +311,8 @@
 }
 
 void
-GwRouter_SetLimitNote(GwRouter *r, GwLimitNote note, void *ctx)
+GwRouter_SetLimitNote(GwRouter *r, GwLimitNote callback, void *ctx)
 {
-    r->note_limit = note;
-    r->note_limit_ctx = ctx;
+    r->limit_callback = callback;
+    r->limit_callback_ctx = ctx;
 }
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -45,7 +45,7 @@
 }
 
 GwDo *
-GwRouter_AddDo(GArray *actions, GwDoKind kind, GwRequest *req)
+GwRouter_AddAction(GArray *actions, GwDoKind kind, GwRequest *req)
 {
     GwDo empty = {.kind = kind, .user = req->user, .request = req};
 
@@ -132,7 +132,7 @@
 static void
 reply(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why, GArray *actions)
 {
-    GwDo *out = GwRouter_AddDo(actions, GW_DO_REPLY, req);
+    GwDo *out = GwRouter_AddAction(actions, GW_DO_REPLY, req);
 
     out->why = why;
     out->story = GwRequest_Story(req, now_us);
@@ -165,8 +165,8 @@
 /* ---- Sending ------------------------------------------------------------- */
 
 static void
-send_to(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
-        GArray *actions)
+send_request(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
+             GArray *actions)
 {
     GwKeyPlacement *at =
         req->key != NULL ? GwKey_FindPlacement(req->key, s) : NULL;
@@ -196,7 +196,7 @@
         GwRouter_AddPlacement(r, req->key, s, now_us);
     }
     GwRequest_SetDeadline(r, req, req->give_up_us);
-    GwDo *out = GwRouter_AddDo(actions, GW_DO_SEND, req);
+    GwDo *out = GwRouter_AddAction(actions, GW_DO_SEND, req);
     out->server = s;
     out->idempotent = req->route->idempotent;
     int64_t until_us = GwRouter_ServerUntil(r, now_us, req);
@@ -243,7 +243,7 @@
     if (c.has_free_slot) {
         GwRouter_NoteRegionSent(r, now_us, req, c.prefers_remote,
                                 !c.server->same_region);
-        send_to(r, now_us, req, c.server, actions);
+        send_request(r, now_us, req, c.server, actions);
         return;
     }
     int64_t back_us = now_us + (int64_t)c.est_us;
@@ -415,7 +415,7 @@
             GwRequest_Enqueue(req);
         }
         else {
-            GwDo *out = GwRouter_AddDo(actions, GW_DO_ANSWER, req);
+            GwDo *out = GwRouter_AddAction(actions, GW_DO_ANSWER, req);
             out->status = end->status;
             out->story = GwRequest_Story(req, now_us);
             finish(r, req);
@@ -431,7 +431,7 @@
 cancel(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
     if (req->server != NULL) {
-        GwDo *out = GwRouter_AddDo(actions, GW_DO_CANCEL, req);
+        GwDo *out = GwRouter_AddAction(actions, GW_DO_CANCEL, req);
         out->server = req->server;
         release_server(r, now_us, req, false, actions);
     }
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -72,8 +72,8 @@
     r->by_hash = g_hash_table_new(NULL, NULL);
     r->keys = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     r->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_peer);
-    r->sums = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                    (GDestroyNotify)g_hash_table_destroy);
+    r->region_loads = g_hash_table_new_full(
+        g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_hash_table_destroy);
     r->evacuated =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     r->paths = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_path);
@@ -125,7 +125,7 @@
     g_hash_table_destroy(r->by_hash);
     g_hash_table_destroy(r->keys);
     g_hash_table_destroy(r->peers);
-    g_hash_table_destroy(r->sums);
+    g_hash_table_destroy(r->region_loads);
     g_hash_table_destroy(r->evacuated);
     g_hash_table_destroy(r->paths);
     g_hash_table_destroy(r->routes);
@@ -149,7 +149,7 @@
 
 /* Applies the new version's settings of each service. */
 static void
-take_services(GwRouter *r)
+apply_services(GwRouter *r)
 {
     for (uint32_t i = 0; i < r->routing->service_count; i++) {
         const GwRouteService *from = &r->routing->services[i];
@@ -170,7 +170,7 @@
 
 /* Drops the state of removed routes, which would accumulate over years. */
 static void
-forget_routes(GwRouter *r)
+drop_removed_routes(GwRouter *r)
 {
     GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -194,8 +194,8 @@
 #endif
     GwRouting_Unref(r->routing);
     r->routing = GwRouting_Ref(routing);
-    take_services(r);
-    forget_routes(r);
+    apply_services(r);
+    drop_removed_routes(r);
     return true;
 }
 
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -135,7 +135,7 @@
 /* Called when a limit begins, changes or ends. */
 typedef void (*GwLimitNote)(void *ctx, const GwServer *s, double per_s);
 
-void GwRouter_SetLimitNote(GwRouter *r, GwLimitNote note, void *ctx);
+void GwRouter_SetLimitNote(GwRouter *r, GwLimitNote callback, void *ctx);
 /* Merges a limit received from another entry; the most recent one wins. */
 void GwRouter_PutLimit(GwRouter *r, int64_t now_us, const GwLimit *limit);
 /* Copies the limits that changed here since `since_us`, at most `most`.
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -206,7 +206,8 @@
     GHashTable *by_hash;  /* 32-bit hash -> GwServer */
     GHashTable *keys;     /* hash -> GwKey */
     GHashTable *peers;    /* name -> GwPeer */
-    GHashTable *sums;     /* region -> (server hash -> requests in flight) */
+    GHashTable
+        *region_loads; /* region -> (server hash -> requests in flight) */
     GHashTable *evacuated;
     GHashTable *paths;          /* region -> GwPath */
     double remote_rtt_us;       /* mean round trip to other regions */
@@ -225,8 +226,8 @@
     uint32_t all_slots;
     uint32_t regions;
     int64_t limits_changed_us; /* last change of any limit; 0: never */
-    GwLimitNote note_limit;
-    void *note_limit_ctx;
+    GwLimitNote limit_callback;
+    void *limit_callback_ctx;
     int64_t started_us;
     int64_t end_us;       /* end of a graceful stop; INT64_MAX: not stopping */
     uint64_t evaluations; /* server evaluations since the start */
@@ -249,7 +250,7 @@
 void GwServer_UpdateUtilization(const GwRouter *r, GwServer *s,
                                 int64_t now_us);
 
-/* feeding.c */
+/* rate_owners.c */
 bool GwRouter_HasColdToken(GwRouter *r, GwServer *s, int64_t now_us);
 bool GwServer_IsLimited(const GwServer *s);
 /* Returns whether this entry holds a share of the server's limit. */
@@ -268,7 +269,7 @@
 
 /* peers.c */
 /* Applies the known load sums to a new server. */
-void GwRouter_AddSums(GwRouter *r, int64_t now_us, GwServer *s);
+void GwRouter_AddRegionLoads(GwRouter *r, int64_t now_us, GwServer *s);
 
 /* keys.c */
 uint64_t GwHash_Text(const char *text, uint64_t seed);
@@ -300,7 +301,7 @@
 bool GwServer_HasCapacity(const GwRouter *r, const GwServer *s,
                           int64_t now_us);
 
-/* drift.c */
+/* cross_region.c */
 typedef enum {
     GW_REGIONS_ALL = 0,
     GW_REGIONS_LOCAL, /* local servers only: share at upper bound */
@@ -349,7 +350,7 @@
 
 /* requests.c */
 /* Appends an action for the request; the caller fills in the other fields. */
-GwDo *GwRouter_AddDo(GArray *actions, GwDoKind kind, GwRequest *req);
+GwDo *GwRouter_AddAction(GArray *actions, GwDoKind kind, GwRequest *req);
 /* Sets the time of the next timer event of the request. */
 void GwRequest_SetDeadline(GwRouter *r, GwRequest *req, int64_t at_us);
 /* Sends the request, keeps it waiting, or refuses it. */
--- a/lib/router/servers.c
+++ b/lib/router/servers.c
@@ -104,7 +104,7 @@
 }
 
 static GwPath *
-path_to(GwRouter *r, const char *region)
+find_or_add_path(GwRouter *r, const char *region)
 {
     GwPath *path = g_hash_table_lookup(r->paths, region);
 
@@ -126,7 +126,7 @@
     s->id = g_strdup(info->id);
     s->address = g_strdup(info->address);
     s->domain = g_strdup(info->domain);
-    s->path = path_to(r, info->region);
+    s->path = find_or_add_path(r, info->region);
     s->service = GwRouter_FindOrAddService(r, info->service);
     s->born_ms = info->born_ms;
     s->hash = GwHash_Text(info->id, info->born_ms);
@@ -163,7 +163,7 @@
     }
     if (s == NULL) {
         s = create_server(r, info);
-        GwRouter_AddSums(r, now_us, s);
+        GwRouter_AddRegionLoads(r, now_us, s);
     }
     s->slots = info->slots;
     /* Draining never ends within one start of a server: a report without it is
--- a/tests/unit/test_router_drift.c
+++ b/tests/unit/test_router_cross_region.c
@@ -137,7 +137,7 @@
     g_array_free(load->sent, TRUE);
 }
 
-Test(router_drift, a_burst_changes_the_remote_share_slowly)
+Test(router_cross_region, a_burst_changes_the_remote_share_slowly)
 {
     Load load = start();
     double most;
@@ -156,7 +156,7 @@
 
 /* Requests of a service without servers in the region can only leave it, and
  * the limit must not refuse them. */
-Test(router_drift, requests_without_local_servers_are_not_refused)
+Test(router_cross_region, requests_without_local_servers_are_not_refused)
 {
     Load load = start();
     GwRouting *routing = FakeSteering_Routing(2, 1);
@@ -180,7 +180,7 @@
 
 /* After a loss of servers in the region the limit is lifted: the requests have
  * nowhere else to go. */
-Test(router_drift, lost_servers_lift_the_limit)
+Test(router_cross_region, lost_servers_lift_the_limit)
 {
     Load load = start();
 
@@ -198,7 +198,7 @@
  * of the traffic then left at once, and returned when the first runs ended: 41
  * in 100 changed their region within 2 s. Traffic that can't stay must leave
  * from the start. */
-Test(router_drift, a_cold_start_of_long_work_changes_the_share_little)
+Test(router_cross_region, a_cold_start_of_long_work_changes_the_share_little)
 {
     Load load = start();
     GwRouting *routing = FakeSteering_Routing(2, 1);
