--- a/lib/router/keys.c
+++ b/lib/router/keys.c
@@ -1,17 +1,17 @@
-/* Objects and where they are warm.
+/* Objects and their placements: the servers that have them cached.
  *
- * A server that lately handled an object runs the next request for it in a
- * third of the time, so where an object is warm is capacity. The entry
- * remembers where it sent each object; entries that know nothing of each
- * other's memory meet at the same servers by the hash in choose.c. */
+ * A server that recently handled an object runs the next request for it in a
+ * third of the time, so placements determine capacity. The entry records where
+ * it sent each object; entries that know nothing of each other's placements
+ * agree by the hash in choose.c. */
 #include "router/router_internal.h"
 
 #include <string.h>
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/* Objects not asked for in this time leave the table. Longer than any
- * request may take, since requests point into it. */
+/* Objects without a request for this long are removed when the table is full.
+ * Longer than any request may take, since requests point into the table. */
 #define KEY_LIFE_US 300000000
 #define KEYS_MAX    200000
 
@@ -22,12 +22,12 @@
 }
 
 static void
-clear(GwKeyServer *at)
+clear(GwKeyPlacement *at)
 {
     if (at->server != NULL) {
         at->server->objects--;
     }
-    *at = (GwKeyServer){0};
+    *at = (GwKeyPlacement){0};
 }
 
 static gboolean
@@ -39,14 +39,14 @@
     if (key->used_us >= *(int64_t *)limit) {
         return FALSE;
     }
-    for (int i = 0; i < GW_KEY_SERVERS; i++) {
-        clear(&key->at[i]);
+    for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+        clear(&key->placements[i]);
     }
     return TRUE;
 }
 
 static GwKey *
-key_of(GwRouter *r, int64_t now_us, uint64_t hash)
+find_or_add_key(GwRouter *r, int64_t now_us, uint64_t hash)
 {
     GwKey *key = g_hash_table_lookup(r->keys, &hash);
 
@@ -66,53 +66,54 @@
     return key;
 }
 
-/* What a server remembers is the object as one route uses it: a booking of a
- * slot does not make the look-up of the same slot faster. A route that moves
- * to another service, or is split, has places of its own in each. */
+/* The key includes the route, since a server caches an object per route: a
+ * booking of a slot doesn't speed up the lookup of the same slot. It includes
+ * the service, so that a route that moves to another service or is split has
+ * placements in each. */
 GwKey *
-GwRouter_KeyOf(GwRouter *r, int64_t now_us, const GwRoute *route,
-               const GwServiceState *service, const char *text)
+GwRouter_FindOrAddKey(GwRouter *r, int64_t now_us, const GwRoute *route,
+                      const GwServiceState *service, const char *text)
 {
     uint64_t seed = GwHash_Text(service->name, GwHash_Text(route->name, 0));
 
-    return key_of(r, now_us, GwHash_Text(text, seed));
+    return find_or_add_key(r, now_us, GwHash_Text(text, seed));
 }
 
-GwKeyServer *
-GwKey_At(GwKey *key, const GwServer *s)
+GwKeyPlacement *
+GwKey_FindPlacement(GwKey *key, const GwServer *s)
 {
-    for (int i = 0; i < GW_KEY_SERVERS; i++) {
-        if (key->at[i].server == s) {
-            return &key->at[i];
+    for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+        if (key->placements[i].server == s) {
+            return &key->placements[i];
         }
     }
     return NULL;
 }
 
-/* Makes the server a place of the object. The oldest one makes room. */
+/* Adds a placement; replaces the oldest one if all are in use. */
 static void
 add_place(GwKey *key, GwServer *s, int64_t now_us)
 {
-    GwKeyServer *at = &key->at[0];
+    GwKeyPlacement *at = &key->placements[0];
 
-    for (int i = 0; i < GW_KEY_SERVERS; i++) {
-        if (key->at[i].server == NULL) {
-            at = &key->at[i];
+    for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+        if (key->placements[i].server == NULL) {
+            at = &key->placements[i];
             break;
         }
-        if (key->at[i].started_us < at->started_us) {
-            at = &key->at[i];
+        if (key->placements[i].started_us < at->started_us) {
+            at = &key->placements[i];
         }
     }
     clear(at);
-    *at = (GwKeyServer){.server = s, .started_us = now_us};
+    *at = (GwKeyPlacement){.server = s, .started_us = now_us};
     s->objects++;
 }
 
 void
-GwRouter_UseKey(GwRouter *r, GwKey *key, GwServer *s, int64_t now_us)
+GwRouter_AddPlacement(GwRouter *r, GwKey *key, GwServer *s, int64_t now_us)
 {
-    if (GwKey_At(key, s) == NULL) {
+    if (GwKey_FindPlacement(key, s) == NULL) {
         GwPlacement placement = {
             .object = key->hash, .server = GwServer_Hash(s), .at_us = now_us};
         add_place(key, s, now_us);
@@ -126,16 +127,17 @@
 {
     GwServer *s =
         g_hash_table_lookup(r->by_hash, GUINT_TO_POINTER(placement->server));
-    GwKey *key = s != NULL ? key_of(r, now_us, placement->object) : NULL;
+    GwKey *key =
+        s != NULL ? find_or_add_key(r, now_us, placement->object) : NULL;
 
     if (key == NULL) {
         return;
     }
-    if (GwKey_At(key, s) == NULL) {
+    if (GwKey_FindPlacement(key, s) == NULL) {
         add_place(key, s, now_us);
     }
     if (placement->warm) {
-        GwKey_At(key, s)->ran = true;
+        GwKey_FindPlacement(key, s)->ran = true;
     }
 }
 
@@ -157,13 +159,13 @@
     g_hash_table_iter_init(&iter, r->keys);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwKey *key = value;
-        for (int i = 0; i < GW_KEY_SERVERS; i++) {
-            if (key->at[i].server != NULL && key->at[i].ran) {
-                GwPlacement placement = {.object = key->hash,
-                                         .server =
-                                             GwServer_Hash(key->at[i].server),
-                                         .warm = true,
-                                         .at_us = key->used_us};
+        for (int i = 0; i < GW_KEY_PLACEMENTS_MAX; i++) {
+            if (key->placements[i].server != NULL && key->placements[i].ran) {
+                GwPlacement placement = {
+                    .object = key->hash,
+                    .server = GwServer_Hash(key->placements[i].server),
+                    .warm = true,
+                    .at_us = key->used_us};
                 g_array_append_val(out, placement);
             }
         }
@@ -174,7 +176,7 @@
     }
 }
 
-/* The first of this entry's placements that is younger than `age_us`. */
+/* Index of the first own placement younger than `age_us`. */
 static guint
 first_younger(const GwRouter *r, int64_t now_us, int64_t age_us)
 {
@@ -200,9 +202,9 @@
 }
 
 void
-GwKey_Ended(GwKey *key, GwServer *s, bool ran)
+GwKey_EndRun(GwKey *key, GwServer *s, bool ran)
 {
-    GwKeyServer *at = GwKey_At(key, s);
+    GwKeyPlacement *at = GwKey_FindPlacement(key, s);
 
     if (at == NULL) {
         return;
@@ -216,9 +218,9 @@
 }
 
 void
-GwKey_Forget(GwKey *key, const GwServer *s)
+GwKey_RemovePlacement(GwKey *key, const GwServer *s)
 {
-    GwKeyServer *at = GwKey_At(key, s);
+    GwKeyPlacement *at = GwKey_FindPlacement(key, s);
 
     if (at != NULL) {
         clear(at);
@@ -226,13 +228,13 @@
 }
 
 void
-GwRouter_ForgetInKeys(GwRouter *r, const GwServer *s)
+GwRouter_RemovePlacements(GwRouter *r, const GwServer *s)
 {
     GHashTableIter iter;
     gpointer value;
 
     g_hash_table_iter_init(&iter, r->keys);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        GwKey_Forget(value, s);
+        GwKey_RemovePlacement(value, s);
     }
 }
--- a/lib/router/quarantine_news.c
+++ b/lib/router/quarantine_merge.c
@@ -1,21 +1,20 @@
-/* What entries tell each other of requests that crash servers, and how it
- * merges. */
+/* Exchange and merging of quarantine records between entries. */
 #include "router/quarantine_internal.h"
 
 #include "common/rng.h"
 
-/* A record that isn't known is not taken over any more so long before its end:
- * entries that forget it a little earlier than others would go on forever. */
-#define LAST_US 60000000
+/* An unknown record is not accepted this close to its end: entries that expire
+ * it a little earlier would otherwise receive it again forever. */
+#define EXPIRY_MARGIN_US 60000000
 
 static bool
-is_sound(const GwSuspect *s)
+is_valid(const GwSuspect *s)
 {
     return s->server_count <= GW_SUSPECT_SERVERS_MAX;
 }
 
 static bool
-take_servers(GwSuspectRecord *rec, const GwSuspect *from)
+add_servers(GwSuspectRecord *rec, const GwSuspect *from)
 {
     bool changed = false;
 
@@ -25,11 +24,11 @@
     return changed;
 }
 
-/* Of two that know the same, the earlier times count: told to and fro, a record
- * must not get younger by what the way takes. A full one doesn't say which
- * crash was its last. */
+/* Between records of the same crashes the earlier times win: a record must not
+ * get younger by its transmission time. A full record doesn't show which crash
+ * was its last. */
 static void
-take_times(GwSuspectRecord *rec, const GwSuspectRecord *from, bool is_same)
+merge_times(GwSuspectRecord *rec, const GwSuspectRecord *from, bool is_same)
 {
     bool is_older = is_same && !GwSuspect_IsFull(&rec->s);
 
@@ -43,24 +42,24 @@
 {
     rec->s.generation = from->s.generation;
     rec->s.server_count = 0;
-    (void)take_servers(rec, &from->s);
+    (void)add_servers(rec, &from->s);
     rec->first_us = from->first_us;
     rec->at_us = from->at_us;
 }
 
-/* Whether the record, `rec` or none so far, says nothing that isn't out of
- * date. */
+/* Returns whether the received record is out of date; `rec` is the local one
+ * or NULL. */
 static bool
 is_outdated(const GwSuspectRecord *rec, const GwSuspectRecord *from,
             int64_t now_us)
 {
     int64_t left_us = from->at_us + GwSuspectRecord_LifeUs(from) - now_us;
 
-    return rec == NULL ? left_us < LAST_US
+    return rec == NULL ? left_us < EXPIRY_MARGIN_US
                        : left_us < 0 || rec->s.generation > from->s.generation;
 }
 
-/* Returns whether it said something new. */
+/* Returns whether `rec` changed. */
 static bool
 merge(GwSuspectRecord *rec, const GwSuspectRecord *from)
 {
@@ -71,12 +70,12 @@
         replace(rec, from);
         return true;
     }
-    if (take_servers(rec, &from->s)) {
-        take_times(rec, from, false);
+    if (add_servers(rec, &from->s)) {
+        merge_times(rec, from, false);
         return true;
     }
     if (is_same) {
-        take_times(rec, from, true);
+        merge_times(rec, from, true);
     }
     return false;
 }
@@ -89,21 +88,21 @@
                              .at_us = now_us - (int64_t)from->age_ms * 1000};
 
     known.first_us = known.at_us - (int64_t)from->span_ms * 1000;
-    if (!is_sound(from) || is_outdated(rec, &known, now_us)) {
+    if (!is_valid(from) || is_outdated(rec, &known, now_us)) {
         return;
     }
     if (rec == NULL) {
         rec = GwQuarantine_FindOrAdd(q, known.at_us, &from->fingerprint);
     }
-    bool changed = merge(rec, &known) || !rec->told;
-    rec->told = true;
+    bool changed = merge(rec, &known) || !rec->is_shared;
+    rec->is_shared = true;
     if (changed) {
         GwSuspectRecord_Change(q, now_us, rec);
     }
 }
 
 static uint64_t
-sum_of(const GwSuspect *s)
+checksum_of(const GwSuspect *s)
 {
     uint64_t sum = GwRng_Mix(s->fingerprint.hi ^ GwRng_Mix(s->fingerprint.lo) ^
                              GwRng_Mix(s->generation + 1));
@@ -128,8 +127,8 @@
     g_hash_table_iter_init(&iter, q->records);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
-        if (rec->told) {
-            q->sum += sum_of(&rec->s);
+        if (rec->is_shared) {
+            q->sum += checksum_of(&rec->s);
         }
     }
     return q->sum;
@@ -152,7 +151,7 @@
     g_hash_table_iter_init(&iter, q->records);
     while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
-        if (rec->told && rec->changed_us >= since_us) {
+        if (rec->is_shared && rec->changed_us >= since_us) {
             out[count++] = GwSuspectRecord_View(rec, now_us);
         }
     }
@@ -171,7 +170,7 @@
     g_hash_table_iter_init(&iter, q->records);
     while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwSuspectRecord *rec = value;
-        if (place++ >= *from && rec->told) {
+        if (place++ >= *from && rec->is_shared) {
             out[count++] = GwSuspectRecord_View(rec, now_us);
         }
     }
@@ -194,7 +193,8 @@
         GwSuspectState state = GwSuspectRecord_State(q, now_us, rec);
         if (state != GW_SUSPECT_NONE) {
             GwSuspect s = GwSuspectRecord_View(rec, now_us);
-            visit(ctx, &s, state, GwSuspectRecord_HeldUntil(q, now_us, rec));
+            visit(ctx, &s, state,
+                  GwSuspectRecord_QuarantinedUntil(q, now_us, rec));
         }
     }
 }
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -1,28 +1,28 @@
-/* The life of a request once it is admitted: placed, sent, perhaps sent
- * again, over. */
+/* The states of an admitted request: waiting, sent, retried, ended. */
 #include "router/router_internal.h"
 
 #include <string.h>
 
-/* Waiting requests are judged anew this often: estimates move with the peers'
- * reports, and a first run may end earlier than expected. */
-#define REJUDGE_US 15000
-/* Sends that met no server cost no server anything, but time. */
+/* Interval of evaluations of waiting requests: estimates change with the
+ * peers' reports, and a first run may end earlier than expected. */
+#define EVALUATION_INTERVAL_US 15000
+/* Attempts that reached no server cost time only, but are bounded. */
 #define UNSENT_MAX 3
-/* Of the retries that all entries together may make, so that requests counted
- * late or twice, and entries that started meanwhile, stay within it. */
+/* Part of the retries allowed to all entries together that is used: the rest
+ * covers requests counted late or twice, and new entries. */
 #define RETRY_SHARE 0.8
 #define RETRY_BURST 8.0
-/* When refused callers come back: spread, so that they don't meet again. */
-#define COMEBACK_MIN_MS    250
-#define COMEBACK_SPREAD_MS 500
-/* Of those refused for lack of room, not sooner and not later than this: a
- * forecast of a few ms is one of the moment, and no caller waits for longer
- * than a third of its time. */
-#define ROOM_MIN_US 50000.0
-#define ROOM_MAX_US 3000000.0
-/* One that is refused in a stop may go to another entry at once. */
-#define ELSEWHERE_MS 20
+/* Retry delay of refused callers, randomized so that they don't retry at
+ * once. */
+#define RETRY_AFTER_MIN_MS    250
+#define RETRY_AFTER_SPREAD_MS 500
+/* Bounds of the retry delay after a refusal for lack of capacity: a forecast
+ * of a few ms is not stable, and no caller waits longer than a third of its
+ * time. */
+#define SLOT_WAIT_MIN_US 50000.0
+#define SLOT_WAIT_MAX_US 3000000.0
+/* A caller refused during a stop may retry at another entry at once. */
+#define STOP_RETRY_AFTER_MS 20
 
 const char *
 GwWhy_Name(GwWhy why)
@@ -45,7 +45,7 @@
 }
 
 GwDo *
-GwRouter_AddDo(GArray *actions, GwDoKind kind, GwRequest *req)
+GwRouter_AddAction(GArray *actions, GwDoKind kind, GwRequest *req)
 {
     GwDo empty = {.kind = kind, .user = req->user, .request = req};
 
@@ -64,7 +64,7 @@
         .took_ms = (uint32_t)((now_us - req->arrived_us) / 1000),
         .expected_ms = (uint32_t)(req->expected_us / 1000),
         .warm = req->sent_warm,
-        .far = req->sent_far,
+        .far = req->sent_remote,
     };
 
     g_strlcpy(story.route, req->route->name, sizeof(story.route));
@@ -78,12 +78,12 @@
     return story;
 }
 
-/* Ends the bookkeeping of a request; its last action has been appended. */
+/* Frees a request whose last action has been appended. */
 static void
 finish(GwRouter *r, GwRequest *req)
 {
-    GwRequest_StopWaiting(req);
-    GwRequest_StopAwaiting(r, req);
+    GwRequest_Dequeue(req);
+    GwRequest_CancelProbeWait(r, req);
     if (req->deadline != GW_HEAP_OUT) {
         GwHeap_Remove(&r->deadlines, &req->deadline);
     }
@@ -94,56 +94,59 @@
 }
 
 uint32_t
-GwRouter_ComebackMs(GwRouter *r)
+GwRouter_RetryAfterMs(GwRouter *r)
 {
-    return COMEBACK_MIN_MS + GwRng_Below(&r->rng, COMEBACK_SPREAD_MS);
+    return RETRY_AFTER_MIN_MS + GwRng_Below(&r->rng, RETRY_AFTER_SPREAD_MS);
 }
 
-/* When a slot is expected to be free for this kind of request. Those before it
- * take the first slots, so callers are spread over as long again. */
+/* Retry delay until a slot is expected to be free for this kind of request.
+ * Requests ahead take the first slots, so callers are spread over the same
+ * time again. */
 static uint32_t
-room_ms(GwRouter *r, const GwRequest *req)
+slot_retry_after_ms(GwRouter *r, const GwRequest *req)
 {
-    uint32_t ms =
-        (uint32_t)(CLAMP(req->room_us, ROOM_MIN_US, ROOM_MAX_US) / 1000);
+    uint32_t ms = (uint32_t)(CLAMP(req->slot_wait_us, SLOT_WAIT_MIN_US,
+                                   SLOT_WAIT_MAX_US) /
+                             1000);
 
     return ms + GwRng_Below(&r->rng, ms);
 }
 
 static uint32_t
-comeback_ms(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why)
+choose_retry_after_ms(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why)
 {
     if (why == GW_WHY_NO_ROOM) {
-        return room_ms(r, req);
+        return slot_retry_after_ms(r, req);
     }
     if (why == GW_WHY_QUARANTINED) {
-        int64_t until_us = GwRequest_HeldUntil(r, now_us, req);
+        int64_t until_us = GwRequest_QuarantinedUntil(r, now_us, req);
         return (uint32_t)MIN((until_us - now_us) / 1000 + 1, UINT32_MAX);
     }
-    return r->end_us != INT64_MAX ? ELSEWHERE_MS : GwRouter_ComebackMs(r);
+    return r->end_us != INT64_MAX ? STOP_RETRY_AFTER_MS
+                                  : GwRouter_RetryAfterMs(r);
 }
 
-/* Answers with a status of our own. 503 is a promise that the request has not
- * run and won't, so a request of which an attempt may have run gets 502, or
- * 504 when its time is over. */
+/* Ends the request with a status of this entry. 503 guarantees that the
+ * request has not run and won't: a request with an attempt that may have run
+ * gets 502, or 504 on timeout. */
 static void
 reply(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why, GArray *actions)
 {
-    GwDo *out = GwRouter_AddDo(actions, GW_DO_REPLY, req);
+    GwDo *out = GwRouter_AddAction(actions, GW_DO_REPLY, req);
 
     out->why = why;
     out->story = GwRequest_Story(req, now_us);
     if (why == GW_WHY_TIMEOUT) {
         out->status = 504;
     }
-#if GW_MUTANT != 71 /* breaks: "not run" is said though it may have run */
+#if GW_MUTANT != 71 /* breaks: "not run" is sent though it may have run */
     else if (why == GW_WHY_BROKEN || req->may_have_run) {
         out->status = 502;
     }
 #endif
     else {
         out->status = 503;
-        out->retry_after_ms = comeback_ms(r, now_us, req, why);
+        out->retry_after_ms = choose_retry_after_ms(r, now_us, req, why);
     }
     finish(r, req);
 }
@@ -162,24 +165,25 @@
 /* ---- Sending ------------------------------------------------------------- */
 
 static void
-send_to(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
-        GArray *actions)
+send_request(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
+             GArray *actions)
 {
-    GwKeyServer *at = req->key != NULL ? GwKey_At(req->key, s) : NULL;
+    GwKeyPlacement *at =
+        req->key != NULL ? GwKey_FindPlacement(req->key, s) : NULL;
 
-    GwRequest_StopWaiting(req);
+    GwRequest_Dequeue(req);
     req->server = s;
     req->sent_us = now_us;
     req->sent_warm = at != NULL;
-    req->sent_far = !s->same_region;
-    req->sent_alone = s->in_flight + s->peers_in_flight < s->slots;
+    req->sent_remote = !s->same_region;
+    req->sent_to_free_slot = s->in_flight + s->peers_in_flight < s->slots;
     req->attempts++;
     req->sends++;
     g_strlcpy(req->last_server, s->id, sizeof(req->last_server));
     if (req->tried_count < G_N_ELEMENTS(req->tried)) {
         req->tried[req->tried_count++] = s;
     }
-    GwServer_NoteBusy(r, s, now_us);
+    GwServer_UpdateUtilization(r, s, now_us);
     s->refs++;
     s->in_flight++;
     if (GwServer_IsCold(s, now_us)) {
@@ -189,10 +193,10 @@
         GwServer_SpendLimit(s, now_us);
     }
     if (req->key != NULL && !req->is_suspect) {
-        GwRouter_UseKey(r, req->key, s, now_us);
+        GwRouter_AddPlacement(r, req->key, s, now_us);
     }
     GwRequest_SetDeadline(r, req, req->give_up_us);
-    GwDo *out = GwRouter_AddDo(actions, GW_DO_SEND, req);
+    GwDo *out = GwRouter_AddAction(actions, GW_DO_SEND, req);
     out->server = s;
     out->idempotent = req->route->idempotent;
     int64_t until_us = GwRouter_ServerUntil(r, now_us, req);
@@ -200,11 +204,11 @@
         until_us > now_us ? (uint32_t)((until_us - now_us) / 1000) : 0;
 }
 
-/* An answer after this is worth nothing. */
+/* An answer after this is of no use. */
 static int64_t
-too_late_us(const GwRequest *req)
+last_useful_slot_us(const GwRequest *req)
 {
-    return MIN(req->late_us, req->budget_us);
+    return MIN(req->useless_after_us, req->server_deadline_us);
 }
 
 static GwWhy
@@ -216,80 +220,84 @@
     return req->attempts > 0 ? GW_WHY_NO_RETRY : GW_WHY_NO_SERVER;
 }
 
-/* Sends the request, keeps it waiting, or refuses it. What comes too late is
- * still worth a little, so it may wait behind all that comes in time; where
- * even that takes long the caller is told at once when to come back. */
+/* Sends the request, keeps it waiting, or refuses it. A late answer is still
+ * of some use, so a late request may wait behind all that meet their
+ * objective; if even that takes too long, the caller is refused at once with a
+ * retry delay. */
 void
 GwRequest_Place(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
-    if (GwRequest_HeldUntil(r, now_us, req) != 0) {
+    if (GwRequest_QuarantinedUntil(r, now_us, req) != 0) {
         reply(r, now_us, req, GW_WHY_QUARANTINED, actions);
         return;
     }
     GwChoice c = GwRouter_Choose(r, now_us, req);
     req->expected_us = now_us - req->arrived_us + (int64_t)c.est_us;
-    req->room_us = c.wait_us;
+    req->slot_wait_us = c.wait_us;
 
     if (c.server == NULL) {
-        GwRouter_DriftRefused(r, now_us, c.wants_far);
+        GwRouter_NoteRegionRefused(r, now_us, c.prefers_remote);
         reply(r, now_us, req, why_no_server(r, req), actions);
         return;
     }
-    if (c.ready) {
-        GwRouter_DriftSent(r, now_us, req, c.wants_far,
-                           !c.server->same_region);
-        send_to(r, now_us, req, c.server, actions);
+    if (c.has_free_slot) {
+        GwRouter_NoteRegionSent(r, now_us, req, c.prefers_remote,
+                                !c.server->same_region);
+        send_request(r, now_us, req, c.server, actions);
         return;
     }
     int64_t back_us = now_us + (int64_t)c.est_us;
-    bool was_late = req->late;
-    req->late = !c.in_time;
-    if (req->late && back_us > too_late_us(req)) {
-        GwRouter_DriftRefused(r, now_us, c.wants_far);
+    bool was_late = req->is_late;
+    req->is_late = !c.in_time;
+    if (req->is_late && back_us > last_useful_slot_us(req)) {
+        GwRouter_NoteRegionRefused(r, now_us, c.prefers_remote);
         req->refused_for = c.server;
         reply(r, now_us, req, GW_WHY_NO_ROOM, actions);
         return;
     }
-    GwServer_Claim(c.server);
-    /* One that has just become late is judged once more, behind the others. */
-    req->waits_for = req->late == was_late ? c.server : NULL;
-    req->waits_for_place = c.is_place;
-    req->too_late_us = req->late
-                           ? too_late_us(req) - (int64_t)(c.est_us - c.wait_us)
-                           : INT64_MAX;
-    req->too_late_us = MIN(req->too_late_us, c.last_slot_us);
-    int64_t again_us = MAX(now_us + REJUDGE_US, req->service->pass_due_us);
-    again_us = MIN(again_us, req->too_late_us);
+    GwServer_Reserve(c.server);
+    /* A request that has just become late is evaluated again, behind the
+     * others. */
+    req->awaited_server = req->is_late == was_late ? c.server : NULL;
+    req->awaits_placement = c.is_placement;
+    req->last_useful_slot_us =
+        req->is_late
+            ? last_useful_slot_us(req) - (int64_t)(c.est_us - c.wait_us)
+            : INT64_MAX;
+    req->last_useful_slot_us = MIN(req->last_useful_slot_us, c.last_slot_us);
+    int64_t again_us =
+        MAX(now_us + EVALUATION_INTERVAL_US, req->service->pass_due_us);
+    again_us = MIN(again_us, req->last_useful_slot_us);
     GwRequest_SetDeadline(r, req, MIN(req->give_up_us, again_us));
 }
 
-/* Servers that went may still be named by actions that are not carried out
- * yet: steps come from inside of carrying them out too. */
+/* Removed servers may be referred to by actions that the host has not carried
+ * out yet: it may call the router while carrying them out. */
 void
-GwRouter_FreeFreed(GwRouter *r, const GArray *actions)
+GwRouter_FreeRemoved(GwRouter *r, const GArray *actions)
 {
     if (actions->len == 0) {
-        g_ptr_array_set_size(r->freed, 0);
+        g_ptr_array_set_size(r->removed_servers, 0);
     }
 }
 
-/* ---- Ends of attempts ---------------------------------------------------- */
+/* ---- Attempt results ----------------------------------------------------- */
 
-/* Each first arrival earns its part of a retry. */
+/* Each new request earns a part of a retry. */
 void
 GwRouter_EarnRetry(GwRouter *r, GwServiceState *service)
 {
     service->retries.tokens += r->params.retry_ratio * RETRY_SHARE;
 }
 
-/* Among how many entries the fixed extra is shared: as many as settings say
- * could be alive, and room for as many again as are heard. */
+/* Number of entries that share the fixed part of the retry budget: the
+ * configured maximum, or half as many again as the entries known. */
 uint32_t
 GwRouter_EntriesMax(const GwRouter *r)
 {
-    uint32_t heard = g_hash_table_size(r->peers) + 1;
+    uint32_t known = g_hash_table_size(r->peers) + 1;
 
-    return MAX(MAX(r->params.entries_max, 1), MAX(heard, r->entries) * 3 / 2);
+    return MAX(MAX(r->params.entries_max, 1), MAX(known, r->entries) * 3 / 2);
 }
 
 void
@@ -298,8 +306,8 @@
     r->entries = count;
 }
 
-/* Whether another attempt may be made, and pays for it. A send that met no
- * server is no arrival anywhere and costs nothing. */
+/* Returns whether another attempt is allowed, and charges the retry budget. An
+ * attempt that reached no server costs nothing. */
 static bool
 may_retry(GwRouter *r, int64_t now_us, GwRequest *req)
 {
@@ -313,7 +321,7 @@
         return false;
     }
 #endif
-    if (now_us >= req->budget_us) {
+    if (now_us >= req->server_deadline_us) {
         return false;
     }
     if (req->arrivals == 0) {
@@ -331,22 +339,23 @@
 }
 
 static void
-leave_server(GwRouter *r, int64_t now_us, GwRequest *req, bool ran,
-             GArray *actions)
+release_server(GwRouter *r, int64_t now_us, GwRequest *req, bool ran,
+               GArray *actions)
 {
     GwServer *s = req->server;
 
     if (req->key != NULL) {
-        GwKey_Ended(req->key, s, ran);
+        GwKey_EndRun(req->key, s, ran);
     }
-    GwServer_NoteBusy(r, s, now_us);
+    GwServer_UpdateUtilization(r, s, now_us);
     s->in_flight--;
-    s->service->freed = s->listed ? s : NULL;
+    s->service->freed_server = s->listed ? s : NULL;
     req->server = NULL;
     GwServer_Unref(r, s, actions);
 }
 
-/* What comes after an attempt that ended without the answer to pass on. */
+/* Retries or ends the request after an attempt without an answer to pass
+ * on. */
 static void
 after_failure(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
               const GwAttemptEnd *end, GArray *actions)
@@ -373,7 +382,7 @@
         return;
     }
     if (!end->closed || !GwRequest_AwaitProbe(r, now_us, req, s)) {
-        GwRequest_Wait(req);
+        GwRequest_Enqueue(req);
     }
 }
 
@@ -387,26 +396,26 @@
 
     GwServer *s = req->server;
 
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     GwRouter_Learn(r, now_us, req, end, actions);
     if (end->closed) {
-        GwRouter_NoteBreak(r, now_us, req, end->fingerprint, actions);
+        GwRouter_NoteConnectionLost(r, now_us, req, end->fingerprint, actions);
     }
     else if (good && end->fingerprint != NULL) {
         GwQuarantine_NoteSuccess(r->quarantine, now_us, end->fingerprint);
     }
-    leave_server(r, now_us, req, good, actions);
+    release_server(r, now_us, req, good, actions);
     if (answered) {
-        /* In a stop the server's own word is passed on: a second server might
-         * be too late, and the answer would be gone. */
+        /* During a stop the server's answer is passed on even if it is an
+         * error: a retry might end too late, and the answer would be lost. */
         bool again = !good && req->route->idempotent && r->end_us == INT64_MAX;
         req->arrivals++;
         if (again && may_retry(r, now_us, req)) {
             req->may_have_run = true;
-            GwRequest_Wait(req);
+            GwRequest_Enqueue(req);
         }
         else {
-            GwDo *out = GwRouter_AddDo(actions, GW_DO_ANSWER, req);
+            GwDo *out = GwRouter_AddAction(actions, GW_DO_ANSWER, req);
             out->status = end->status;
             out->story = GwRequest_Story(req, now_us);
             finish(r, req);
@@ -415,27 +424,27 @@
     else {
         after_failure(r, now_us, req, s, end, actions);
     }
-    GwRouter_Pump(r, now_us, service, actions);
+    GwRouter_DispatchWaiting(r, now_us, service, actions);
 }
 
 static void
 cancel(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
     if (req->server != NULL) {
-        GwDo *out = GwRouter_AddDo(actions, GW_DO_CANCEL, req);
+        GwDo *out = GwRouter_AddAction(actions, GW_DO_CANCEL, req);
         out->server = req->server;
-        leave_server(r, now_us, req, false, actions);
+        release_server(r, now_us, req, false, actions);
     }
 }
 
 void
 GwRouter_Gone(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     if (req->server != NULL) {
-        leave_server(r, now_us, req, false, actions);
+        release_server(r, now_us, req, false, actions);
     }
-    req->service->has_room = true;
+    req->service->needs_dispatch = true;
     finish(r, req);
 }
 
@@ -448,14 +457,14 @@
     g_hash_table_iter_init(&iter, r->services);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwServiceState *service = value;
-        if (service->has_room) {
-            service->has_room = false;
-            GwRouter_Pump(r, now_us, service, actions);
+        if (service->needs_dispatch) {
+            service->needs_dispatch = false;
+            GwRouter_DispatchWaiting(r, now_us, service, actions);
         }
     }
 }
 
-/* ---- Time ---------------------------------------------------------------- */
+/* ---- Timers -------------------------------------------------------------- */
 
 int64_t
 GwRouter_NextDeadline(const GwRouter *r)
@@ -466,7 +475,7 @@
 void
 GwRouter_Tick(GwRouter *r, int64_t now_us, GArray *actions)
 {
-    GwRouter_FreeFreed(r, actions);
+    GwRouter_FreeRemoved(r, actions);
     while (r->deadlines.count > 0 && GwHeap_TopKey(&r->deadlines) <= now_us) {
         GwRequest *req = GwHeap_Top(&r->deadlines);
         GwServiceState *service = req->service;
@@ -477,11 +486,12 @@
                   actions);
         }
         else {
-            /* Placing moves the deadline of what still waits. */
+            /* Placing the request moves the deadline again if it still
+             * waits. */
             GwRequest_SetDeadline(r, req, req->give_up_us);
-            GwRequest_EndAwaiting(r, req);
+            GwRequest_EndProbeWait(r, req);
         }
-        service->has_room = true;
+        service->needs_dispatch = true;
     }
     GwRouter_Settle(r, now_us, actions);
 }
@@ -495,5 +505,5 @@
 uint64_t
 GwRouter_Looks(const GwRouter *r)
 {
-    return r->looks;
+    return r->evaluations;
 }
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -9,7 +9,7 @@
 
     g_ptr_array_free(service->servers, TRUE);
     g_ptr_array_free(service->waiting, TRUE);
-    g_ptr_array_free(service->claimed, TRUE);
+    g_ptr_array_free(service->reserved_servers, TRUE);
     g_free(service->name);
     g_free(service);
 }
@@ -72,17 +72,17 @@
     r->by_hash = g_hash_table_new(NULL, NULL);
     r->keys = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     r->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_peer);
-    r->sums = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                    (GDestroyNotify)g_hash_table_destroy);
+    r->region_loads = g_hash_table_new_full(
+        g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_hash_table_destroy);
     r->evacuated =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     r->paths = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_path);
-    r->far_rtt_us = GW_FAR_RTT_US;
+    r->remote_rtt_us = GW_REMOTE_RTT_US;
     r->open = g_hash_table_new(NULL, NULL);
-    r->drift.at_us = now_us;
+    r->cross_region.at_us = now_us;
     r->placements = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
-    r->freed = g_ptr_array_new_with_free_func(free_server);
-    r->awaiting = g_ptr_array_new();
+    r->removed_servers = g_ptr_array_new_with_free_func(free_server);
+    r->awaiting_probe = g_ptr_array_new();
     r->quarantine = GwQuarantine_Create();
     return r;
 }
@@ -93,10 +93,11 @@
     GwRequest *req = key;
     GwRouter *r = ctx;
 
-    /* A server that left the registry lives on for its last request. */
+    /* A server that was removed from the registry is kept until its last
+     * attempt ends. */
     if (req->server != NULL && !req->server->listed &&
         --req->server->refs == 0) {
-        g_ptr_array_add(r->freed, req->server);
+        g_ptr_array_add(r->removed_servers, req->server);
     }
 
     (void)value;
@@ -118,21 +119,21 @@
     GwHeap_Free(&r->deadlines);
     g_hash_table_iter_init(&iter, r->servers);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        g_ptr_array_add(r->freed, value);
+        g_ptr_array_add(r->removed_servers, value);
     }
     g_hash_table_destroy(r->servers);
     g_hash_table_destroy(r->by_hash);
     g_hash_table_destroy(r->keys);
     g_hash_table_destroy(r->peers);
-    g_hash_table_destroy(r->sums);
+    g_hash_table_destroy(r->region_loads);
     g_hash_table_destroy(r->evacuated);
     g_hash_table_destroy(r->paths);
     g_hash_table_destroy(r->routes);
     g_hash_table_destroy(r->services);
     g_array_free(r->placements, TRUE);
-    g_ptr_array_free(r->freed, TRUE);
+    g_ptr_array_free(r->removed_servers, TRUE);
     GwRouting_Unref(r->routing);
-    g_ptr_array_free(r->awaiting, TRUE);
+    g_ptr_array_free(r->awaiting_probe, TRUE);
     GwQuarantine_Free(r->quarantine);
     g_free(r);
 }
@@ -146,19 +147,19 @@
     r->params.entries_max = params->entries_max;
 }
 
-/* What the new version says of each service. */
+/* Applies the new version's settings of each service. */
 static void
-take_services(GwRouter *r)
+apply_services(GwRouter *r)
 {
     for (uint32_t i = 0; i < r->routing->service_count; i++) {
         const GwRouteService *from = &r->routing->services[i];
-        GwServiceState *service = GwRouter_ServiceOf(r, from->name);
+        GwServiceState *service = GwRouter_FindOrAddService(r, from->name);
         service->cold_per_s = from->cold_per_s;
         service->connections_max = from->connections_max;
     }
 }
 
-/* Whether the route is gone and nothing needs what was learned of it. */
+/* Returns whether the route was removed and no request refers to its state. */
 static gboolean
 is_over(gpointer name, gpointer value, gpointer names)
 {
@@ -167,9 +168,9 @@
     return state->open == 0 && !g_hash_table_contains(names, name);
 }
 
-/* Operators add and remove routes for years. */
+/* Drops the state of removed routes, which would accumulate over years. */
 static void
-forget_routes(GwRouter *r)
+drop_removed_routes(GwRouter *r)
 {
     GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -186,15 +187,15 @@
 bool
 GwRouter_SetRouting(GwRouter *r, GwRouting *routing)
 {
-#if GW_MUTANT != 76 /* breaks: versions may fall */
+#if GW_MUTANT != 76 /* breaks: an older version replaces a newer one */
     if (r->routing != NULL && routing->version <= r->routing->version) {
         return false;
     }
 #endif
     GwRouting_Unref(r->routing);
     r->routing = GwRouting_Ref(routing);
-    take_services(r);
-    forget_routes(r);
+    apply_services(r);
+    drop_removed_routes(r);
     return true;
 }
 
--- a/tests/unit/test_router_choice.c
+++ b/tests/unit/test_router_choice.c
@@ -1,4 +1,5 @@
-/* Which of a service's servers is chosen, whatever shortens the search. */
+/* Choice of a server: the shortcuts of the search must not change its
+ * result. */
 #include "router/router_internal.h"
 #include "unit/steering_cases.h"
 
@@ -11,18 +12,18 @@
 static const char *const regions[] = {"r1", "r2", "r3"};
 static const char *const domains[] = {"d1", "d2", "d3"};
 
-/* A state of the server that requests and reports could have led to. */
+/* Sets a state that requests and reports could have led to. */
 static void
-set_any(GwServer *s, GwRng *rng, int64_t now_us)
+set_random_state(GwServer *s, GwRng *rng, int64_t now_us)
 {
     s->slots = 1 + GwRng_Below(rng, 8);
     s->peers_in_flight = GwRng_Below(rng, 2 * s->slots);
-    s->peers_far = GwRng_Below(rng, s->peers_in_flight + 1);
-    s->claims = GwRng_Below(rng, 3);
+    s->peers_remote = GwRng_Below(rng, s->peers_in_flight + 1);
+    s->reservations = GwRng_Below(rng, 3);
     s->objects = GwRng_Below(rng, 20);
-    s->busy = GwRng_Below(rng, 1500) / 1000.0;
-    s->busy_at_us = now_us - GwRng_Below(rng, 4000000);
-    s->slow = 0.5 + GwRng_Below(rng, 4000) / 1000.0;
+    s->utilization = GwRng_Below(rng, 1500) / 1000.0;
+    s->utilization_at_us = now_us - GwRng_Below(rng, 4000000);
+    s->slowdown = 0.5 + GwRng_Below(rng, 4000) / 1000.0;
     s->draining = GwRng_Below(rng, 20) == 0;
     s->eject_until_us = GwRng_Below(rng, 20) == 0 ? now_us + 1 : 0;
     s->cold_until_us = GwRng_Below(rng, 20) == 0 ? now_us + 1 : 0;
@@ -39,7 +40,7 @@
     return chosen;
 }
 
-/* Between the two, with the other one looked at first. */
+/* Chooses between two servers, with `other` evaluated first. */
 static GwServer *
 better_of(FakeSteering *f, GwRequest *req, GwServer *other, GwServer *best)
 {
@@ -52,7 +53,7 @@
     return chosen;
 }
 
-/* All servers are full as it arrives, so it waits. */
+/* A request that waits, since all servers are full when it arrives. */
 static GwRequest *
 waiting_request(FakeSteering *f, const char *key)
 {
@@ -62,7 +63,7 @@
                        .serves = true,
                        .load_count = SERVERS,
                        .loads = loads};
-    GPtrArray *servers = GwRouter_ServiceOf(f->router, "s")->servers;
+    GPtrArray *servers = GwRouter_FindOrAddService(f->router, "s")->servers;
 
     for (guint i = 0; i < servers->len; i++) {
         loads[i] = (GwPeerLoad){GwServer_Hash(servers->pdata[i]), 6};
@@ -74,12 +75,12 @@
     return req->handle;
 }
 
-/* A service may have a thousand servers, and a look at each of them for each
- * request takes more than a small instance has; so most are passed over on a
- * bound of their cost. If that bound were too high for any of them, requests
- * would go to a worse server, and nothing but their times would tell. Each
- * server is held against the chosen one alone, and is looked at first. */
-Test(router_choice, no_server_that_is_passed_over_is_better)
+/* Most of a service's servers are skipped on a lower bound of their cost,
+ * since a full evaluation of a thousand per request takes too long on a small
+ * instance. With too high a bound, requests would go to a worse server,
+ * visible only in their latency. Each server is compared with the chosen one
+ * alone, and is evaluated first. */
+Test(router_choice, no_skipped_server_is_better)
 {
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         GwRng rng = GwRng_Make(seed);
@@ -93,7 +94,7 @@
         GwRequest *req = waiting_request(f, seed % 2 == 0 ? "k" : NULL);
         GPtrArray *all = req->service->servers;
         for (guint i = 0; i < all->len; i++) {
-            set_any(all->pdata[i], &rng, f->now_us);
+            set_random_state(all->pdata[i], &rng, f->now_us);
         }
         GwServer *best = choose_among(f, req, all);
         cr_assert_not_null(best, "seed %d", (int)seed);
@@ -104,7 +105,7 @@
                          best->id);
         }
         for (guint i = 0; i < all->len; i++) {
-            ((GwServer *)all->pdata[i])->claims = 0;
+            ((GwServer *)all->pdata[i])->reservations = 0;
         }
         Steering_Finish(f);
     }
@@ -112,8 +113,9 @@
 
 #define MS 1000
 
-/* Callers were refused for lack of room while two servers stood idle: they had
- * been slower lately, and a full one that had just come back cost less. */
+/* Requests were refused for lack of capacity beside two idle servers: these
+ * had been slower recently, and a full server that had just recovered had a
+ * lower cost. */
 Test(router_choice, nobody_is_refused_beside_an_idle_server)
 {
     static const double slow[] = {1.5, 2, 4};
@@ -121,8 +123,9 @@
     for (size_t i = 0; i < G_N_ELEMENTS(slow); i++) {
         FakeSteering *f = Steering_Start(2);
         FakeSteering_Put(f, "idle", "r1", "d1", 10);
-        GPtrArray *servers = GwRouter_ServiceOf(f->router, "s")->servers;
-        ((GwServer *)servers->pdata[0])->slow = slow[i];
+        GPtrArray *servers =
+            GwRouter_FindOrAddService(f->router, "s")->servers;
+        ((GwServer *)servers->pdata[0])->slowdown = slow[i];
         FakeSteering_Put(f, "back", "r1", "d1", 10);
         for (int k = 0; k < 20; k++) {
             FakeRequest *req = FakeSteering_Arrive(f, "/again/", NULL, 8000);
