--- a/bench/router_cost.c
+++ b/bench/router_cost.c
@@ -116,7 +116,7 @@
     for (uint32_t i = 0; i < 20000 && count_waiting(f) < waiting; i++) {
         arrive(f, i, keyed);
     }
-    uint64_t looks = GwRouter_Looks(f->router);
+    uint64_t looks = GwRouter_EvaluationCount(f->router);
     double start = cpu_us();
     for (uint32_t i = 0; i < WAIT_PER_S; i++) {
         held += count_waiting(f);
@@ -129,7 +129,7 @@
         FakeSteering_Pass(f, FAKE_US_PER_S / WAIT_PER_S);
     }
     double took = cpu_us() - start;
-    double seen = (double)(GwRouter_Looks(f->router) - looks);
+    double seen = (double)(GwRouter_EvaluationCount(f->router) - looks);
     printf("| %u | %.0f%s | %.1f | %.2f | %.1f |\n", servers,
            held / WAIT_PER_S, keyed ? ", for places" : "", took / 1000,
            seen / 1e6, seen > 0 ? took * 1000 / seen : 0);
--- a/lib/edge/aggregate.c
+++ b/lib/edge/aggregate.c
@@ -93,7 +93,7 @@
         peer->copy = NULL;
     }
     peers->aggregator[0] = '\0';
-    GwRouter_DropSums(peers->edge->router, now_us);
+    GwRouter_DropRegionLoads(peers->edge->router, now_us);
 }
 
 void
@@ -257,7 +257,8 @@
 {
     const GwPeers *peers = ctx;
 
-    GwRouter_SetSum(peers->edge->router, GwEdge_Now(), region, server, count);
+    GwRouter_SetRegionLoad(peers->edge->router, GwEdge_Now(), region, server,
+                           count);
 }
 
 /* Accepts the sum only from the aggregator to which this entry reports: two
--- a/lib/edge/answers.c
+++ b/lib/edge/answers.c
@@ -44,11 +44,11 @@
             continue;
         }
         if (!read_limit(msg->text->str + f->value, &per_s)) {
-            end->limit = end->limit == GW_LIMIT_NAMED ? GW_LIMIT_NAMED
-                                                      : GW_LIMIT_UNSAID;
+            end->limit = end->limit == GW_LIMIT_STATED ? GW_LIMIT_STATED
+                                                       : GW_LIMIT_UNKNOWN;
         }
-        else if (end->limit != GW_LIMIT_NAMED || per_s < end->limit_per_s) {
-            end->limit = GW_LIMIT_NAMED;
+        else if (end->limit != GW_LIMIT_STATED || per_s < end->limit_per_s) {
+            end->limit = GW_LIMIT_STATED;
             end->limit_per_s = per_s;
         }
     }
@@ -61,7 +61,7 @@
         return GW_ATTEMPT_REFUSED;
     }
     if (msg->status < 300 && GwHttpMessage_Get(msg, names->seal) == NULL) {
-        return GW_ATTEMPT_BROKEN;
+        return GW_ATTEMPT_LOST;
     }
     return GW_ATTEMPT_ANSWERED;
 }
--- a/lib/edge/callers.c
+++ b/lib/edge/callers.c
@@ -28,16 +28,16 @@
 log_open_exchange(const GwExchange *x, GwRequestEnd end)
 {
     int64_t now_us = GwEdge_Now();
-    GwRequestStory story = {.took_ms =
-                                (uint32_t)((now_us - x->arrived_us) / 1000)};
+    GwRequestSummary request_summary = {
+        .took_ms = (uint32_t)((now_us - x->arrived_us) / 1000)};
 
     if (x->out != NULL) {
         return;
     }
     if (x->request != NULL) {
-        story = GwRequest_Story(x->request, now_us);
+        request_summary = GwRequest_Summarize(x->request, now_us);
     }
-    GwEdge_LogRequestEnd(x, end, 0, GW_WHY_NONE, &story);
+    GwEdge_LogRequestEnd(x, end, 0, GW_REPLY_NONE, &request_summary);
 }
 
 /* Removes a connection that is closed or about to be closed. Its requests in
@@ -59,12 +59,12 @@
         log_open_exchange(x, open_end);
         if (x->request != NULL) {
             GwServerLink_Cancel(x);
-            GwRouter_Gone(edge->router, GwEdge_Now(), x->request,
-                          edge->actions);
+            GwRouter_CallerDisconnected(edge->router, GwEdge_Now(), x->request,
+                                        edge->actions);
         }
         free_exchange(x);
     }
-    GwRouter_Settle(edge->router, GwEdge_Now(), edge->actions);
+    GwRouter_DispatchPending(edge->router, GwEdge_Now(), edge->actions);
     g_free(caller);
     GwCallers_Resume(edge);
 }
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -37,27 +37,29 @@
 
 /* Logs the reason for an answer made by the entry itself. */
 static void
-log_reply(const GwExchange *x, const char *id, uint16_t status, GwWhy why,
-          const GwRequestStory *story)
+log_reply(const GwExchange *x, const char *id, uint16_t status,
+          GwReplyReason why, const GwRequestSummary *request_summary)
 {
     char more[96] = "";
 
-    if (why == GW_WHY_QUARANTINED) {
+    if (why == GW_REPLY_QUARANTINED) {
         char text[GW_FINGERPRINT_TEXT];
         GwFingerprint_Write(&x->fingerprint, text);
         g_snprintf(more, sizeof(more), " fingerprint=%s", text);
     }
-    else if (story->best[0] != '\0') {
-        g_snprintf(more, sizeof(more), " best=%s best_busy=%u/%u", story->best,
-                   story->best_busy, story->best_slots);
+    else if (request_summary->best[0] != '\0') {
+        g_snprintf(more, sizeof(more), " best=%s best_busy=%u/%u",
+                   request_summary->best, request_summary->best_busy,
+                   request_summary->best_slots);
     }
     GwLog_Event(GW_LOG_REQUEST_REPLIED,
                 "request=%.40s status=%u why=%s route=%s server=%s "
                 "attempts=%u waited_ms=%u took_ms=%u expected_ms=%u config="
                 "%" PRIu64 " news_ms=%" PRId64 "%s",
-                id, status, GwWhy_Name(why), story->route, story->server,
-                story->attempts, story->waited_ms, story->took_ms,
-                story->expected_ms, story->version,
+                id, status, GwReplyReason_Name(why), request_summary->route,
+                request_summary->server, request_summary->attempts,
+                request_summary->waited_ms, request_summary->took_ms,
+                request_summary->expected_ms, request_summary->version,
                 GwFeed_AgeMs(x->edge->server_feed, GwEdge_Now()), more);
 }
 
@@ -66,22 +68,26 @@
  * because these lines are most of the log's volume. */
 void
 GwEdge_LogRequestEnd(const GwExchange *x, GwRequestEnd end, uint16_t status,
-                     GwWhy why, const GwRequestStory *story)
+                     GwReplyReason why,
+                     const GwRequestSummary *request_summary)
 {
     const char *id = GwHttpMessage_Get(x->msg, x->edge->adapter->request_id);
-    const char *route = story->route[0] != '\0' ? story->route : "(none)";
+    const char *route =
+        request_summary->route[0] != '\0' ? request_summary->route : "(none)";
 
     id = id != NULL ? id : "";
-    GwMeters_Add(x->edge->meters, route, end, why, story->took_ms);
+    GwMeters_Add(x->edge->meters, route, end, why, request_summary->took_ms);
     switch (end) {
     case GW_END_ANSWERED:
     case GW_END_FAILED:
         GwLog_Event(GW_LOG_REQUEST_ANSWERED,
                     "request=%.40s status=%u route=%s server=%s attempts=%u "
                     "waited_ms=%u took_ms=%u warm=%d far=%d config=%" PRIu64,
-                    id, status, story->route, story->server, story->attempts,
-                    story->waited_ms, story->took_ms, story->warm, story->far,
-                    story->version);
+                    id, status, request_summary->route,
+                    request_summary->server, request_summary->attempts,
+                    request_summary->waited_ms, request_summary->took_ms,
+                    request_summary->warm, request_summary->far,
+                    request_summary->version);
         break;
     case GW_END_DISCONNECTED:
     case GW_END_INTERRUPTED:
@@ -89,14 +95,15 @@
                                                : GW_LOG_REQUEST_CUT,
                     "request=%.40s route=%s server=%s attempts=%u "
                     "waited_ms=%u took_ms=%u config=%" PRIu64,
-                    id, story->route, story->server, story->attempts,
-                    story->waited_ms, story->took_ms, story->version);
+                    id, request_summary->route, request_summary->server,
+                    request_summary->attempts, request_summary->waited_ms,
+                    request_summary->took_ms, request_summary->version);
         break;
     case GW_END_NOT_RUN:
     case GW_END_UNKNOWN:
     case GW_END_NO_ROUTE:
     case GW_END_COUNT:
-        log_reply(x, id, status, why, story);
+        log_reply(x, id, status, why, request_summary);
         break;
     }
 }
@@ -105,13 +112,13 @@
 on_suspect(void *ctx, const GwSuspect *suspect, GwSuspectState old,
            GwSuspectState state)
 {
-    GwLogEvent event = state == GW_SUSPECT_HELD      ? GW_LOG_REQUEST_HELD
-                       : state == GW_SUSPECT_WATCHED ? GW_LOG_REQUEST_SUSPECT
+    GwLogEvent event = state == GW_SUSPECT_QUARANTINED ? GW_LOG_REQUEST_HELD
+                       : state == GW_SUSPECT_WATCHED   ? GW_LOG_REQUEST_SUSPECT
                                                      : GW_LOG_REQUEST_CLEARED;
     char text[GW_FINGERPRINT_TEXT];
     GwEdge *edge = ctx;
 
-    if ((state == GW_SUSPECT_HELD || old == GW_SUSPECT_HELD) &&
+    if ((state == GW_SUSPECT_QUARANTINED || old == GW_SUSPECT_QUARANTINED) &&
         GwPeers_IsWriterOf(edge->peers, suspect->fingerprint.lo)) {
         GwQuarantineRows_Write(edge->quarantine_rows, suspect);
     }
@@ -135,45 +142,45 @@
 }
 
 static void
-run_action(GwEdge *edge, const GwDo *act)
+run_action(GwEdge *edge, const GwRouterAction *act)
 {
     GwExchange *x = act->user;
 
     switch (act->kind) {
-    case GW_DO_ACCEPT:
+    case GW_ROUTER_ACCEPT:
         x->request = act->request;
         break;
-    case GW_DO_SEND:
+    case GW_ROUTER_SEND:
         /* From the configuration that admitted the request, which may be newer
          * than the one at its arrival. */
         x->idempotent = act->idempotent;
         GwServerLink_Send(x, act->server, act->left_ms);
         break;
-    case GW_DO_CANCEL:
+    case GW_ROUTER_CANCEL:
         GwServerLink_Cancel(x);
         break;
-    case GW_DO_ANSWER:
+    case GW_ROUTER_ANSWER:
         GwEdge_LogRequestEnd(
             x, act->status < 500 ? GW_END_ANSWERED : GW_END_FAILED,
-            act->status, GW_WHY_NONE, &act->story);
+            act->status, GW_REPLY_NONE, &act->request_summary);
         GwExchange_ForwardAnswer(x);
         break;
-    case GW_DO_REPLY:
+    case GW_ROUTER_REPLY:
         GwEdge_LogRequestEnd(x, GwRequestEnd_OfReply(act->status), act->status,
-                             act->why, &act->story);
+                             act->why, &act->request_summary);
         GwExchange_Reply(x, act->status, act->retry_after_ms);
         break;
-    case GW_DO_PROBE:
+    case GW_ROUTER_PROBE:
         GwServerLink_Probe(edge, act->server);
         break;
-    case GW_DO_FORGET:
+    case GW_ROUTER_DROP_SERVER:
         GwServerLink_Forget(edge, act->server);
         break;
-    case GW_DO_NOTE_EJECTED:
+    case GW_ROUTER_LOG_EJECTED:
         GwLog_Event(GW_LOG_BACKEND_EJECTED, "server=%s for_ms=%u",
                     GwServer_Id(act->server), act->left_ms);
         break;
-    case GW_DO_NOTE_BACK:
+    case GW_ROUTER_LOG_RECOVERED:
         GwLog_Event(GW_LOG_BACKEND_BACK, "server=%s",
                     GwServer_Id(act->server));
         break;
@@ -227,7 +234,8 @@
            !g_queue_is_empty(&edge->flush_queue)) {
         for (guint i = 0; i < edge->actions->len; i++) {
             /* Copied: running the action may append and so move the array. */
-            GwDo act = g_array_index(edge->actions, GwDo, i);
+            GwRouterAction act =
+                g_array_index(edge->actions, GwRouterAction, i);
             run_action(edge, &act);
         }
         g_array_set_size(edge->actions, 0);
@@ -355,11 +363,12 @@
     edge->controls =
         g_ptr_array_new_with_free_func((GDestroyNotify)GwServe_Free);
     edge->meters = GwMeters_Create();
-    edge->actions = g_array_new(FALSE, FALSE, sizeof(GwDo));
+    edge->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     edge->router = GwRouter_Create(&settings->router, GwEdge_Now());
     edge->quarantine_rows = GwQuarantineRows_Create(edge);
-    GwQuarantine_SetNote(GwRouter_Quarantine(edge->router), on_suspect, edge);
-    GwRouter_SetLimitNote(edge->router, on_limit, edge);
+    GwQuarantine_SetCallback(GwRouter_Quarantine(edge->router), on_suspect,
+                             edge);
+    GwRouter_SetLimitCallback(edge->router, on_limit, edge);
     edge->operator_feed = GwFeed_Create(edge, adapter->operator_table,
                                         GwRouterRows_OnOperatorRow, NULL);
     edge->server_feed =
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -64,7 +64,7 @@
     uv_tcp_t *call_listener;
     GwHttpBudget bodies; /* shared by callers and servers */
     GwRouter *router;
-    GArray *actions;         /* GwDo; pending actions of the router */
+    GArray *actions; /* GwRouterAction; pending actions of the router */
     bool is_running_actions; /* GwEdge_RunActions is running */
     GQueue callers;          /* GwCaller, longest idle first */
     bool is_accept_paused;   /* accepting is paused at the connection limit */
@@ -118,8 +118,8 @@
 /* Counts and logs a request that has ended or whose caller has
  * disconnected. */
 void GwEdge_LogRequestEnd(const GwExchange *x, GwRequestEnd end,
-                          uint16_t status, GwWhy why,
-                          const GwRequestStory *story);
+                          uint16_t status, GwReplyReason why,
+                          const GwRequestSummary *request_summary);
 /* Whether the entry has a configuration and the registry, and is not
  * stopping. */
 bool GwEdge_IsReady(const GwEdge *edge);
--- a/lib/edge/limits.c
+++ b/lib/edge/limits.c
@@ -27,7 +27,7 @@
 GwPeers_FillLimits(GwPeers *peers, GwPeerEntry *peer, Gw__Peer__Report *report,
                    GwLimitArrays *arrays)
 {
-    report->limits_sum = GwRouter_LimitsSum(peers->edge->router);
+    report->limits_sum = GwRouter_LimitsChecksum(peers->edge->router);
     report->n_limits = select_limits(peers, peer, arrays->known);
     for (size_t i = 0; i < report->n_limits; i++) {
         Gw__Peer__Limit *message = &arrays->messages[i];
@@ -54,7 +54,8 @@
         GwRouter_PutLimit(router, now_us, &limit);
     }
     if (GwGossipPeer_OnChecksum(&peer->gossip[GW_GOSSIP_LIMITS], now_us,
-                                report->limits_sum, GwRouter_LimitsSum(router),
+                                report->limits_sum,
+                                GwRouter_LimitsChecksum(router),
                                 GwRouter_LimitsChangedUs(router))) {
         peer->is_urgent = true;
     }
--- a/lib/edge/meters.c
+++ b/lib/edge/meters.c
@@ -29,7 +29,7 @@
 
 struct GwMeters_s {
     GHashTable *routes; /* name -> RouteMeter */
-    uint64_t whys[GW_WHY_COUNT];
+    uint64_t whys[GW_REPLY_COUNT];
 };
 
 const char *
@@ -109,8 +109,8 @@
 }
 
 void
-GwMeters_Add(GwMeters *meters, const char *route, GwRequestEnd end, GwWhy why,
-             uint32_t took_ms)
+GwMeters_Add(GwMeters *meters, const char *route, GwRequestEnd end,
+             GwReplyReason why, uint32_t took_ms)
 {
     Histogram **at = &find_or_add_route(meters, route)->ends[end];
     size_t bucket = 0;
@@ -180,9 +180,9 @@
     g_string_append(
         out, "# HELP gw_replies_total Answers made by the entry itself, by "
              "reason.\n# TYPE gw_replies_total counter\n");
-    for (int i = GW_WHY_NONE + 1; i < GW_WHY_COUNT; i++) {
-        g_string_append_printf(out,
-                               "gw_replies_total{why=\"%s\"} %" PRIu64 "\n",
-                               GwWhy_Name((GwWhy)i), meters->whys[i]);
+    for (int i = GW_REPLY_NONE + 1; i < GW_REPLY_COUNT; i++) {
+        g_string_append_printf(
+            out, "gw_replies_total{why=\"%s\"} %" PRIu64 "\n",
+            GwReplyReason_Name((GwReplyReason)i), meters->whys[i]);
     }
 }
--- a/lib/edge/meters.h
+++ b/lib/edge/meters.h
@@ -24,9 +24,9 @@
 
 GwMeters *GwMeters_Create(void);
 void GwMeters_Free(GwMeters *meters);
-/* `why` is GW_WHY_NONE except for answers made by the entry itself. */
+/* `why` is GW_REPLY_NONE except for answers made by the entry itself. */
 void GwMeters_Add(GwMeters *meters, const char *route, GwRequestEnd end,
-                  GwWhy why, uint32_t took_ms);
+                  GwReplyReason why, uint32_t took_ms);
 /* Histograms and counters in the text exposition format. */
 void GwMeters_Write(const GwMeters *meters, GString *out);
 
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -192,7 +192,7 @@
         return "refused";
     case GW_ATTEMPT_UNSENT:
         return "unsent";
-    case GW_ATTEMPT_BROKEN:
+    case GW_ATTEMPT_LOST:
         return "broken";
     }
     return "";
@@ -205,17 +205,19 @@
 {
     GwEdge *edge = x->edge;
     const char *id = GwHttpMessage_Get(x->msg, edge->adapter->request_id);
-    GwRequestStory story = GwRequest_Story(x->request, GwEdge_Now());
+    GwRequestSummary request_summary =
+        GwRequest_Summarize(x->request, GwEdge_Now());
     char text[GW_FINGERPRINT_TEXT] = "";
 
-    if (end->outcome == GW_ATTEMPT_BROKEN) {
+    if (end->outcome == GW_ATTEMPT_LOST) {
         GwFingerprint_Write(GwExchange_Fingerprint(x), text);
     }
     GwLog_Event(GW_LOG_ATTEMPT_FAILED,
                 "request=%.40s server=%s outcome=%s status=%u after_ms=%u "
                 "fingerprint=%s",
-                id != NULL ? id : "", story.server, outcome_name(end->outcome),
-                end->status, story.took_ms - story.waited_ms, text);
+                id != NULL ? id : "", request_summary.server,
+                outcome_name(end->outcome), end->status,
+                request_summary.took_ms - request_summary.waited_ms, text);
 }
 
 static void
@@ -231,7 +233,8 @@
     }
     /* Decides whether the freed slot is assigned to another request. */
     GwEdge_CheckStopSignal(edge);
-    GwRouter_Ended(edge->router, GwEdge_Now(), x->request, end, edge->actions);
+    GwRouter_AttemptEnded(edge->router, GwEdge_Now(), x->request, end,
+                          edge->actions);
 }
 
 static GwServerLink *
@@ -301,8 +304,8 @@
 {
     if (pool->server != NULL) {
         GwEdge_CheckStopSignal(pool->edge);
-        GwRouter_Probed(pool->edge->router, GwEdge_Now(), pool->server, result,
-                        pool->edge->actions);
+        GwRouter_ProbeEnded(pool->edge->router, GwEdge_Now(), pool->server,
+                            result, pool->edge->actions);
     }
 }
 
@@ -312,7 +315,7 @@
     GwPool *pool = pool_of(edge, s);
 
     if (connect_new(pool) == NULL) {
-        report_probe(pool, GW_PROBE_SILENT);
+        report_probe(pool, GW_PROBE_TIMEOUT);
     }
 }
 
@@ -447,12 +450,12 @@
         report_probe(link->pool, GW_PROBE_REFUSED);
     }
     else if (link->connecting && x == NULL) {
-        report_probe(link->pool, GW_PROBE_SILENT);
+        report_probe(link->pool, GW_PROBE_TIMEOUT);
     }
     close_link(link);
     if (x != NULL) {
         GwAttemptEnd end = {.outcome =
-                                sent ? GW_ATTEMPT_BROKEN : GW_ATTEMPT_UNSENT};
+                                sent ? GW_ATTEMPT_LOST : GW_ATTEMPT_UNSENT};
         end.closed = sent && how != GW_CONN_BAD;
         report_attempt(x, &end);
     }
@@ -520,7 +523,7 @@
     GwAttemptEnd end = {.outcome = GW_ATTEMPT_UNSENT};
 
     if (x == NULL) {
-        report_probe(link->pool, GW_PROBE_SILENT);
+        report_probe(link->pool, GW_PROBE_TIMEOUT);
     }
     close_link(link);
     if (x != NULL) {
@@ -550,7 +553,7 @@
     for (GList *at = edge->connecting.head, *next; at != NULL; at = next) {
         GwServerLink *link = at->data;
         uint32_t limit_ms =
-            link->pool->server != NULL && GwServer_IsFar(link->pool->server)
+            link->pool->server != NULL && GwServer_IsRemote(link->pool->server)
                 ? CONNECT_OTHER_REGION_MS
                 : CONNECT_SAME_REGION_MS;
         next = at->next;
--- a/lib/edge/status.c
+++ b/lib/edge/status.c
@@ -69,11 +69,11 @@
 static void
 write_suspect_counts(GwEdge *edge, GString *out)
 {
-    uint32_t counts[GW_SUSPECT_HELD + 1] = {0};
+    uint32_t counts[GW_SUSPECT_QUARANTINED + 1] = {0};
 
     GwQuarantine_Each(GwRouter_Quarantine(edge->router), GwEdge_Now(),
                       count_suspect, counts);
-    for (int i = GW_SUSPECT_WATCHED; i <= GW_SUSPECT_HELD; i++) {
+    for (int i = GW_SUSPECT_WATCHED; i <= GW_SUSPECT_QUARANTINED; i++) {
         g_string_append_printf(out, "gw_suspects{state=\"%s\"} %u\n",
                                GwSuspectState_Name((GwSuspectState)i),
                                counts[i]);
@@ -100,7 +100,8 @@
     write_counter(out, "gw_loop_busy_ms_total",
                   (uint64_t)turns.busy_us / 1000);
     write_counter(out, "gw_loop_turns_long_total", turns.count_long);
-    write_counter(out, "gw_server_looks_total", GwRouter_Looks(edge->router));
+    write_counter(out, "gw_server_looks_total",
+                  GwRouter_EvaluationCount(edge->router));
     write_gauge(out, "gw_loop_turn_max_ms", (double)turns.max_us / 1000);
     write_gauge(out, "gw_ready", GwEdge_IsReady(edge));
     write_gauge(out, "gw_config_version",
--- a/lib/edge/suspects.c
+++ b/lib/edge/suspects.c
@@ -48,7 +48,8 @@
     case GW_GOSSIP_NOTHING:
         break;
     case GW_GOSSIP_CHANGES:
-        count = GwQuarantine_News(q, now_us, since_us, out, GW_SUSPECTS_MAX);
+        count =
+            GwQuarantine_Changes(q, now_us, since_us, out, GW_SUSPECTS_MAX);
         gossip->sends_page = count == GW_SUSPECTS_MAX;
         break;
     case GW_GOSSIP_PAGE:
@@ -64,7 +65,7 @@
                      Gw__Peer__Report *report, GwSuspectArrays *arrays)
 {
     report->suspects_sum =
-        GwQuarantine_Sum(GwRouter_Quarantine(peers->edge->router));
+        GwQuarantine_Checksum(GwRouter_Quarantine(peers->edge->router));
     report->n_suspects = select_suspects(peers, peer, arrays->known);
     for (size_t i = 0; i < report->n_suspects; i++) {
         pack_suspect(&arrays->known[i], &arrays->messages[i]);
@@ -87,7 +88,7 @@
         }
     }
     if (GwGossipPeer_OnChecksum(&peer->gossip[GW_GOSSIP_SUSPECTS], now_us,
-                                report->suspects_sum, GwQuarantine_Sum(q),
+                                report->suspects_sum, GwQuarantine_Checksum(q),
                                 GwQuarantine_ChangedUs(q))) {
         peer->is_urgent = true;
     }
--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -105,16 +105,16 @@
 }
 
 static void
-refuse_arrival(GwRouter *r, const GwArrival *arrival, GwWhy why,
+refuse_arrival(GwRouter *r, const GwArrival *arrival, GwReplyReason why,
                GArray *actions)
 {
-    GwDo out = {
-        .kind = GW_DO_REPLY,
+    GwRouterAction out = {
+        .kind = GW_ROUTER_REPLY,
         .user = arrival->user,
         .why = why,
-        .status = why == GW_WHY_NO_ROUTE ? 404 : 503,
+        .status = why == GW_REPLY_NO_ROUTE ? 404 : 503,
         .retry_after_ms =
-            why == GW_WHY_NO_ROUTE ? 0 : GwRouter_RetryAfterMs(r),
+            why == GW_REPLY_NO_ROUTE ? 0 : GwRouter_RetryAfterMs(r),
     };
 
     g_array_append_val(actions, out);
@@ -126,13 +126,13 @@
 {
     GwRouter_FreeRemoved(r, actions);
     if (r->routing == NULL) {
-        refuse_arrival(r, arrival, GW_WHY_NO_CONFIG, actions);
+        refuse_arrival(r, arrival, GW_REPLY_NO_CONFIG, actions);
         return;
     }
     const GwRoute *route =
         GwRouting_Match(r->routing, arrival->host, arrival->path);
     if (route == NULL) {
-        refuse_arrival(r, arrival, GW_WHY_NO_ROUTE, actions);
+        refuse_arrival(r, arrival, GW_REPLY_NO_ROUTE, actions);
         return;
     }
     GwRequest *req = g_new0(GwRequest, 1);
@@ -155,7 +155,7 @@
     }
     g_hash_table_add(r->open, req);
     GwRouter_EarnRetry(r, req->service);
-    (void)GwRouter_AddAction(actions, GW_DO_ACCEPT, req);
+    (void)GwRouter_AddAction(actions, GW_ROUTER_ACCEPT, req);
     GwRequest_Enqueue(req);
     GwRouter_DispatchWaiting(r, now_us, req->service, actions);
 }
--- a/lib/router/crashes.c
+++ b/lib/router/crashes.c
@@ -35,9 +35,10 @@
     if (!may_have_crashed(s)) {
         return;
     }
-    GwQuarantine_NoteBreak(r->quarantine, now_us, fingerprint, s->hash);
+    GwQuarantine_NoteConnectionLost(r->quarantine, now_us, fingerprint,
+                                    s->hash);
     if (!s->probed) {
-        GwDo probe = {.kind = GW_DO_PROBE, .server = s};
+        GwRouterAction probe = {.kind = GW_ROUTER_PROBE, .server = s};
         s->probed = true;
         g_array_append_val(actions, probe);
     }
@@ -99,8 +100,8 @@
 }
 
 void
-GwRouter_Probed(GwRouter *r, int64_t now_us, GwServer *s, GwProbeResult result,
-                GArray *actions)
+GwRouter_ProbeEnded(GwRouter *r, int64_t now_us, GwServer *s,
+                    GwProbeResult result, GArray *actions)
 {
     GwRouter_FreeRemoved(r, actions);
     s->probed = false;
@@ -125,5 +126,5 @@
     if (GwQuarantine_Crashes(r->quarantine, &req->fingerprint) > 0) {
         req->is_suspect = true;
     }
-    return GwQuarantine_HeldUntil(r->quarantine, now_us, &req->fingerprint);
+    return GwQuarantine_UntilUs(r->quarantine, now_us, &req->fingerprint);
 }
--- a/lib/router/peers.c
+++ b/lib/router/peers.c
@@ -76,8 +76,8 @@
 /* Only changes of sums are sent, so the sum of an unknown server is kept until
  * the server is added (GwRouter_AddRegionLoads). */
 void
-GwRouter_SetSum(GwRouter *r, int64_t now_us, const char *region,
-                uint32_t server, uint32_t count)
+GwRouter_SetRegionLoad(GwRouter *r, int64_t now_us, const char *region,
+                       uint32_t server, uint32_t count)
 {
     gpointer key = GUINT_TO_POINTER(server);
     GHashTable *counts = g_hash_table_lookup(r->region_loads, region);
@@ -116,7 +116,7 @@
 }
 
 void
-GwRouter_DropSums(GwRouter *r, int64_t now_us)
+GwRouter_DropRegionLoads(GwRouter *r, int64_t now_us)
 {
     GHashTableIter iter;
     gpointer region;
--- a/lib/router/quarantine.c
+++ b/lib/router/quarantine.c
@@ -28,7 +28,7 @@
     static const char *const names[] = {
         [GW_SUSPECT_NONE] = "none",
         [GW_SUSPECT_WATCHED] = "watched",
-        [GW_SUSPECT_HELD] = "held",
+        [GW_SUSPECT_QUARANTINED] = "held",
     };
 
     return names[state];
@@ -58,7 +58,8 @@
 }
 
 void
-GwQuarantine_SetNote(GwQuarantine *q, GwQuarantineNote callback, void *ctx)
+GwQuarantine_SetCallback(GwQuarantine *q, GwQuarantineCallback callback,
+                         void *ctx)
 {
     q->callback = callback;
     q->ctx = ctx;
@@ -136,7 +137,7 @@
 {
     uint32_t further = rec->s.server_count - GW_QUARANTINE_CRASHES;
 
-    return GW_QUARANTINE_HOLD_US << MIN(further, DOUBLINGS_MAX);
+    return GW_QUARANTINE_FIRST_US << MIN(further, DOUBLINGS_MAX);
 }
 
 int64_t
@@ -163,7 +164,7 @@
 }
 
 int64_t
-GwQuarantine_HeldUntil(GwQuarantine *q, int64_t now_us, const GwFingerprint *f)
+GwQuarantine_UntilUs(GwQuarantine *q, int64_t now_us, const GwFingerprint *f)
 {
     GwSuspectRecord *rec = GwQuarantine_Find(q, f);
 
@@ -186,7 +187,7 @@
         return GW_SUSPECT_NONE;
     }
     return GwSuspectRecord_QuarantinedUntil(q, now_us, rec) != 0
-               ? GW_SUSPECT_HELD
+               ? GW_SUSPECT_QUARANTINED
                : GW_SUSPECT_WATCHED;
 }
 
@@ -317,8 +318,8 @@
 }
 
 void
-GwQuarantine_NoteBreak(GwQuarantine *q, int64_t now_us, const GwFingerprint *f,
-                       uint64_t server)
+GwQuarantine_NoteConnectionLost(GwQuarantine *q, int64_t now_us,
+                                const GwFingerprint *f, uint64_t server)
 {
     GwLostConnection b = {
         .fingerprint = *f, .server = server, .at_us = now_us};
--- a/lib/router/quarantine.h
+++ b/lib/router/quarantine.h
@@ -10,7 +10,7 @@
  *
  * A server's crash is confirmed shortly after its connections end:
  *
- *     GwQuarantine_NoteBreak(q, now_us, &fingerprint, server);
+ *     GwQuarantine_NoteConnectionLost(q, now_us, &fingerprint, server);
  *     ...the server's address refuses connections...
  *     GwQuarantine_NoteCrash(q, now_us, server);
  *
@@ -27,7 +27,7 @@
 #define GW_QUARANTINE_CRASHES 3
 /* Length of the first quarantine, from the last crash. Each crash after a
  * quarantine doubles the next one. */
-#define GW_QUARANTINE_HOLD_US 600000000LL
+#define GW_QUARANTINE_FIRST_US 600000000LL
 /* Maximum of servers in a record. */
 #define GW_SUSPECT_SERVERS_MAX 8
 
@@ -48,19 +48,19 @@
 typedef enum {
     GW_SUSPECT_NONE = 0, /* unknown, or cleared */
     GW_SUSPECT_WATCHED,
-    GW_SUSPECT_HELD
+    GW_SUSPECT_QUARANTINED
 } GwSuspectState;
 
 const char *GwSuspectState_Name(GwSuspectState state);
 
 /* Called when the state of a request whose record is shared has changed. */
-typedef void (*GwQuarantineNote)(void *ctx, const GwSuspect *suspect,
-                                 GwSuspectState old, GwSuspectState state);
+typedef void (*GwQuarantineCallback)(void *ctx, const GwSuspect *suspect,
+                                     GwSuspectState old, GwSuspectState state);
 
 GwQuarantine *GwQuarantine_Create(void);
 void GwQuarantine_Free(GwQuarantine *q);
-void GwQuarantine_SetNote(GwQuarantine *q, GwQuarantineNote callback,
-                          void *ctx);
+void GwQuarantine_SetCallback(GwQuarantine *q, GwQuarantineCallback callback,
+                              void *ctx);
 
 /* Returns whether there are no records and no lost connections. */
 bool GwQuarantine_IsEmpty(const GwQuarantine *q);
@@ -68,8 +68,8 @@
 /* ---- Events of this entry ------------------------------------------------ */
 
 /* The server closed the connection of the request without an answer. */
-void GwQuarantine_NoteBreak(GwQuarantine *q, int64_t now_us,
-                            const GwFingerprint *f, uint64_t server);
+void GwQuarantine_NoteConnectionLost(GwQuarantine *q, int64_t now_us,
+                                     const GwFingerprint *f, uint64_t server);
 /* That start of a server crashed: all requests whose connections it recently
  * closed become suspects. */
 void GwQuarantine_NoteCrash(GwQuarantine *q, int64_t now_us, uint64_t server);
@@ -88,8 +88,8 @@
 /* ---- State of a request -------------------------------------------------- */
 
 /* Returns the end of the quarantine; 0: not quarantined. */
-int64_t GwQuarantine_HeldUntil(GwQuarantine *q, int64_t now_us,
-                               const GwFingerprint *f);
+int64_t GwQuarantine_UntilUs(GwQuarantine *q, int64_t now_us,
+                             const GwFingerprint *f);
 /* Returns the number of known crashes of servers that ran the request. */
 uint32_t GwQuarantine_Crashes(const GwQuarantine *q, const GwFingerprint *f);
 
@@ -100,13 +100,13 @@
                         const GwSuspect *from);
 /* Checksum of the shared records; equal at entries with equal records, 0
  * without records. */
-uint64_t GwQuarantine_Sum(GwQuarantine *q);
+uint64_t GwQuarantine_Checksum(GwQuarantine *q);
 /* Time of the last change of a shared record; 0: never. */
 int64_t GwQuarantine_ChangedUs(const GwQuarantine *q);
 /* Copies records that changed since `since_us`, at most `most`. Returns their
  * number. */
-uint32_t GwQuarantine_News(const GwQuarantine *q, int64_t now_us,
-                           int64_t since_us, GwSuspect *out, uint32_t most);
+uint32_t GwQuarantine_Changes(const GwQuarantine *q, int64_t now_us,
+                              int64_t since_us, GwSuspect *out, uint32_t most);
 /* Copies at most `most` records from index `*from` on, and advances the index,
  * which wraps around. Returns their number. */
 uint32_t GwQuarantine_Page(const GwQuarantine *q, int64_t now_us,
--- a/lib/router/quarantine_internal.h
+++ b/lib/router/quarantine_internal.h
@@ -33,7 +33,7 @@
     uint64_t sum;
     uint64_t sum_version; /* for which `sum` holds */
     int64_t changed_us;
-    GwQuarantineNote callback;
+    GwQuarantineCallback callback;
     void *ctx;
 };
 
--- a/lib/router/quarantine_merge.c
+++ b/lib/router/quarantine_merge.c
@@ -114,7 +114,7 @@
 }
 
 uint64_t
-GwQuarantine_Sum(GwQuarantine *q)
+GwQuarantine_Checksum(GwQuarantine *q)
 {
     GHashTableIter iter;
     gpointer value;
@@ -141,8 +141,8 @@
 }
 
 uint32_t
-GwQuarantine_News(const GwQuarantine *q, int64_t now_us, int64_t since_us,
-                  GwSuspect *out, uint32_t most)
+GwQuarantine_Changes(const GwQuarantine *q, int64_t now_us, int64_t since_us,
+                     GwSuspect *out, uint32_t most)
 {
     uint32_t count = 0;
     GHashTableIter iter;
--- a/lib/router/rate_owners.c
+++ b/lib/router/rate_owners.c
@@ -221,14 +221,14 @@
                     const GwAttemptEnd *end)
 {
     double per_s =
-        end->limit == GW_LIMIT_NAMED ? MIN(end->limit_per_s, LIMIT_MAX) : -1;
+        end->limit == GW_LIMIT_STATED ? MIN(end->limit_per_s, LIMIT_MAX) : -1;
     bool is_lower =
         per_s >= 0 && (!GwServer_IsLimited(s) || per_s < s->limit.per_s);
 
-    if (end->limit != GW_LIMIT_UNSAID) {
+    if (end->limit != GW_LIMIT_UNKNOWN) {
         s->limit.answered_us = now_us;
     }
-    if (end->limit == GW_LIMIT_UNSAID || per_s == s->limit.per_s) {
+    if (end->limit == GW_LIMIT_UNKNOWN || per_s == s->limit.per_s) {
         s->limit.confirmed_us = now_us;
     }
 #if GW_MUTANT == 85 /* breaks: a limit never ends */
@@ -285,7 +285,7 @@
 }
 
 uint64_t
-GwRouter_LimitsSum(const GwRouter *r)
+GwRouter_LimitsChecksum(const GwRouter *r)
 {
     uint64_t sum = 0;
     GHashTableIter iter;
@@ -311,7 +311,7 @@
 }
 
 void
-GwRouter_SetLimitNote(GwRouter *r, GwLimitNote callback, void *ctx)
+GwRouter_SetLimitCallback(GwRouter *r, GwLimitCallback callback, void *ctx)
 {
     r->limit_callback = callback;
     r->limit_callback_ctx = ctx;
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -25,39 +25,39 @@
 #define STOP_RETRY_AFTER_MS 20
 
 const char *
-GwWhy_Name(GwWhy why)
+GwReplyReason_Name(GwReplyReason why)
 {
     static const char *const names[] = {
-        [GW_WHY_NONE] = "none",
-        [GW_WHY_NO_CONFIG] = "no-config",
-        [GW_WHY_NO_ROUTE] = "no-route",
-        [GW_WHY_NO_SERVER] = "no-server",
-        [GW_WHY_NO_ROOM] = "no-room",
-        [GW_WHY_NO_RETRY] = "no-retry",
-        [GW_WHY_TIMEOUT] = "timeout",
-        [GW_WHY_TIME_UNSENT] = "time-unsent",
-        [GW_WHY_BROKEN] = "broken",
-        [GW_WHY_LEAVING] = "leaving",
-        [GW_WHY_QUARANTINED] = "quarantined",
+        [GW_REPLY_NONE] = "none",
+        [GW_REPLY_NO_CONFIG] = "no-config",
+        [GW_REPLY_NO_ROUTE] = "no-route",
+        [GW_REPLY_NO_SERVER] = "no-server",
+        [GW_REPLY_NO_CAPACITY] = "no-room",
+        [GW_REPLY_NO_RETRY] = "no-retry",
+        [GW_REPLY_TIMEOUT] = "timeout",
+        [GW_REPLY_TIMEOUT_UNSENT] = "time-unsent",
+        [GW_REPLY_MAY_HAVE_RUN] = "broken",
+        [GW_REPLY_LEAVING] = "leaving",
+        [GW_REPLY_QUARANTINED] = "quarantined",
     };
 
     return names[why];
 }
 
-GwDo *
-GwRouter_AddAction(GArray *actions, GwDoKind kind, GwRequest *req)
+GwRouterAction *
+GwRouter_AddAction(GArray *actions, GwRouterActionKind kind, GwRequest *req)
 {
-    GwDo empty = {.kind = kind, .user = req->user, .request = req};
+    GwRouterAction empty = {.kind = kind, .user = req->user, .request = req};
 
     g_array_append_val(actions, empty);
-    return &g_array_index(actions, GwDo, actions->len - 1);
+    return &g_array_index(actions, GwRouterAction, actions->len - 1);
 }
 
-GwRequestStory
-GwRequest_Story(const GwRequest *req, int64_t now_us)
+GwRequestSummary
+GwRequest_Summarize(const GwRequest *req, int64_t now_us)
 {
     int64_t until_us = req->sends > 0 ? req->sent_us : now_us;
-    GwRequestStory story = {
+    GwRequestSummary request_summary = {
         .version = req->routing->version,
         .attempts = req->sends,
         .waited_ms = (uint32_t)((until_us - req->arrived_us) / 1000),
@@ -67,15 +67,18 @@
         .far = req->sent_remote,
     };
 
-    g_strlcpy(story.route, req->route->name, sizeof(story.route));
-    g_strlcpy(story.server, req->last_server, sizeof(story.server));
+    g_strlcpy(request_summary.route, req->route->name,
+              sizeof(request_summary.route));
+    g_strlcpy(request_summary.server, req->last_server,
+              sizeof(request_summary.server));
     if (req->refused_for != NULL) {
         const GwServer *best = req->refused_for;
-        g_strlcpy(story.best, best->id, sizeof(story.best));
-        story.best_busy = best->in_flight + best->peers_in_flight;
-        story.best_slots = best->slots;
+        g_strlcpy(request_summary.best, best->id,
+                  sizeof(request_summary.best));
+        request_summary.best_busy = best->in_flight + best->peers_in_flight;
+        request_summary.best_slots = best->slots;
     }
-    return story;
+    return request_summary;
 }
 
 /* Frees a request whose last action has been appended. */
@@ -113,12 +116,13 @@
 }
 
 static uint32_t
-choose_retry_after_ms(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why)
+choose_retry_after_ms(GwRouter *r, int64_t now_us, GwRequest *req,
+                      GwReplyReason why)
 {
-    if (why == GW_WHY_NO_ROOM) {
+    if (why == GW_REPLY_NO_CAPACITY) {
         return slot_retry_after_ms(r, req);
     }
-    if (why == GW_WHY_QUARANTINED) {
+    if (why == GW_REPLY_QUARANTINED) {
         int64_t until_us = GwRequest_QuarantinedUntil(r, now_us, req);
         return (uint32_t)MIN((until_us - now_us) / 1000 + 1, UINT32_MAX);
     }
@@ -130,17 +134,18 @@
  * request has not run and won't: a request with an attempt that may have run
  * gets 502, or 504 on timeout. */
 static void
-reply(GwRouter *r, int64_t now_us, GwRequest *req, GwWhy why, GArray *actions)
+reply(GwRouter *r, int64_t now_us, GwRequest *req, GwReplyReason why,
+      GArray *actions)
 {
-    GwDo *out = GwRouter_AddAction(actions, GW_DO_REPLY, req);
+    GwRouterAction *out = GwRouter_AddAction(actions, GW_ROUTER_REPLY, req);
 
     out->why = why;
-    out->story = GwRequest_Story(req, now_us);
-    if (why == GW_WHY_TIMEOUT) {
+    out->request_summary = GwRequest_Summarize(req, now_us);
+    if (why == GW_REPLY_TIMEOUT) {
         out->status = 504;
     }
 #if GW_MUTANT != 71 /* breaks: "not run" is sent though it may have run */
-    else if (why == GW_WHY_BROKEN || req->may_have_run) {
+    else if (why == GW_REPLY_MAY_HAVE_RUN || req->may_have_run) {
         out->status = 502;
     }
 #endif
@@ -196,7 +201,7 @@
         GwRouter_AddPlacement(r, req->key, s, now_us);
     }
     GwRequest_SetDeadline(r, req, req->give_up_us);
-    GwDo *out = GwRouter_AddAction(actions, GW_DO_SEND, req);
+    GwRouterAction *out = GwRouter_AddAction(actions, GW_ROUTER_SEND, req);
     out->server = s;
     out->idempotent = req->route->idempotent;
     int64_t until_us = GwRouter_ServerUntil(r, now_us, req);
@@ -211,13 +216,13 @@
     return MIN(req->useless_after_us, req->server_deadline_us);
 }
 
-static GwWhy
+static GwReplyReason
 why_no_server(const GwRouter *r, const GwRequest *req)
 {
     if (r->end_us != INT64_MAX) {
-        return GW_WHY_LEAVING;
+        return GW_REPLY_LEAVING;
     }
-    return req->attempts > 0 ? GW_WHY_NO_RETRY : GW_WHY_NO_SERVER;
+    return req->attempts > 0 ? GW_REPLY_NO_RETRY : GW_REPLY_NO_SERVER;
 }
 
 /* Sends the request, keeps it waiting, or refuses it. A late answer is still
@@ -228,7 +233,7 @@
 GwRequest_Place(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
     if (GwRequest_QuarantinedUntil(r, now_us, req) != 0) {
-        reply(r, now_us, req, GW_WHY_QUARANTINED, actions);
+        reply(r, now_us, req, GW_REPLY_QUARANTINED, actions);
         return;
     }
     GwChoice c = GwRouter_Choose(r, now_us, req);
@@ -252,7 +257,7 @@
     if (req->is_late && back_us > last_useful_slot_us(req)) {
         GwRouter_NoteRegionRefused(r, now_us, c.prefers_remote);
         req->refused_for = c.server;
-        reply(r, now_us, req, GW_WHY_NO_ROOM, actions);
+        reply(r, now_us, req, GW_REPLY_NO_CAPACITY, actions);
         return;
     }
     GwServer_Reserve(c.server);
@@ -367,18 +372,19 @@
     else {
         req->arrivals++;
     }
-    if (end->outcome == GW_ATTEMPT_BROKEN) {
+    if (end->outcome == GW_ATTEMPT_LOST) {
         req->may_have_run = true;
     }
 #if GW_MUTANT != 70 /* breaks: sent again though it may have run */
     if (req->may_have_run && !req->route->idempotent) {
-        reply(r, now_us, req, GW_WHY_BROKEN, actions);
+        reply(r, now_us, req, GW_REPLY_MAY_HAVE_RUN, actions);
         return;
     }
 #endif
     if (req->unsent >= UNSENT_MAX || !may_retry(r, now_us, req)) {
         reply(r, now_us, req,
-              req->may_have_run ? GW_WHY_BROKEN : GW_WHY_NO_RETRY, actions);
+              req->may_have_run ? GW_REPLY_MAY_HAVE_RUN : GW_REPLY_NO_RETRY,
+              actions);
         return;
     }
     if (!end->closed || !GwRequest_AwaitProbe(r, now_us, req, s)) {
@@ -387,8 +393,8 @@
 }
 
 void
-GwRouter_Ended(GwRouter *r, int64_t now_us, GwRequest *req,
-               const GwAttemptEnd *end, GArray *actions)
+GwRouter_AttemptEnded(GwRouter *r, int64_t now_us, GwRequest *req,
+                      const GwAttemptEnd *end, GArray *actions)
 {
     GwServiceState *service = req->service;
     bool answered = end->outcome == GW_ATTEMPT_ANSWERED;
@@ -415,9 +421,10 @@
             GwRequest_Enqueue(req);
         }
         else {
-            GwDo *out = GwRouter_AddAction(actions, GW_DO_ANSWER, req);
+            GwRouterAction *out =
+                GwRouter_AddAction(actions, GW_ROUTER_ANSWER, req);
             out->status = end->status;
-            out->story = GwRequest_Story(req, now_us);
+            out->request_summary = GwRequest_Summarize(req, now_us);
             finish(r, req);
         }
     }
@@ -431,14 +438,16 @@
 cancel(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
     if (req->server != NULL) {
-        GwDo *out = GwRouter_AddAction(actions, GW_DO_CANCEL, req);
+        GwRouterAction *out =
+            GwRouter_AddAction(actions, GW_ROUTER_CANCEL, req);
         out->server = req->server;
         release_server(r, now_us, req, false, actions);
     }
 }
 
 void
-GwRouter_Gone(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
+GwRouter_CallerDisconnected(GwRouter *r, int64_t now_us, GwRequest *req,
+                            GArray *actions)
 {
     GwRouter_FreeRemoved(r, actions);
     if (req->server != NULL) {
@@ -449,7 +458,7 @@
 }
 
 void
-GwRouter_Settle(GwRouter *r, int64_t now_us, GArray *actions)
+GwRouter_DispatchPending(GwRouter *r, int64_t now_us, GArray *actions)
 {
     GHashTableIter iter;
     gpointer value;
@@ -482,8 +491,8 @@
         if (now_us >= req->give_up_us) {
             bool sent = req->server != NULL || req->may_have_run;
             cancel(r, now_us, req, actions);
-            reply(r, now_us, req, sent ? GW_WHY_TIMEOUT : GW_WHY_TIME_UNSENT,
-                  actions);
+            reply(r, now_us, req,
+                  sent ? GW_REPLY_TIMEOUT : GW_REPLY_TIMEOUT_UNSENT, actions);
         }
         else {
             /* Placing the request moves the deadline again if it still
@@ -493,7 +502,7 @@
         }
         service->needs_dispatch = true;
     }
-    GwRouter_Settle(r, now_us, actions);
+    GwRouter_DispatchPending(r, now_us, actions);
 }
 
 uint32_t
@@ -503,7 +512,7 @@
 }
 
 uint64_t
-GwRouter_Looks(const GwRouter *r)
+GwRouter_EvaluationCount(const GwRouter *r)
 {
     return r->evaluations;
 }
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -235,7 +235,7 @@
 }
 
 bool
-GwServer_IsFar(const GwServer *s)
+GwServer_IsRemote(const GwServer *s)
 {
     return !s->same_region;
 }
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -95,10 +95,10 @@
 void GwRouter_PutPeer(GwRouter *r, int64_t now_us, const GwPeerInfo *info);
 /* Sets the requests in flight at the server from the entries of a region that
  * are reported as a sum instead of one by one. */
-void GwRouter_SetSum(GwRouter *r, int64_t now_us, const char *region,
-                     uint32_t server, uint32_t count);
+void GwRouter_SetRegionLoad(GwRouter *r, int64_t now_us, const char *region,
+                            uint32_t server, uint32_t count);
 /* Clears the sums of all regions. */
-void GwRouter_DropSums(GwRouter *r, int64_t now_us);
+void GwRouter_DropRegionLoads(GwRouter *r, int64_t now_us);
 void GwRouter_DropPeer(GwRouter *r, int64_t now_us, const char *name);
 /* Appends this entry's own requests in flight, to be sent to peers:
  * GwPeerLoad. */
@@ -133,9 +133,10 @@
 } GwLimit;
 
 /* Called when a limit begins, changes or ends. */
-typedef void (*GwLimitNote)(void *ctx, const GwServer *s, double per_s);
+typedef void (*GwLimitCallback)(void *ctx, const GwServer *s, double per_s);
 
-void GwRouter_SetLimitNote(GwRouter *r, GwLimitNote callback, void *ctx);
+void GwRouter_SetLimitCallback(GwRouter *r, GwLimitCallback callback,
+                               void *ctx);
 /* Merges a limit received from another entry; the most recent one wins. */
 void GwRouter_PutLimit(GwRouter *r, int64_t now_us, const GwLimit *limit);
 /* Copies the limits that changed here since `since_us`, at most `most`.
@@ -144,7 +145,7 @@
                          GwLimit *out, uint32_t most);
 /* Checksum of the limits in force; equal at entries with equal limits, 0
  * without limits. */
-uint64_t GwRouter_LimitsSum(const GwRouter *r);
+uint64_t GwRouter_LimitsChecksum(const GwRouter *r);
 /* Time of the last change of any limit; 0: never. */
 int64_t GwRouter_LimitsChangedUs(const GwRouter *r);
 
@@ -163,15 +164,15 @@
     GW_ATTEMPT_ANSWERED = 1, /* the whole answer of that server */
     GW_ATTEMPT_REFUSED = 2,  /* did not run, as the server states */
     GW_ATTEMPT_UNSENT = 3,   /* no byte was sent */
-    GW_ATTEMPT_BROKEN = 4    /* sent, no whole answer: may have run */
+    GW_ATTEMPT_LOST = 4      /* sent, no whole answer: may have run */
 } GwAttemptOutcome;
 
 /* Whether an answer states a limit on the server's requests per second. */
 typedef enum {
-    GW_LIMIT_UNSAID = 0, /* no answer, or not readable */
-    GW_LIMIT_NONE,       /* no limit */
-    GW_LIMIT_NAMED
-} GwLimitWord;
+    GW_LIMIT_UNKNOWN = 0, /* no answer, or not readable */
+    GW_LIMIT_NONE,        /* no limit */
+    GW_LIMIT_STATED
+} GwLimitStatement;
 
 typedef struct {
     GwAttemptOutcome outcome;
@@ -182,18 +183,18 @@
     uint32_t waiting;
     uint32_t cold_ms;   /* > 0: the server states that it is cold */
     int64_t connect_us; /* time to set up a new connection; 0: reused */
-    GwLimitWord limit;
+    GwLimitStatement limit;
     double limit_per_s; /* if NAMED */
     bool closed;        /* BROKEN: the server closed or reset the connection */
     /* Of the request; set if `closed` or GwRouter_WantsFingerprints. */
     const GwFingerprint *fingerprint;
 } GwAttemptEnd;
 
-/* Result of a probe connection to a server (GW_DO_PROBE). */
+/* Result of a probe connection to a server (GW_ROUTER_PROBE). */
 typedef enum {
     GW_PROBE_ALIVE = 1,
     GW_PROBE_REFUSED, /* nothing listens there: the process has ended */
-    GW_PROBE_SILENT   /* neither before the timeout */
+    GW_PROBE_TIMEOUT  /* neither before the timeout */
 } GwProbeResult;
 
 /* How a request was handled, for the access log. */
@@ -212,29 +213,29 @@
     char best[48];
     uint32_t best_busy;
     uint32_t best_slots;
-} GwRequestStory;
+} GwRequestSummary;
 
 /* Requests that crashed servers; see quarantine.h. */
 GwQuarantine *GwRouter_Quarantine(GwRouter *r);
 /* Returns whether any request is a suspect, so that arrivals need
  * fingerprints. */
 bool GwRouter_WantsFingerprints(const GwRouter *r);
-void GwRouter_Probed(GwRouter *r, int64_t now_us, GwServer *s,
-                     GwProbeResult result, GArray *actions);
+void GwRouter_ProbeEnded(GwRouter *r, int64_t now_us, GwServer *s,
+                         GwProbeResult result, GArray *actions);
 /* Starts a request. It may have ended when this returns (REPLY). */
 void GwRouter_Arrive(GwRouter *r, int64_t now_us, const GwArrival *arrival,
                      GArray *actions);
-void GwRouter_Ended(GwRouter *r, int64_t now_us, GwRequest *req,
-                    const GwAttemptEnd *end, GArray *actions);
+void GwRouter_AttemptEnded(GwRouter *r, int64_t now_us, GwRequest *req,
+                           const GwAttemptEnd *end, GArray *actions);
 /* The caller disconnected and the host abandoned the attempt. The capacity
- * that becomes free is used only by GwRouter_Settle, to be called after all
+ * that becomes free is used only by GwRouter_DispatchPending, to be called after all
  * requests of the connection were reported: otherwise one of them could get
  * it. */
-void GwRouter_Gone(GwRouter *r, int64_t now_us, GwRequest *req,
-                   GArray *actions);
+void GwRouter_CallerDisconnected(GwRouter *r, int64_t now_us, GwRequest *req,
+                                 GArray *actions);
 /* Returns the state so far of a request, for the log. */
-GwRequestStory GwRequest_Story(const GwRequest *req, int64_t now_us);
-void GwRouter_Settle(GwRouter *r, int64_t now_us, GArray *actions);
+GwRequestSummary GwRequest_Summarize(const GwRequest *req, int64_t now_us);
+void GwRouter_DispatchPending(GwRouter *r, int64_t now_us, GArray *actions);
 /* Begins a graceful stop: attempts that start from now on must end by
  * `end_us`, when the entry closes the connections of its callers. A second
  * call at the end refuses the requests that still wait. */
@@ -247,49 +248,49 @@
 uint32_t GwRouter_OpenCount(const GwRouter *r);
 /* Number of server evaluations since the start, which is most of the core's
  * work; the fixed work per request counts as several of them. */
-uint64_t GwRouter_Looks(const GwRouter *r);
+uint64_t GwRouter_EvaluationCount(const GwRouter *r);
 
 typedef enum {
-    GW_DO_ACCEPT = 1, /* `request` is the handle of this arrival */
-    GW_DO_SEND,       /* one attempt at `server` */
-    GW_DO_CANCEL,     /* abandon the attempt and close its connection */
-    GW_DO_ANSWER,     /* pass on the last attempt's answer; ends the request */
-    GW_DO_REPLY,      /* answer with `status`, without a server; ends it */
-    GW_DO_PROBE,      /* connect to `server`, then call GwRouter_Probed */
-    GW_DO_FORGET,     /* `server` was removed: drop the host's state of it */
-    GW_DO_NOTE_EJECTED, /* log that `server` is ejected for left_ms */
-    GW_DO_NOTE_BACK     /* log that `server` answers without errors again */
-} GwDoKind;
+    GW_ROUTER_ACCEPT = 1, /* `request` is the handle of this arrival */
+    GW_ROUTER_SEND,       /* one attempt at `server` */
+    GW_ROUTER_CANCEL,     /* abandon the attempt and close its connection */
+    GW_ROUTER_ANSWER, /* pass on the last attempt's answer; ends the request */
+    GW_ROUTER_REPLY,  /* answer with `status`, without a server; ends it */
+    GW_ROUTER_PROBE,  /* connect to `server`, then call GwRouter_ProbeEnded */
+    GW_ROUTER_DROP_SERVER, /* `server` was removed: drop the host's state of it */
+    GW_ROUTER_LOG_EJECTED,  /* log that `server` is ejected for left_ms */
+    GW_ROUTER_LOG_RECOVERED /* log that `server` answers without errors again */
+} GwRouterActionKind;
 
 typedef enum {
-    GW_WHY_NONE = 0,
-    GW_WHY_NO_CONFIG,
-    GW_WHY_NO_ROUTE,
-    GW_WHY_NO_SERVER,   /* no backend server is eligible */
-    GW_WHY_NO_ROOM,     /* no slot would be free in time */
-    GW_WHY_NO_RETRY,    /* not run, and no attempt is left */
-    GW_WHY_TIMEOUT,     /* sent, then timed out */
-    GW_WHY_TIME_UNSENT, /* timed out before it was sent */
-    GW_WHY_BROKEN,      /* it may have run */
-    GW_WHY_LEAVING,     /* the entry is stopping and accepts nothing new */
-    GW_WHY_QUARANTINED, /* the request crashes the servers that run it */
-    GW_WHY_COUNT
-} GwWhy;
-
-const char *GwWhy_Name(GwWhy why);
+    GW_REPLY_NONE = 0,
+    GW_REPLY_NO_CONFIG,
+    GW_REPLY_NO_ROUTE,
+    GW_REPLY_NO_SERVER,      /* no backend server is eligible */
+    GW_REPLY_NO_CAPACITY,    /* no slot would be free in time */
+    GW_REPLY_NO_RETRY,       /* not run, and no attempt is left */
+    GW_REPLY_TIMEOUT,        /* sent, then timed out */
+    GW_REPLY_TIMEOUT_UNSENT, /* timed out before it was sent */
+    GW_REPLY_MAY_HAVE_RUN,   /* it may have run */
+    GW_REPLY_LEAVING,     /* the entry is stopping and accepts nothing new */
+    GW_REPLY_QUARANTINED, /* the request crashes the servers that run it */
+    GW_REPLY_COUNT
+} GwReplyReason;
+
+const char *GwReplyReason_Name(GwReplyReason why);
 
 typedef struct {
-    GwDoKind kind;
+    GwRouterActionKind kind;
     void *user;
     GwRequest *request;
     GwServer *server;
-    uint32_t left_ms;        /* SEND: remaining time of the caller */
-    bool idempotent;         /* SEND */
-    uint16_t status;         /* REPLY */
-    uint32_t retry_after_ms; /* REPLY: 0 for none */
-    GwWhy why;               /* REPLY */
-    GwRequestStory story;    /* ANSWER, REPLY */
-} GwDo;
+    uint32_t left_ms;                 /* SEND: remaining time of the caller */
+    bool idempotent;                  /* SEND */
+    uint16_t status;                  /* REPLY */
+    uint32_t retry_after_ms;          /* REPLY: 0 for none */
+    GwReplyReason why;                /* REPLY */
+    GwRequestSummary request_summary; /* ANSWER, REPLY */
+} GwRouterAction;
 
 /* Sets the number of entries that may be alive, this one included, reachable
  * or not; they share the fixed part of the retry budget. */
@@ -300,7 +301,7 @@
 const char *GwServer_Id(const GwServer *s);
 const char *GwServer_Address(const GwServer *s);
 uint32_t GwServer_Hash(const GwServer *s);
-bool GwServer_IsFar(const GwServer *s); /* in another region */
+bool GwServer_IsRemote(const GwServer *s); /* in another region */
 /* State of a service, for metrics. */
 typedef struct {
     const char *name;
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -22,7 +22,7 @@
 /* Round trip times assumed before the first connection to a region. */
 #define GW_LOCAL_RTT_US  3000
 #define GW_REMOTE_RTT_US 100000
-/* A server that fails (GW_ATTEMPT_BROKEN or unreachable) is ejected for this
+/* A server that fails (GW_ATTEMPT_LOST or unreachable) is ejected for this
  * long at first; each further failure in a row doubles the time. */
 #define GW_EJECT_US           400000
 #define GW_EJECT_MAX_US       4000000
@@ -226,7 +226,7 @@
     uint32_t all_slots;
     uint32_t regions;
     int64_t limits_changed_us; /* last change of any limit; 0: never */
-    GwLimitNote limit_callback;
+    GwLimitCallback limit_callback;
     void *limit_callback_ctx;
     int64_t started_us;
     int64_t end_us;       /* end of a graceful stop; INT64_MAX: not stopping */
@@ -350,7 +350,8 @@
 
 /* requests.c */
 /* Appends an action for the request; the caller fills in the other fields. */
-GwDo *GwRouter_AddAction(GArray *actions, GwDoKind kind, GwRequest *req);
+GwRouterAction *GwRouter_AddAction(GArray *actions, GwRouterActionKind kind,
+                                   GwRequest *req);
 /* Sets the time of the next timer event of the request. */
 void GwRequest_SetDeadline(GwRouter *r, GwRequest *req, int64_t at_us);
 /* Sends the request, keeps it waiting, or refuses it. */
--- a/lib/router/servers.c
+++ b/lib/router/servers.c
@@ -59,7 +59,7 @@
 static void
 free_server(GwRouter *r, GwServer *s, GArray *actions)
 {
-    GwDo forget = {.kind = GW_DO_FORGET, .server = s};
+    GwRouterAction forget = {.kind = GW_ROUTER_DROP_SERVER, .server = s};
 
     /* The host needs the pointer to release its connections; the memory is
      * freed at the start of the next call. */
@@ -282,9 +282,10 @@
 }
 
 static void
-add_log_action(GwDoKind kind, GwServer *s, int64_t for_us, GArray *actions)
+add_log_action(GwRouterActionKind kind, GwServer *s, int64_t for_us,
+               GArray *actions)
 {
-    GwDo out = {
+    GwRouterAction out = {
         .kind = kind, .server = s, .left_ms = (uint32_t)(for_us / 1000)};
 
     g_array_append_val(actions, out);
@@ -298,14 +299,14 @@
 
     s->failures++;
     s->eject_until_us = now_us + eject_us;
-    add_log_action(GW_DO_NOTE_EJECTED, s, eject_us, actions);
+    add_log_action(GW_ROUTER_LOG_EJECTED, s, eject_us, actions);
 }
 
 static void
 learn_success(GwServer *s, GArray *actions)
 {
     if (s->failures > 0) {
-        add_log_action(GW_DO_NOTE_BACK, s, 0, actions);
+        add_log_action(GW_ROUTER_LOG_RECOVERED, s, 0, actions);
     }
     s->failures = 0;
 }
@@ -372,7 +373,7 @@
             now_us + (end->other_server ? GW_EJECT_MAX_US : GW_EJECT_US / 4);
         break;
     case GW_ATTEMPT_UNSENT:
-    case GW_ATTEMPT_BROKEN:
+    case GW_ATTEMPT_LOST:
         learn_failure(s, now_us, actions);
         break;
     }
--- a/tests/fakes/fleet.c
+++ b/tests/fakes/fleet.c
@@ -239,8 +239,8 @@
 
     if (!a->dropped) {
         call->attempt = NULL;
-        GwRouter_Ended(call->entry->router, f->now_us, call->request, &end,
-                       call->entry->actions);
+        GwRouter_AttemptEnded(call->entry->router, f->now_us, call->request,
+                              &end, call->entry->actions);
         carry(f, call->entry);
     }
 }
@@ -275,25 +275,25 @@
 }
 
 static void
-carry_one(Fleet *f, const GwDo *act)
+carry_one(Fleet *f, const GwRouterAction *act)
 {
     Call *call = act->user;
 
     switch (act->kind) {
-    case GW_DO_ACCEPT:
+    case GW_ROUTER_ACCEPT:
         call->request = act->request;
         break;
-    case GW_DO_SEND:
+    case GW_ROUTER_SEND:
         send(f, call, GwServer_Id(act->server));
         break;
-    case GW_DO_CANCEL:
+    case GW_ROUTER_CANCEL:
         drop(call);
         break;
-    case GW_DO_ANSWER:
+    case GW_ROUTER_ANSWER:
         call->request = NULL;
         end_call(f, call, true);
         break;
-    case GW_DO_REPLY:
+    case GW_ROUTER_REPLY:
         if (act->status == 503) {
             refused(f, call, act->retry_after_ms);
         }
@@ -302,10 +302,10 @@
             end_call(f, call, false);
         }
         break;
-    case GW_DO_PROBE:
-    case GW_DO_FORGET:
-    case GW_DO_NOTE_EJECTED:
-    case GW_DO_NOTE_BACK:
+    case GW_ROUTER_PROBE:
+    case GW_ROUTER_DROP_SERVER:
+    case GW_ROUTER_LOG_EJECTED:
+    case GW_ROUTER_LOG_RECOVERED:
         break;
     }
 }
@@ -314,7 +314,7 @@
 carry(Fleet *f, Entry *entry)
 {
     for (guint i = 0; i < entry->actions->len; i++) {
-        GwDo act = g_array_index(entry->actions, GwDo, i);
+        GwRouterAction act = g_array_index(entry->actions, GwRouterAction, i);
         carry_one(f, &act);
     }
     g_array_set_size(entry->actions, 0);
--- a/tests/fakes/fleet_news.c
+++ b/tests/fakes/fleet_news.c
@@ -52,8 +52,9 @@
     g_snprintf(name, sizeof(name), "r%u", region);
     g_hash_table_iter_init(&iter, sum);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        GwRouter_SetSum(entry->router, f->now_us, name, GPOINTER_TO_UINT(key),
-                        (uint32_t)MAX(GPOINTER_TO_INT(value), 0));
+        GwRouter_SetRegionLoad(entry->router, f->now_us, name,
+                               GPOINTER_TO_UINT(key),
+                               (uint32_t)MAX(GPOINTER_TO_INT(value), 0));
     }
 }
 
@@ -80,7 +81,7 @@
     for (guint i = 0; i < f->entries->len; i++) {
         const Entry *entry = f->entries->pdata[i];
         add_loads(sums[entry->region], snap->own->pdata[i], -1);
-        GwRouter_DropSums(entry->router, f->now_us);
+        GwRouter_DropRegionLoads(entry->router, f->now_us);
         for (uint32_t r = 0; r < f->p->regions; r++) {
             set_sum(f, entry, r, sums[r]);
         }
--- a/tests/fakes/fleet_setup.c
+++ b/tests/fakes/fleet_setup.c
@@ -99,7 +99,7 @@
     entry->fleet = f;
     entry->region = region;
     entry->router = GwRouter_Create(&params, f->now_us);
-    entry->actions = g_array_new(FALSE, FALSE, sizeof(GwDo));
+    entry->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     (void)GwRouter_SetRouting(entry->router, routing);
     introduce_servers(f, entry);
     g_ptr_array_add(f->entries, entry);
--- a/tests/fakes/outages_callers.c
+++ b/tests/fakes/outages_callers.c
@@ -86,15 +86,15 @@
 
 /* A caller comes back once after a refusal, or where it may repeat. */
 void
-OutageCall_End(Call *call, const GwDo *act)
+OutageCall_End(Call *call, const GwRouterAction *act)
 {
     World *w = call->world;
-    bool answered = act->kind == GW_DO_ANSWER && act->status < 500;
+    bool answered = act->kind == GW_ROUTER_ANSWER && act->status < 500;
     bool once = strcmp(call->content->path, "/once/") == 0;
 
     call->request = NULL;
     w->report.answered += answered && !call->content->crashes;
-    if (act->kind == GW_DO_REPLY && act->why == GW_WHY_QUARANTINED) {
+    if (act->kind == GW_ROUTER_REPLY && act->why == GW_REPLY_QUARANTINED) {
         w->report.innocent_refused += !call->content->crashes;
         w->report.crasher_refused += call->content->crashes;
     }
--- a/tests/fakes/outages_entries.c
+++ b/tests/fakes/outages_entries.c
@@ -96,7 +96,7 @@
     g_snprintf(params.domain, sizeof(params.domain), "d%u-%u", e->region,
                e->number / REGIONS % 2);
     e->router = GwRouter_Create(&params, w->now_us);
-    e->actions = g_array_new(FALSE, FALSE, sizeof(GwDo));
+    e->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     e->peers = g_new0(GwGossipPeer, w->p->entries);
     e->limit_peers = g_new0(GwGossipPeer, w->p->entries);
     e->limits_spread_us = 0;
--- a/tests/fakes/outages_host.c
+++ b/tests/fakes/outages_host.c
@@ -61,32 +61,32 @@
 }
 
 static void
-carry_one(Entry *e, const GwDo *act)
+carry_one(Entry *e, const GwRouterAction *act)
 {
     Call *call = act->user;
 
     switch (act->kind) {
-    case GW_DO_ACCEPT:
+    case GW_ROUTER_ACCEPT:
         call->request = act->request;
         break;
-    case GW_DO_SEND:
+    case GW_ROUTER_SEND:
         send(call, act->server);
         break;
-    case GW_DO_CANCEL:
+    case GW_ROUTER_CANCEL:
         OutageCall_Drop(call);
         break;
-    case GW_DO_ANSWER:
-    case GW_DO_REPLY:
+    case GW_ROUTER_ANSWER:
+    case GW_ROUTER_REPLY:
         OutageCall_End(call, act);
         break;
-    case GW_DO_PROBE:
+    case GW_ROUTER_PROBE:
         probe(e, act->server);
         break;
-    case GW_DO_FORGET:
+    case GW_ROUTER_DROP_SERVER:
         (void)g_hash_table_remove(e->handles, act->server);
         break;
-    case GW_DO_NOTE_EJECTED:
-    case GW_DO_NOTE_BACK:
+    case GW_ROUTER_LOG_EJECTED:
+    case GW_ROUTER_LOG_RECOVERED:
         break;
     }
 }
@@ -97,7 +97,7 @@
     World *w = e->world;
 
     for (guint i = 0; i < e->actions->len; i++) {
-        GwDo act = g_array_index(e->actions, GwDo, i);
+        GwRouterAction act = g_array_index(e->actions, GwRouterAction, i);
         carry_one(e, &act);
     }
     g_array_set_size(e->actions, 0);
@@ -127,17 +127,19 @@
         return;
     }
     call->attempt = NULL;
-    if (a->end.limit == GW_LIMIT_NAMED && a->server->told_us[e->number] == 0) {
+    if (a->end.limit == GW_LIMIT_STATED &&
+        a->server->told_us[e->number] == 0) {
         a->server->told_us[e->number] = w->now_us;
     }
     if (refused && g_hash_table_contains(e->handles, a->handle)) {
-        GwRouter_Probed(e->router, w->now_us, a->handle, GW_PROBE_REFUSED,
-                        e->actions);
+        GwRouter_ProbeEnded(e->router, w->now_us, a->handle, GW_PROBE_REFUSED,
+                            e->actions);
     }
     if (GwRouter_WantsFingerprints(e->router)) {
         a->end.fingerprint = &call->content->fingerprint;
     }
-    GwRouter_Ended(e->router, w->now_us, call->request, &a->end, e->actions);
+    GwRouter_AttemptEnded(e->router, w->now_us, call->request, &a->end,
+                          e->actions);
     OutageEntry_Carry(e);
 }
 
@@ -145,12 +147,13 @@
 OutageProbe_End(World *w, Probe *p)
 {
     Entry *e = p->entry;
-    GwProbeResult result = p->server->dark        ? GW_PROBE_SILENT
+    GwProbeResult result = p->server->dark        ? GW_PROBE_TIMEOUT
                            : p->server->listening ? GW_PROBE_ALIVE
                                                   : GW_PROBE_REFUSED;
 
     if (p->life == e->life && g_hash_table_contains(e->handles, p->handle)) {
-        GwRouter_Probed(e->router, w->now_us, p->handle, result, e->actions);
+        GwRouter_ProbeEnded(e->router, w->now_us, p->handle, result,
+                            e->actions);
         OutageEntry_Carry(e);
     }
     g_free(p);
@@ -166,7 +169,7 @@
     GwGossipAction tells =
         GwGossipPeer_Next(&e->limit_peers[to], now_us, &since_us);
 
-    d->limits_sum = GwRouter_LimitsSum(e->router);
+    d->limits_sum = GwRouter_LimitsChecksum(e->router);
     if (tells != GW_GOSSIP_NOTHING) {
         d->limit_count = GwRouter_Limits(
             e->router, now_us, tells == GW_GOSSIP_CHANGES ? since_us : 0,
@@ -185,7 +188,7 @@
         GwRouter_PutLimit(e->router, now_us, &d->limits[i]);
     }
     if (GwGossipPeer_OnChecksum(&e->limit_peers[from], now_us, d->limits_sum,
-                                GwRouter_LimitsSum(e->router),
+                                GwRouter_LimitsChecksum(e->router),
                                 GwRouter_LimitsChangedUs(e->router))) {
         e->hurry[from] = true;
     }
@@ -205,15 +208,15 @@
     case GW_GOSSIP_NOTHING:
         break;
     case GW_GOSSIP_CHANGES:
-        d->count = GwQuarantine_News(q, w->now_us, since_us, d->suspects,
-                                     SUSPECTS_MAX);
+        d->count = GwQuarantine_Changes(q, w->now_us, since_us, d->suspects,
+                                        SUSPECTS_MAX);
         break;
     case GW_GOSSIP_PAGE:
         d->count = GwQuarantine_Page(q, w->now_us, &e->from, d->suspects,
                                      SUSPECTS_MAX);
         break;
     }
-    d->sum = GwQuarantine_Sum(q);
+    d->sum = GwQuarantine_Checksum(q);
     fill_limits(e, to, d);
     w->report.records_told += d->count;
     if (Outages_Chance(w, LOSS_PERMILLE) || w->now_us < e->cut_until_us ||
@@ -236,7 +239,7 @@
         GwQuarantine_Merge(q, w->now_us, &d->suspects[i]);
     }
     if (GwGossipPeer_OnChecksum(&e->peers[from], w->now_us, d->sum,
-                                GwQuarantine_Sum(q),
+                                GwQuarantine_Checksum(q),
                                 GwQuarantine_ChangedUs(q))) {
         e->hurry[from] = true;
     }
@@ -299,8 +302,8 @@
         for (uint32_t k = 0; held && k < w->p->entries; k++) {
             Entry *e = &w->entries[k];
             held = !OutageEntry_IsInTouch(e) ||
-                   GwQuarantine_HeldUntil(GwRouter_Quarantine(e->router),
-                                          w->now_us, &c->fingerprint) != 0;
+                   GwQuarantine_UntilUs(GwRouter_Quarantine(e->router),
+                                        w->now_us, &c->fingerprint) != 0;
         }
         if (held) {
             w->crashes_told = true;
--- a/tests/fakes/outages_internal.h
+++ b/tests/fakes/outages_internal.h
@@ -202,7 +202,7 @@
 Content *Outages_NewContent(World *w, bool crashes, bool once);
 void Outages_NewCall(World *w);
 void Outages_CallCrasher(World *w, Content *content);
-void OutageCall_End(Call *call, const GwDo *act);
+void OutageCall_End(Call *call, const GwRouterAction *act);
 
 /* outages_servers.c */
 void OutageAttempt_AnswerAt(World *w, Attempt *a, int64_t when_us,
--- a/tests/fakes/outages_servers.c
+++ b/tests/fakes/outages_servers.c
@@ -14,7 +14,7 @@
 GwAttemptEnd
 OutageAttempt_Broken(const Attempt *a)
 {
-    return (GwAttemptEnd){.outcome = GW_ATTEMPT_BROKEN,
+    return (GwAttemptEnd){.outcome = GW_ATTEMPT_LOST,
                           .closed = true,
                           .fingerprint = &a->call->content->fingerprint};
 }
@@ -199,7 +199,7 @@
     GwAttemptEnd good = {
         .outcome = GW_ATTEMPT_ANSWERED,
         .status = 200,
-        .limit = a->server->is_limited ? GW_LIMIT_NAMED : GW_LIMIT_NONE,
+        .limit = a->server->is_limited ? GW_LIMIT_STATED : GW_LIMIT_NONE,
         .limit_per_s = w->p->limit_per_s,
     };
 
@@ -211,7 +211,7 @@
     }
     else if (Outages_Chance(w, w->spoilt_permille)) {
         OutageAttempt_AnswerAt(w, a, back_us,
-                               (GwAttemptEnd){.outcome = GW_ATTEMPT_BROKEN});
+                               (GwAttemptEnd){.outcome = GW_ATTEMPT_LOST});
     }
     else {
         OutageAttempt_AnswerAt(w, a, back_us, good);
--- a/tests/fakes/steering.c
+++ b/tests/fakes/steering.c
@@ -30,7 +30,7 @@
     g_strlcpy(f->params.domain, domain, sizeof(f->params.domain));
     f->now_us = FAKE_US_PER_S;
     f->router = GwRouter_Create(&f->params, f->now_us);
-    f->actions = g_array_new(FALSE, FALSE, sizeof(GwDo));
+    f->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     f->requests = g_ptr_array_new_with_free_func(g_free);
     f->servers = g_ptr_array_new_with_free_func(free_server);
     f->broken = g_string_new(NULL);
@@ -193,7 +193,7 @@
 }
 
 static void
-on_send(FakeSteering *f, FakeRequest *req, const GwDo *act)
+on_send(FakeSteering *f, FakeRequest *req, const GwRouterAction *act)
 {
     FakeServer *s = server_named(f, GwServer_Id(act->server));
 
@@ -234,12 +234,12 @@
 }
 
 static void
-on_over(FakeSteering *f, FakeRequest *req, const GwDo *act)
+on_over(FakeSteering *f, FakeRequest *req, const GwRouterAction *act)
 {
     if (req->over) {
         say(f, "ended twice", req);
     }
-    if (act->kind == GW_DO_REPLY) {
+    if (act->kind == GW_ROUTER_REPLY) {
         req->status = act->status;
         req->retry_after_ms = act->retry_after_ms;
         if (act->status == 503 && (req->may_have_run || req->server)) {
@@ -251,29 +251,29 @@
 }
 
 static void
-carry_one(FakeSteering *f, const GwDo *act)
+carry_one(FakeSteering *f, const GwRouterAction *act)
 {
     FakeRequest *req = act->user; /* NULL for notes of a server */
 
     switch (act->kind) {
-    case GW_DO_ACCEPT:
+    case GW_ROUTER_ACCEPT:
         req->handle = act->request;
         break;
-    case GW_DO_SEND:
+    case GW_ROUTER_SEND:
         on_send(f, req, act);
         break;
-    case GW_DO_CANCEL:
+    case GW_ROUTER_CANCEL:
         req->may_have_run = true;
         req->server = NULL;
         break;
-    case GW_DO_ANSWER:
-    case GW_DO_REPLY:
+    case GW_ROUTER_ANSWER:
+    case GW_ROUTER_REPLY:
         on_over(f, req, act);
         break;
-    case GW_DO_PROBE:
-    case GW_DO_FORGET:
-    case GW_DO_NOTE_EJECTED:
-    case GW_DO_NOTE_BACK:
+    case GW_ROUTER_PROBE:
+    case GW_ROUTER_DROP_SERVER:
+    case GW_ROUTER_LOG_EJECTED:
+    case GW_ROUTER_LOG_RECOVERED:
         break;
     }
 }
@@ -282,7 +282,7 @@
 FakeSteering_Carry(FakeSteering *f)
 {
     for (guint i = 0; i < f->actions->len; i++) {
-        GwDo act = g_array_index(f->actions, GwDo, i);
+        GwRouterAction act = g_array_index(f->actions, GwRouterAction, i);
         carry_one(f, &act);
     }
     g_array_set_size(f->actions, 0);
@@ -320,9 +320,9 @@
     }
     req->server = NULL;
     req->servers += outcome != GW_ATTEMPT_UNSENT;
-    req->may_have_run = req->may_have_run || outcome == GW_ATTEMPT_BROKEN ||
+    req->may_have_run = req->may_have_run || outcome == GW_ATTEMPT_LOST ||
                         outcome == GW_ATTEMPT_ANSWERED;
-    GwRouter_Ended(f->router, f->now_us, req->handle, &end, f->actions);
+    GwRouter_AttemptEnded(f->router, f->now_us, req->handle, &end, f->actions);
     FakeSteering_Carry(f);
 }
 
@@ -332,11 +332,11 @@
     if (req->handle == NULL) {
         return;
     }
-    GwRouter_Gone(f->router, f->now_us, req->handle, f->actions);
+    GwRouter_CallerDisconnected(f->router, f->now_us, req->handle, f->actions);
     req->handle = NULL;
     req->server = NULL;
     req->over = true;
-    GwRouter_Settle(f->router, f->now_us, f->actions);
+    GwRouter_DispatchPending(f->router, f->now_us, f->actions);
     FakeSteering_Carry(f);
 }
 
--- a/tests/property/found.cpp
+++ b/tests/property/found.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 struct Found {
-    const char *story;
+    const char *request_summary;
     FakeScenario scenario;
 };
 
@@ -105,7 +105,7 @@
     for (const Found &one : found) {
         FakeVerdict v = FakeScenario_Run(&one.scenario);
         broken += FakeVerdict_Violations(&v) > 0 ? 1 : 0;
-        FakeVerdict_Print(&v, one.story);
+        FakeVerdict_Print(&v, one.request_summary);
     }
     std::printf("found: %u broken\n", broken);
     return broken == 0 ? 0 : 1;
--- a/tests/property/outages.cpp
+++ b/tests/property/outages.cpp
@@ -122,12 +122,12 @@
         for (uint64_t server = 1; server <= count; server++) {
             now_us += 400000;
             GwFingerprint cause = request(kCause);
-            GwQuarantine_NoteBreak(q, now_us, &cause, server);
+            GwQuarantine_NoteConnectionLost(q, now_us, &cause, server);
             for (uint32_t i = 0; i < kOthers; i++) {
                 GwFingerprint other = request(i);
                 if (crashes[i] < count - 1 && GwRng_Below(&rng, 4) != 0) {
                     crashes[i]++;
-                    GwQuarantine_NoteBreak(q, now_us, &other, server);
+                    GwQuarantine_NoteConnectionLost(q, now_us, &other, server);
                 }
             }
             GwQuarantine_NoteCrash(q, now_us, server);
@@ -135,10 +135,10 @@
         now_us += 1000000;
         for (uint32_t i = 0; i < kOthers; i++) {
             GwFingerprint other = request(i);
-            wrong += GwQuarantine_HeldUntil(q, now_us, &other) != 0;
+            wrong += GwQuarantine_UntilUs(q, now_us, &other) != 0;
         }
         GwFingerprint cause = request(kCause);
-        wrong += GwQuarantine_HeldUntil(q, now_us, &cause) == 0;
+        wrong += GwQuarantine_UntilUs(q, now_us, &cause) == 0;
         GwQuarantine_Free(q);
     }
     std::printf("beside a cause: %u wrongly held or let go, 200 seeds\n",
--- a/tests/property/router.cpp
+++ b/tests/property/router.cpp
@@ -55,7 +55,7 @@
         {GW_ATTEMPT_ANSWERED, 200}, {GW_ATTEMPT_ANSWERED, 200},
         {GW_ATTEMPT_ANSWERED, 500}, {GW_ATTEMPT_REFUSED, 503},
         {GW_ATTEMPT_REFUSED, 421},  {GW_ATTEMPT_UNSENT, 0},
-        {GW_ATTEMPT_BROKEN, 0},     {GW_ATTEMPT_ANSWERED, 504},
+        {GW_ATTEMPT_LOST, 0},       {GW_ATTEMPT_ANSWERED, 504},
     };
     FakeRequest *req = openRequest(w, arg);
     if (req != nullptr) {
@@ -200,7 +200,7 @@
         FakeRequest *req = FakeSteering_Arrive(w.f, "/again/", nullptr, 3000);
         for (int j = 0; j < 9; j++) {
             FakeSteering_End(w.f, req,
-                             GwRng_Below(&rng, 2) == 0 ? GW_ATTEMPT_BROKEN
+                             GwRng_Below(&rng, 2) == 0 ? GW_ATTEMPT_LOST
                                                        : GW_ATTEMPT_REFUSED,
                              503);
         }
--- a/tests/unit/test_answers.c
+++ b/tests/unit/test_answers.c
@@ -30,31 +30,31 @@
     static const struct {
         const char *first;
         const char *second;
-        GwLimitWord word;
+        GwLimitStatement word;
         double per_s;
     } cases[] = {
         {NULL, NULL, GW_LIMIT_NONE, 0},
-        {"5.7", NULL, GW_LIMIT_NAMED, 5.7},
-        {"0", NULL, GW_LIMIT_NAMED, 0},
-        {"1e3", NULL, GW_LIMIT_NAMED, 1000},
-        {"1e308", NULL, GW_LIMIT_NAMED, 1e308},
-        {"1e309", NULL, GW_LIMIT_UNSAID, 0},
-        {"-1", NULL, GW_LIMIT_UNSAID, 0},
-        {"nan", NULL, GW_LIMIT_UNSAID, 0},
-        {"inf", NULL, GW_LIMIT_UNSAID, 0},
-        {"", NULL, GW_LIMIT_UNSAID, 0},
-        {"five", NULL, GW_LIMIT_UNSAID, 0},
-        {"5,7", NULL, GW_LIMIT_UNSAID, 0},
-        {"5.7/s", NULL, GW_LIMIT_UNSAID, 0},
-        {"9", "5.7", GW_LIMIT_NAMED, 5.7},
-        {"5.7", "x", GW_LIMIT_NAMED, 5.7},
-        {"x", "5.7", GW_LIMIT_NAMED, 5.7},
+        {"5.7", NULL, GW_LIMIT_STATED, 5.7},
+        {"0", NULL, GW_LIMIT_STATED, 0},
+        {"1e3", NULL, GW_LIMIT_STATED, 1000},
+        {"1e308", NULL, GW_LIMIT_STATED, 1e308},
+        {"1e309", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"-1", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"nan", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"inf", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"five", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"5,7", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"5.7/s", NULL, GW_LIMIT_UNKNOWN, 0},
+        {"9", "5.7", GW_LIMIT_STATED, 5.7},
+        {"5.7", "x", GW_LIMIT_STATED, 5.7},
+        {"x", "5.7", GW_LIMIT_STATED, 5.7},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         GwAttemptEnd end = end_with(cases[i].first, cases[i].second);
         cr_expect_eq(end.limit, cases[i].word, "case %zu", i);
-        cr_expect(end.limit != GW_LIMIT_NAMED ||
+        cr_expect(end.limit != GW_LIMIT_STATED ||
                       end.limit_per_s == cases[i].per_s,
                   "case %zu: %g", i, end.limit_per_s);
     }
--- a/tests/unit/test_docs.c
+++ b/tests/unit/test_docs.c
@@ -57,8 +57,8 @@
 Test(docs, reasons_of_the_platforms_entry_are_those_of_the_code)
 {
     char *page = read_page("docs/OPERATIONS.md");
-    for (GwWhy why = GW_WHY_NONE; why < GW_WHY_COUNT; why++) {
-        char *row = g_strdup_printf("| %s | ", GwWhy_Name(why));
+    for (GwReplyReason why = GW_REPLY_NONE; why < GW_REPLY_COUNT; why++) {
+        char *row = g_strdup_printf("| %s | ", GwReplyReason_Name(why));
         expect_row(page, row);
         g_free(row);
     }
--- a/tests/unit/test_meters.c
+++ b/tests/unit/test_meters.c
@@ -19,30 +19,30 @@
     static const struct {
         uint16_t
             status; /* of an answer made by the entry; 0: a server's answer */
-        GwWhy why;
+        GwReplyReason why;
         uint32_t took_ms;
         const char *lines[3];
     } cases[] = {
         {0,
-         GW_WHY_NONE,
+         GW_REPLY_NONE,
          250,
          {"gw_request_ms_bucket{route=\"r\",end=\"answered\",le=\"200\"} 0\n",
           "gw_request_ms_bucket{route=\"r\",end=\"answered\",le=\"250\"} 1\n",
           "gw_request_ms_sum{route=\"r\",end=\"answered\"} 250\n"}},
         {503,
-         GW_WHY_NO_ROOM,
+         GW_REPLY_NO_CAPACITY,
          0,
          {"gw_request_ms_bucket{route=\"r\",end=\"not-run\",le=\"5\"} 1\n",
           "gw_request_ms_count{route=\"r\",end=\"not-run\"} 1\n",
           "gw_replies_total{why=\"no-room\"} 1\n"}},
         {502,
-         GW_WHY_BROKEN,
+         GW_REPLY_MAY_HAVE_RUN,
          99999,
          {"gw_request_ms_bucket{route=\"r\",end=\"unknown\",le=\"10000\"} 0\n",
           "gw_request_ms_bucket{route=\"r\",end=\"unknown\",le=\"+Inf\"} 1\n",
           "gw_replies_total{why=\"broken\"} 1\n"}},
         {404,
-         GW_WHY_NO_ROUTE,
+         GW_REPLY_NO_ROUTE,
          1,
          {"gw_request_ms_count{route=\"r\",end=\"no-route\"} 1\n",
           "gw_replies_total{why=\"no-route\"} 1\n",
@@ -74,7 +74,7 @@
 
     for (int i = 0; i < 300; i++) {
         g_snprintf(name, sizeof(name), "r%d", i);
-        GwMeters_Add(meters, name, GW_END_ANSWERED, GW_WHY_NONE, 1);
+        GwMeters_Add(meters, name, GW_END_ANSWERED, GW_REPLY_NONE, 1);
     }
     char *page = page_of(meters);
     cr_expect_not_null(strstr(
@@ -88,7 +88,7 @@
 {
     GwMeters *meters = GwMeters_Create();
 
-    GwMeters_Add(meters, "a\"b", GW_END_DISCONNECTED, GW_WHY_NONE, 1);
+    GwMeters_Add(meters, "a\"b", GW_END_DISCONNECTED, GW_REPLY_NONE, 1);
     char *page = page_of(meters);
     cr_expect_not_null(strstr(page, "{route=\"a\\\"b\",end=\"left\"}"));
     g_free(page);
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -26,7 +26,7 @@
 {
     for (uint64_t i = first; i <= last; i++) {
         GwFingerprint f = request(i);
-        GwQuarantine_NoteBreak(q, now_us, &f, server);
+        GwQuarantine_NoteConnectionLost(q, now_us, &f, server);
     }
     GwQuarantine_NoteCrash(q, now_us, server);
 }
@@ -36,7 +36,7 @@
 {
     GwFingerprint f = request(number);
 
-    return GwQuarantine_HeldUntil(q, now_us, &f) != 0;
+    return GwQuarantine_UntilUs(q, now_us, &f) != 0;
 }
 
 /* Guards against: a request crashes one server after the other. */
@@ -78,7 +78,7 @@
         int64_t now_us = S;
         for (uint64_t server = 1; server <= 4; server++) {
             now_us += cases[i].apart_us;
-            GwQuarantine_NoteBreak(q, now_us, &f, server);
+            GwQuarantine_NoteConnectionLost(q, now_us, &f, server);
             if (cases[i].alive) {
                 GwQuarantine_NoteAlive(q, server);
             }
@@ -141,7 +141,7 @@
     }
     for (uint64_t server = 4; server <= 8; server++) {
         GwFingerprint f = request(1);
-        int64_t until_us = GwQuarantine_HeldUntil(q, now_us + S, &f);
+        int64_t until_us = GwQuarantine_UntilUs(q, now_us + S, &f);
         cr_assert_neq(until_us, 0);
         cr_expect_gt(until_us - now_us, last_us * 3 / 2);
         last_us = until_us - now_us;
@@ -179,7 +179,7 @@
     GwQuarantine_Merge(b, now_us, &s);
     cr_expect_not(is_quarantined(a, now_us + S, 1));
     cr_expect_not(is_quarantined(b, now_us + S, 1));
-    cr_expect_eq(GwQuarantine_Sum(a), GwQuarantine_Sum(b));
+    cr_expect_eq(GwQuarantine_Checksum(a), GwQuarantine_Checksum(b));
     GwQuarantine_Free(a);
     GwQuarantine_Free(b);
 }
@@ -232,8 +232,8 @@
             send_record(&rng, entries, now_us);
         }
         for (int i = 1; i < ENTRIES; i++) {
-            cr_expect_eq(GwQuarantine_Sum(entries[i]),
-                         GwQuarantine_Sum(entries[0]), "seed %lu",
+            cr_expect_eq(GwQuarantine_Checksum(entries[i]),
+                         GwQuarantine_Checksum(entries[0]), "seed %lu",
                          (unsigned long)seed);
         }
         for (int i = 0; i < ENTRIES; i++) {
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -24,8 +24,8 @@
         {"refused: proof, so it may go elsewhere", "/once/",
          GW_ATTEMPT_REFUSED, 503, 2, 0},
         {"never sent: the same", "/once/", GW_ATTEMPT_UNSENT, 0, 2, 0},
-        {"broken: may have run", "/once/", GW_ATTEMPT_BROKEN, 0, 1, 502},
-        {"broken, idempotent", "/again/", GW_ATTEMPT_BROKEN, 0, 2, 0},
+        {"broken: may have run", "/once/", GW_ATTEMPT_LOST, 0, 1, 502},
+        {"broken, idempotent", "/again/", GW_ATTEMPT_LOST, 0, 2, 0},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -62,11 +62,12 @@
         cr_assert_eq(reqs[i]->server != NULL, i <= GW_SLOTS_AHEAD);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(reqs); i++) {
-        GwRouter_Gone(f->router, f->now_us, reqs[i]->handle, f->actions);
+        GwRouter_CallerDisconnected(f->router, f->now_us, reqs[i]->handle,
+                                    f->actions);
         cr_expect_eq(f->actions->len, 0, "request %zu", i);
         reqs[i]->handle = NULL;
     }
-    GwRouter_Settle(f->router, f->now_us, f->actions);
+    GwRouter_DispatchPending(f->router, f->now_us, f->actions);
     cr_expect_eq(f->actions->len, 0);
     cr_expect_eq(GwRouter_OpenCount(f->router), 0);
     Steering_Finish(f);
--- a/tests/unit/test_router_limits.c
+++ b/tests/unit/test_router_limits.c
@@ -266,7 +266,7 @@
 
 /* Sends a request to server "a", whose answer states this limit. */
 static void
-answer_with_limit(FakeSteering *f, FakeRequest *req, GwLimitWord word,
+answer_with_limit(FakeSteering *f, FakeRequest *req, GwLimitStatement word,
                   double per_s)
 {
     GwAttemptEnd end = {.outcome = GW_ATTEMPT_ANSWERED,
@@ -275,7 +275,7 @@
                         .limit_per_s = per_s};
 
     req->server = NULL;
-    GwRouter_Ended(f->router, f->now_us, req->handle, &end, f->actions);
+    GwRouter_AttemptEnded(f->router, f->now_us, req->handle, &end, f->actions);
     FakeSteering_Carry(f);
 }
 
@@ -295,15 +295,15 @@
 {
     static const struct {
         int64_t after_ms; /* time since the answer before */
-        GwLimitWord word;
+        GwLimitStatement word;
         double per_s;
         double known;
     } steps[] = {
-        {0, GW_LIMIT_NAMED, 9, 9},      {100, GW_LIMIT_NAMED, 6, 6},
-        {100, GW_LIMIT_NAMED, 9, 6},    {100, GW_LIMIT_NONE, 0, 6},
-        {100, GW_LIMIT_UNSAID, 0, 6},   {600, GW_LIMIT_NAMED, 9, 9},
-        {600, GW_LIMIT_NONE, 0, -1},    {10, GW_LIMIT_NAMED, 1e300, 1e6},
-        {10, GW_LIMIT_NAMED, 0.5, 0.5},
+        {0, GW_LIMIT_STATED, 9, 9},      {100, GW_LIMIT_STATED, 6, 6},
+        {100, GW_LIMIT_STATED, 9, 6},    {100, GW_LIMIT_NONE, 0, 6},
+        {100, GW_LIMIT_UNKNOWN, 0, 6},   {600, GW_LIMIT_STATED, 9, 9},
+        {600, GW_LIMIT_NONE, 0, -1},     {10, GW_LIMIT_STATED, 1e300, 1e6},
+        {10, GW_LIMIT_STATED, 0.5, 0.5},
     };
     FakeSteering *f = Steering_Start(1);
     FakeRequest *reqs[G_N_ELEMENTS(steps)];
@@ -345,7 +345,7 @@
         for (guint k = 0; k < f->requests->len; k++) {
             FakeRequest *req = f->requests->pdata[k];
             if (req->server != NULL && req->handle != NULL) {
-                answer_with_limit(f, req, GW_LIMIT_NAMED, 6);
+                answer_with_limit(f, req, GW_LIMIT_STATED, 6);
             }
         }
         before = i == 100 ? server->arrivals->len : before;
--- a/tests/unit/test_router_stop.c
+++ b/tests/unit/test_router_stop.c
@@ -88,7 +88,7 @@
     static const GwAttemptOutcome outcomes[] = {
         [BY_A_REFUSAL] = GW_ATTEMPT_REFUSED,
         [BY_NO_CONNECTION] = GW_ATTEMPT_UNSENT,
-        [BY_A_LOST_ANSWER] = GW_ATTEMPT_BROKEN,
+        [BY_A_LOST_ANSWER] = GW_ATTEMPT_LOST,
     };
     FakeRequest *filling[16];
     FakeRequest *req;
--- a/tests/unit/test_router_work.c
+++ b/tests/unit/test_router_work.c
@@ -104,7 +104,7 @@
 
         put_servers(f, cases[i].servers);
         fill(f, cases[i].waiting, cases[i].keyed);
-        uint64_t before = GwRouter_Looks(f->router);
+        uint64_t before = GwRouter_EvaluationCount(f->router);
         for (uint32_t k = 0; k < SECONDS * REQUESTS_PER_S; k++) {
             end_oldest(f, &oldest);
             g_snprintf(key, sizeof(key), "%u", k % 500);
@@ -113,7 +113,8 @@
             FakeSteering_Pass(f, FAKE_US_PER_S / REQUESTS_PER_S);
             held += count_waiting(f);
         }
-        uint64_t looks = (GwRouter_Looks(f->router) - before) / SECONDS;
+        uint64_t looks =
+            (GwRouter_EvaluationCount(f->router) - before) / SECONDS;
         cr_expect_leq(looks, LOOKS_PER_S,
                       "case %zu: %lu looks a second, %u "
                       "wait",
