--- a/tests/unit/test_edge_late.c
+++ b/tests/unit/test_edge_late.c
@@ -419,7 +419,8 @@
 static void
 reset_speeds(EdgeHost *h)
 {
-    GPtrArray *servers = GwRouter_FindOrAddService(h->edge->router, "s")->servers;
+    GPtrArray *servers =
+        GwRouter_FindOrAddService(h->edge->router, "s")->servers;
 
     for (guint i = 0; i < servers->len; i++) {
         ((GwServer *)servers->pdata[i])->slowdown = 1.0;
