--- a/lib/entry/calls.c
+++ b/lib/entry/calls.c
@@ -30,7 +30,7 @@
     g_free(c);
 }
 
-/* ---- a new configuration ---------------------------------------------- */
+/* ---- configuration ---------------------------------------------------- */
 
 static uint32_t
 find_service_calls(const GwCalls *c, const char *name)
@@ -43,8 +43,8 @@
     return GW_NONE;
 }
 
-/* Takes waiting calls out of the queues and gives each call the new index
- * of its service, GW_NONE where the service is gone. */
+/* Removes waiting calls from the queues, appends them to `waiting`, and sets
+ * the service index of each open call, GW_NONE if the service was removed. */
 static void
 renumber_calls(GwCalls *c, const uint32_t *new_index, GPtrArray *waiting)
 {
@@ -54,7 +54,7 @@
     g_hash_table_iter_init(&iter, c->open);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwCall *call = value;
-        if (call->queue_place != GW_HEAP_OUT) {
+        if (call->queue_index != GW_HEAP_OUT) {
             GwCalls_Dequeue(c, call);
             g_ptr_array_add(waiting, call);
         }
@@ -72,21 +72,21 @@
     GwRetryBudget_Init(&service->budget, c->params.retry_budget_percent);
 }
 
-/* A refusal stands for the longest deadline of any service, that of calls
- * taken in under an earlier version included. */
+/* A refusal holds for the longest deadline of any service, including those
+ * of earlier configurations, whose calls may still be open. */
 static void
-set_hold(GwCalls *c, const GwConfig *config)
+update_refusal_hold(GwCalls *c, const GwConfig *config)
 {
     for (uint32_t i = 0; i < config->service_count; i++) {
         int64_t longest = (int64_t)config->services[i].deadline_max_ms * 1000;
-        c->hold_us = MAX(c->hold_us, longest);
+        c->refusal_hold_us = MAX(c->refusal_hold_us, longest);
     }
-    GwTickets_SetHold(c->tickets, c->hold_us);
+    GwTickets_SetRefusalHold(c->tickets, c->refusal_hold_us);
 }
 
-/* Service indices belong to one configuration: everything kept by index is
- * carried over by name. Call GwCalls_Pump or Tick afterwards; a waiting call
- * of a removed service is refused by the next Tick. */
+/* Service indices are valid for one configuration only, so per-service state
+ * is carried over by name. Waiting calls of removed services are set to back
+ * off until now; the next tick refuses them. */
 void
 GwCalls_Configure(GwCalls *c, int64_t now_us, const GwConfig *config)
 {
@@ -98,7 +98,7 @@
         new_index[i] = GwConfig_FindService(config, c->services[i].name);
     }
     renumber_calls(c, new_index, waiting);
-    set_hold(c, config);
+    update_refusal_hold(c, config);
     for (uint32_t i = 0; i < config->service_count; i++) {
         const char *name = config->services[i].name;
         uint32_t old = find_service_calls(c, name);
@@ -125,7 +125,7 @@
         else {
             call->state = GW_CALL_BACKOFF;
             call->due_us = now_us;
-            GwHeap_Move(&c->timers, &call->timer_place, now_us);
+            GwHeap_Move(&c->timers, &call->timer_index, now_us);
         }
     }
     g_ptr_array_free(waiting, TRUE);
@@ -145,38 +145,38 @@
                                         .ticket = ev->ticket};
 }
 
-/* The longest that a call may take here: what its service allows, and no
- * more than the hold-off of a seat less the fence. The next holder of a dead
- * entry's seat waits the hold-off out; a call of the dead one that its server
- * still runs then would be one too many there. */
+/* Returns the maximum duration of a call: the deadline limit of its service,
+ * but no more than the seat hold-off less the fence. The next holder of a
+ * failed entry's seat waits until the hold-off has passed; if a backend server
+ * still ran a call of the failed entry then, it would exceed its slots. */
 static int64_t
-longest_us(const GwCalls *c, const GwService *service)
+max_call_time_us(const GwCalls *c, const GwService *service)
 {
     const GwNodeParams *p = &c->params;
     int64_t seat_ms = (int64_t)p->seat_holdoff_ms - p->fence_ms;
 
-#if GW_MUTANT == 11 /* breaks: no call outlasts a hold-off */
+#if GW_MUTANT == 11 /* breaks: no call outlasts the seat hold-off */
     seat_ms = INT32_MAX;
 #endif
     return MIN(seat_ms, (int64_t)service->deadline_max_ms) * 1000;
 }
 
-/* Opens the call. Units are held until deadlines, so nobody may ask for an
- * unbounded one. A call with a ticket is never idempotent: the entry that
- * relayed it, or the one that ran it first, may have another version of the
- * configuration in force, and may rely on the record here. */
+/* Opens a call. Its deadline is limited, since units stay in use until the
+ * deadline. A call with a ticket never counts as idempotent: the entry that
+ * relayed it or ran it first may have another version of the configuration in
+ * force and rely on the ticket record here. */
 static GwCall *
 open_call(GwCalls *c, const GwCallsEnv *env, const GwCallEvent *ev,
           uint32_t service)
 {
     const GwService *conf = &env->config->services[service];
-    int64_t longest = env->now_us + longest_us(c, conf);
+    int64_t latest_us = env->now_us + max_call_time_us(c, conf);
     GwCall *call = g_new0(GwCall, 1);
 
     call->call = ev->call;
     call->service = service;
     call->idempotent =
-#if GW_MUTANT != 12 /* breaks: a ticket is guarded under every version */
+#if GW_MUTANT != 12 /* breaks: a call with a ticket is not idempotent */
         ev->ticket.seq == 0 && !ev->to_owner &&
 #endif
         GwConfig_IsIdempotent(env->config, service, ev->method, ev->path);
@@ -185,16 +185,17 @@
     call->relay_from = ev->relay_from;
     call->grant = ev->grant;
     call->arrived_us = env->now_us;
-    call->deadline_us = ev->deadline_us < longest ? ev->deadline_us : longest;
+    call->deadline_us =
+        ev->deadline_us < latest_us ? ev->deadline_us : latest_us;
     call->due_us = call->deadline_us;
-    call->timer_place = GW_HEAP_OUT;
-    call->queue_place = GW_HEAP_OUT;
+    call->timer_index = GW_HEAP_OUT;
+    call->queue_index = GW_HEAP_OUT;
     g_hash_table_insert(c->open, &call->call, call);
     return call;
 }
 
 static void
-start_or_wait(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+enqueue_or_refuse(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
     if (c->waiting_count >= c->params.queue_max) {
         GwCalls_FinishNotRun(c, env, call, GW_REASON_QUEUE_FULL,
@@ -202,14 +203,15 @@
         return;
     }
     GwCalls_Enqueue(c, call);
-    GwCalls_SetDue(c, env, call);
-    GwCalls_Pump(c, env);
+    GwCalls_UpdateTimer(c, env, call);
+    GwCalls_DispatchWaiting(c, env);
 }
 
-/* Lets a resend wait for the outcome of the sending that runs. Its own
- * deadline may be earlier than that one's. */
+/* Attaches a resend to the open call with the same ticket. The deadline
+ * of the resend may be the earlier of the two. */
 static void
-attach(GwCalls *c, const GwCallsEnv *env, GwCall *call, const GwRecord *record)
+attach_resend(GwCalls *c, const GwCallsEnv *env, GwCall *call,
+              const GwRecord *record)
 {
     GwCall *first = g_hash_table_lookup(c->open, &record->call);
 
@@ -217,10 +219,11 @@
     call->state = GW_CALL_ATTACHED;
     call->next_attached = first->next_attached;
     first->next_attached = call;
-    GwCalls_SetDue(c, env, call);
+    GwCalls_UpdateTimer(c, env, call);
 }
 
-/* Answers a resend from the record of its ticket. */
+/* Finishes a resend with the recorded outcome of its ticket, or attaches it
+ * to the call that is still open. */
 static void
 answer_from_record(GwCalls *c, const GwCallsEnv *env, GwCall *call,
                    const GwRecord *record)
@@ -229,7 +232,7 @@
 
     switch (record->state) {
     case GW_RECORD_RUNNING:
-        attach(c, env, call, record);
+        attach_resend(c, env, call, record);
         return;
     case GW_RECORD_ANSWERED:
         end.outcome = GW_OUTCOME_ANSWERED;
@@ -249,7 +252,8 @@
     GwCalls_Finish(c, env, call, &end);
 }
 
-/* A ticket of another start: only that process may know whether it ran. */
+/* Handles a ticket that another process minted: only that process can know
+ * whether the call ran. */
 static void
 relay_to_owner(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
@@ -262,12 +266,13 @@
         GwCalls_FinishUnknown(c, env, call, GW_REASON_OWNER_GONE);
         return;
     }
-    GwCalls_StartOwner(c, env, call, owner);
+    GwCalls_RelayToOwner(c, env, call, owner);
 }
 
-/* Whether new work is refused now; a resend is still answered. */
+/* Returns the reason to refuse new work now, or NONE. Resends are answered
+ * regardless. */
 static GwReason
-refusal_of_new(const GwCallsEnv *env)
+find_refusal_reason(const GwCallsEnv *env)
 {
     if (env->leaving) {
         return GW_REASON_LEAVING;
@@ -278,7 +283,7 @@
 static void
 begin_ticket(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
-    GwReason refusal = refusal_of_new(env);
+    GwReason refusal = find_refusal_reason(env);
 
     if (GwTickets_Begin(c->tickets, env->now_us, call->ticket.seq,
                         call->call) == NULL) {
@@ -290,12 +295,13 @@
         GwCalls_FinishNotRun(c, env, call, refusal, 0);
         return;
     }
-    start_or_wait(c, env, call);
+    enqueue_or_refuse(c, env, call);
 }
 
-/* A non-idempotent call from a caller, or relayed here by its ticket. */
+/* Accepts a non-idempotent call that came from a caller or was relayed to
+ * this entry as the owner of its ticket. */
 static void
-arrive_with_ticket(GwCalls *c, const GwCallsEnv *env, GwCall *call,
+accept_with_ticket(GwCalls *c, const GwCallsEnv *env, GwCall *call,
                    const GwCallEvent *ev)
 {
     GwRecord *record = NULL;
@@ -311,82 +317,83 @@
     case GW_TICKET_KNOWN:
         answer_from_record(c, env, call, record);
         break;
-    case GW_TICKET_OLD:
+    case GW_TICKET_EXPIRED:
         GwCalls_FinishUnknown(c, env, call, GW_REASON_OLD_TICKET);
         break;
-    case GW_TICKET_OTHER:
+    case GW_TICKET_FOREIGN:
         relay_to_owner(c, env, call);
         break;
-    case GW_TICKET_SHUT:
+    case GW_TICKET_REJECTED:
         GwCalls_FinishNotRun(c, env, call, GW_REASON_TABLE_FULL,
                              GW_RETRY_AFTER_MS);
         break;
-    case GW_TICKET_BAD:
+    case GW_TICKET_INVALID:
         GwCalls_FinishNotRun(c, env, call, GW_REASON_BAD_TICKET, 0);
         break;
     }
 }
 
-/* An idempotent call, or one that another region shifted here: that region's
- * entry owns its ticket and guards against a second run. */
+/* Accepts an idempotent call, or one that another region shifted here. The
+ * entry there owns the ticket of a shifted call and prevents a second run. */
 static void
-arrive_plain(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+accept_without_ticket(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
-    GwReason refusal = refusal_of_new(env);
+    GwReason refusal = find_refusal_reason(env);
 
     if (refusal != GW_REASON_NONE) {
         GwCalls_FinishNotRun(c, env, call, refusal, 0);
         return;
     }
-    start_or_wait(c, env, call);
+    enqueue_or_refuse(c, env, call);
 }
 
-/* What can be said of a call that is turned away before its ticket is looked
- * at. The call may be a resend of one that another start has run, or that
- * this one ran before the service went: "not run" would be a lie, and its
- * caller would book a second time with a fresh ticket. */
+/* Returns the outcome of a call that is refused for lack of a configuration
+ * or service. The call may be a resend of one that another process ran, or
+ * that this process ran before the service was removed. NOT_RUN would then be
+ * wrong, and the caller would repeat the request with a new ticket. */
 static GwOutcome
-outcome_without_record(GwCalls *c, int64_t now_us, const GwCallEvent *ev)
+find_early_refusal_outcome(GwCalls *c, int64_t now_us, const GwCallEvent *ev)
 {
-#if GW_MUTANT != 9 /* breaks: a refusal before the look-up is true */
+#if GW_MUTANT != 9 /* breaks: an early NOT_RUN is true */
     GwRecord *record = NULL;
     if (ev->ticket.seq == 0) {
         return GW_OUTCOME_NOT_RUN;
     }
-    /* An old ticket's record may have gone: it proves nothing either. */
+    /* The record of an expired ticket may have been dropped, so its absence
+     * does not prove that the call did not run. */
     switch (GwTickets_Check(c->tickets, now_us, &ev->ticket, &record)) {
     case GW_TICKET_KNOWN:
-    case GW_TICKET_OLD:
-    case GW_TICKET_OTHER:
+    case GW_TICKET_EXPIRED:
+    case GW_TICKET_FOREIGN:
         return GW_OUTCOME_UNKNOWN;
     case GW_TICKET_NEW:
-        /* Told "not run", it must not run when the service comes back. */
+        /* After NOT_RUN the ticket must not run, even if the service is
+         * configured again. */
         record = GwTickets_Begin(c->tickets, now_us, ev->ticket.seq, ev->call);
         if (record != NULL) {
             GwTickets_Refuse(c->tickets, now_us, record, GW_REASON_NO_SERVICE,
                              GW_RETRY_AFTER_MS);
         }
         break;
-    case GW_TICKET_BAD:
-    case GW_TICKET_SHUT:
+    case GW_TICKET_INVALID:
+    case GW_TICKET_REJECTED:
         break;
     }
 #endif
     return GW_OUTCOME_NOT_RUN;
 }
 
-/* Takes a call in. It ends in exactly one FINISH action, now or later. */
 void
 GwCalls_Arrive(GwCalls *c, const GwCallsEnv *env, const GwCallEvent *ev)
 {
     if (env->config == NULL) {
-        refuse_event(env, ev, outcome_without_record(c, env->now_us, ev),
+        refuse_event(env, ev, find_early_refusal_outcome(c, env->now_us, ev),
                      GW_REASON_NOT_READY, GW_RETRY_AFTER_MS);
         return;
     }
     uint32_t service = GwConfig_FindService(env->config, ev->service);
     if (service == GW_NONE) {
-        refuse_event(env, ev, outcome_without_record(c, env->now_us, ev),
+        refuse_event(env, ev, find_early_refusal_outcome(c, env->now_us, ev),
                      GW_REASON_NO_SERVICE, 0);
         return;
     }
@@ -399,10 +406,10 @@
 #endif
     GwCall *call = open_call(c, env, ev, service);
     if (call->idempotent || shifted) {
-        arrive_plain(c, env, call);
+        accept_without_ticket(c, env, call);
     }
     else {
-        arrive_with_ticket(c, env, call, ev);
+        accept_with_ticket(c, env, call, ev);
     }
 }
 
@@ -425,44 +432,46 @@
     return call->attempts[0].active || call->attempts[1].active;
 }
 
-/* Another attempt at once when the budget pays for it, else after a
- * back-off that doubles: a call is not given up while its deadline can still
- * be met, since a missing answer costs more than a late one. */
+/* Retries at once if the budget allows, else after an exponential back-off.
+ * A call is not given up while it can meet its deadline, since a missing
+ * answer costs more than a late one. */
 static void
-retry(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+schedule_retry(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
-    if (GwRetryBudget_Draw(&c->services[call->service].budget)) {
+    if (GwRetryBudget_TryDraw(&c->services[call->service].budget)) {
         GwCalls_Enqueue(c, call);
-        GwCalls_SetDue(c, env, call);
-        GwCalls_Pump(c, env);
+        GwCalls_UpdateTimer(c, env, call);
+        GwCalls_DispatchWaiting(c, env);
         return;
     }
     int64_t base = GW_BACKOFF_MIN_US << call->attempts_made;
     call->state = GW_CALL_BACKOFF;
     call->due_us = env->now_us + GwRng_Jitter(&c->rng, base, base);
-    GwCalls_SetDue(c, env, call);
+    GwCalls_UpdateTimer(c, env, call);
 }
 
-/* Retries are made by one layer: the entry that a caller spoke to, or the
- * owner of the ticket. An entry that a call was shifted to reports back. */
+/* Only one layer retries: the entry that the caller is connected to, or the
+ * owner of the ticket. An entry that a call was shifted to returns the failure
+ * to the sender. */
 static bool
 may_retry(const GwCalls *c, const GwCallsEnv *env, const GwCall *call)
 {
     return !env->leaving && call->service != GW_NONE &&
            call->attempts_made < GW_ATTEMPTS_MAX &&
            !(call->relayed && !call->to_owner) &&
-           !GwCalls_IsHopeless(c, call, env->now_us);
+           !GwCalls_WillMissDeadline(c, call, env->now_us);
 }
 
 static void
-attempt_not_run(GwCalls *c, const GwCallsEnv *env, GwCall *call,
-                GwAttemptKind kind, const GwAttemptEvent *ev)
+on_attempt_not_run(GwCalls *c, const GwCallsEnv *env, GwCall *call,
+                   GwAttemptKind kind, const GwAttemptEvent *ev)
 {
     call->last_reason = ev->reason;
     if (kind == GW_ATTEMPT_OWNER) {
-        /* Not reaching the owner proves nothing: an earlier sending may have
-         * run there. Only the owner's own refusal is proof. */
-#if GW_MUTANT != 2 /* breaks: only the owner can prove a not-run */
+        /* A failed connection to the owner proves nothing: the owner may have
+         * run an earlier send of the ticket. Only its own refusal proves that
+         * the call did not run. */
+#if GW_MUTANT != 2 /* breaks: only the owner can prove NOT_RUN */
         if (ev->reason == GW_REASON_PEER_CONNECT) {
             GwCalls_FinishUnknown(c, env, call, GW_REASON_OWNER_GONE);
             return;
@@ -472,7 +481,7 @@
         return;
     }
     if (may_retry(c, env, call)) {
-        retry(c, env, call);
+        schedule_retry(c, env, call);
         return;
     }
     GwCalls_FinishNotRun(c, env, call, ev->reason,
@@ -480,27 +489,27 @@
                                                 : GW_RETRY_AFTER_MS);
 }
 
-/* A non-idempotent call whose attempt may have run is over: to send it
- * again could book twice. */
+/* Retries only an idempotent call. A non-idempotent call whose attempt may
+ * have run ends here, since a retry could execute it twice. */
 static void
-attempt_unknown(GwCalls *c, const GwCallsEnv *env, GwCall *call,
-                const GwAttemptEvent *ev)
+on_attempt_unknown(GwCalls *c, const GwCallsEnv *env, GwCall *call,
+                   const GwAttemptEvent *ev)
 {
     call->may_have_run = true;
-#if GW_MUTANT == 3 /* breaks: nothing is sent again after UNKNOWN */
+#if GW_MUTANT == 3 /* breaks: no second run after UNKNOWN */
     if (may_retry(c, env, call)) {
 #else
     if (call->idempotent && may_retry(c, env, call)) {
 #endif
-        retry(c, env, call);
+        schedule_retry(c, env, call);
         return;
     }
     GwCalls_FinishUnknown(c, env, call, ev->reason);
 }
 
 static void
-attempt_answered(GwCalls *c, const GwCallsEnv *env, GwCall *call,
-                 const GwAttempt *attempt)
+on_attempt_answered(GwCalls *c, const GwCallsEnv *env, GwCall *call,
+                    const GwAttempt *attempt)
 {
     if (call->service != GW_NONE) {
         GwServiceCalls *service = &c->services[call->service];
@@ -510,7 +519,7 @@
             GwLatency_Add(&service->latency, env->now_us - attempt->started_us,
                           percentile);
         }
-        GwRetryBudget_Pay(&service->budget);
+        GwRetryBudget_Credit(&service->budget);
     }
     GwCallEnd end = {.outcome = GW_OUTCOME_ANSWERED,
                      .answer_of = call->call,
@@ -518,10 +527,10 @@
     GwCalls_Finish(c, env, call, &end);
 }
 
-/* The end of an attempt. Late ends of calls that are over are ignored: their
- * unit was accounted for when the call ended. */
+/* Late ends of finished calls are ignored: their units were passed to
+ * GwSteer_Done when the call finished. */
 void
-GwCalls_Attempt(GwCalls *c, const GwCallsEnv *env, const GwAttemptEvent *ev)
+GwCalls_EndAttempt(GwCalls *c, const GwCallsEnv *env, const GwAttemptEvent *ev)
 {
     GwCall *call = g_hash_table_lookup(c->open, &ev->call);
     GwAttempt *attempt = call == NULL ? NULL : find_attempt(call, ev->attempt);
@@ -532,29 +541,29 @@
     GwAttempt ended = *attempt;
     attempt->active = false;
     if (ended.kind != GW_ATTEMPT_OWNER) {
-        int64_t hold =
+        int64_t hold_until_us =
             ev->outcome == GW_OUTCOME_UNKNOWN ? ended.give_up_us : env->now_us;
-        GwSteer_Done(env->steer, env->now_us, ended.use, ev, hold);
+        GwSteer_Done(env->steer, env->now_us, ended.use, ev, hold_until_us);
     }
     if (ev->outcome == GW_OUTCOME_ANSWERED) {
-        attempt_answered(c, env, call, &ended);
+        on_attempt_answered(c, env, call, &ended);
         return;
     }
     if (has_active_attempt(call)) {
         call->may_have_run |= ev->outcome == GW_OUTCOME_UNKNOWN;
-        GwCalls_SetDue(c, env, call);
+        GwCalls_UpdateTimer(c, env, call);
         return;
     }
     if (ev->outcome == GW_OUTCOME_NOT_RUN) {
-        attempt_not_run(c, env, call, ended.kind, ev);
+        on_attempt_not_run(c, env, call, ended.kind, ev);
     }
     else {
-        attempt_unknown(c, env, call, ev);
+        on_attempt_unknown(c, env, call, ev);
     }
 }
 
 GwResult
-GwCalls_Mint(GwCalls *c, int64_t now_us, uint32_t count, GwTicket *out)
+GwCalls_MintTickets(GwCalls *c, int64_t now_us, uint32_t count, GwTicket *out)
 {
     for (uint32_t i = 0; i < count; i++) {
         out[i] = GwTickets_Mint(c->tickets, now_us);
@@ -569,13 +578,13 @@
 }
 
 uint32_t
-GwCalls_Open(const GwCalls *c)
+GwCalls_OpenCount(const GwCalls *c)
 {
     return g_hash_table_size(c->open);
 }
 
 uint32_t
-GwCalls_Tickets(const GwCalls *c)
+GwCalls_TicketCount(const GwCalls *c)
 {
     return GwTickets_Count(c->tickets);
 }
--- a/lib/entry/calls.h
+++ b/lib/entry/calls.h
@@ -1,8 +1,8 @@
-/* The life of one call at one entry: ticket, queue, attempts, outcome.
+/* State machine of the calls at one entry: ticket, queue, attempts, outcome.
  *
- * Guards "at most once": a non-idempotent call is started again only after
- * an attempt that is proven not run, and a ticket's outcome is kept until no
- * valid resend can come. */
+ * Guarantees at-most-once execution: a non-idempotent call is retried only
+ * after an attempt that provably did not run, and the outcome of a ticket is
+ * kept until no valid resend of it can arrive. */
 #ifndef GW_ENTRY_CALLS_H
 #define GW_ENTRY_CALLS_H
 
@@ -10,40 +10,53 @@
 
 typedef struct GwCalls_s GwCalls;
 
+/* `params` is copied. */
 GwCalls *GwCalls_Create(const GwNodeParams *params);
 void GwCalls_Free(GwCalls *c);
+/* Applies a new configuration. Call GwCalls_DispatchWaiting or GwCalls_Tick
+ * afterwards; the next tick refuses waiting calls of removed services. */
 void GwCalls_Configure(GwCalls *c, int64_t now_us, const GwConfig *config);
 
-/* What the machine needs of the rest of the node during one step. */
+/* The other parts of the node, for the duration of one step. */
 typedef struct {
     int64_t now_us;
-    const GwConfig *config;
+    const GwConfig *config; /* NULL before the first one is in force */
     const GwMembers *members;
     GwSeats *seats;
     GwSteer *steer;
-    bool ready;
-    bool leaving;
+    bool ready;   /* GwSync_Ready: may take and start new calls */
+    bool leaving; /* a graceful stop has begun */
     GwActions *out;
 } GwCallsEnv;
 
+/* Accepts or refuses a call. Each call ends in exactly one FINISH action, in
+ * this step or a later one. */
 void GwCalls_Arrive(GwCalls *c, const GwCallsEnv *env, const GwCallEvent *ev);
-void GwCalls_Gone(GwCalls *c, const GwCallsEnv *env, uint64_t handle);
-void GwCalls_Attempt(GwCalls *c, const GwCallsEnv *env,
-                     const GwAttemptEvent *ev);
-/* Refuses the calls that wait; those that run go on. `env->leaving` is set
- * from now on. */
-void GwCalls_Leave(GwCalls *c, const GwCallsEnv *env);
-/* Time-outs, hedges, retention; and a pass over the queue. */
+/* Drops a call that is queued or backs off. A running call goes on, so that
+ * its outcome is there for a resend, and so does a call that a resend is
+ * attached to. */
+void GwCalls_CallerDisconnected(GwCalls *c, const GwCallsEnv *env,
+                                uint64_t handle);
+/* Processes the end of an attempt: finishes the call or retries it. Ends of
+ * finished calls are ignored. */
+void GwCalls_EndAttempt(GwCalls *c, const GwCallsEnv *env,
+                        const GwAttemptEvent *ev);
+/* Refuses all waiting calls at the start of a graceful stop; running calls
+ * go on. `env->leaving` must be true in this and all later steps. */
+void GwCalls_RefuseWaiting(GwCalls *c, const GwCallsEnv *env);
+/* Runs due timers (time-outs, hedges, back-offs), expires ticket records and
+ * dispatches waiting calls. */
 void GwCalls_Tick(GwCalls *c, const GwCallsEnv *env);
-/* Start waiting calls for which something came free. */
-void GwCalls_Pump(GwCalls *c, const GwCallsEnv *env);
+/* Starts waiting calls, earliest deadline first, while capacity is free. */
+void GwCalls_DispatchWaiting(GwCalls *c, const GwCallsEnv *env);
 
-GwResult GwCalls_Mint(GwCalls *c, int64_t now_us, uint32_t count,
-                      GwTicket *out);
-/* Waiting calls per service index; GW_MAX_SERVICES entries. */
+/* Writes `count` new tickets to `out`; returns `count`. */
+GwResult GwCalls_MintTickets(GwCalls *c, int64_t now_us, uint32_t count,
+                             GwTicket *out);
+/* Number of waiting calls per service index; GW_MAX_SERVICES elements. */
 const uint32_t *GwCalls_Queued(const GwCalls *c);
-uint32_t GwCalls_Open(const GwCalls *c);
-/* Records of tickets kept. */
-uint32_t GwCalls_Tickets(const GwCalls *c);
+uint32_t GwCalls_OpenCount(const GwCalls *c);
+/* Number of ticket records. */
+uint32_t GwCalls_TicketCount(const GwCalls *c);
 
 #endif
--- a/lib/entry/calls_finish.c
+++ b/lib/entry/calls_finish.c
@@ -1,8 +1,9 @@
-/* The end of a call: one outcome, once, for it and its attached resends. */
+/* Finishes calls: each call and its attached resends get exactly one
+ * outcome. */
 #include "common/log_events.h"
 #include "entry/calls_internal.h"
 
-/* Tells the host to drop an attempt: its connection is closed. */
+/* Requests that the host drop an attempt and close its connection. */
 void
 GwCalls_CancelAttempt(const GwCallsEnv *env, const GwCall *call,
                       const GwAttempt *attempt)
@@ -12,9 +13,9 @@
     action->u.cancel.attempt = attempt->number;
 }
 
-/* Abandons attempts still in flight. The backend server may go on until the
- * attempt's end, which it was told as its deadline, so the unit stays in
- * use until then: a slot freed early would be used twice. */
+/* Cancels attempts still in flight. The backend server may run an attempt
+ * until give_up_us, the deadline sent with it, so the unit stays in use until
+ * then: a slot freed earlier would be used twice. */
 static void
 abandon_attempts(const GwCallsEnv *env, GwCall *call)
 {
@@ -30,7 +31,7 @@
                                   .attempt = attempt->number,
                                   .outcome = GW_OUTCOME_UNKNOWN,
                                   .reason = GW_REASON_SILENT};
-#if GW_MUTANT == 6 /* breaks: an abandoned call holds its slot */
+#if GW_MUTANT == 6 /* breaks: a cancelled attempt keeps its unit */
             GwSteer_Done(env->steer, env->now_us, attempt->use, &end,
                          env->now_us);
 #else
@@ -41,10 +42,11 @@
     }
 }
 
-/* Brings the ticket's record to the outcome, which stands from now on. */
+/* Stores the final outcome in the ticket's record, if this process minted
+ * the ticket and this call is the one that ran it. */
 static void
-settle_ticket(GwCalls *c, const GwCallsEnv *env, const GwCall *call,
-              const GwCallEnd *end)
+record_outcome(GwCalls *c, const GwCallsEnv *env, const GwCall *call,
+               const GwCallEnd *end)
 {
     if (call->ticket.seq == 0 ||
         !GwNodeId_Equal(call->ticket.owner, c->params.id)) {
@@ -57,8 +59,8 @@
     }
     switch (end->outcome) {
     case GW_OUTCOME_NOT_RUN:
-#if GW_MUTANT == 19 /* breaks: a refusal stands */
-        GwTickets_Forget(c->tickets, call->ticket.seq);
+#if GW_MUTANT == 19 /* breaks: a refusal holds for its ticket */
+        GwTickets_Remove(c->tickets, call->ticket.seq);
 #else
         GwTickets_Refuse(c->tickets, env->now_us, record, end->reason,
                          end->retry_after_ms);
@@ -66,7 +68,7 @@
         break;
 #if GW_MUTANT == 4 /* breaks: an UNKNOWN record is kept */
     case GW_OUTCOME_UNKNOWN:
-        GwTickets_Forget(c->tickets, call->ticket.seq);
+        GwTickets_Remove(c->tickets, call->ticket.seq);
         break;
 #endif
     case GW_OUTCOME_ANSWERED:
@@ -100,12 +102,12 @@
 remove_call(GwCalls *c, GwCall *call)
 {
     GwCalls_Dequeue(c, call);
-    GwHeap_Remove(&c->timers, &call->timer_place);
+    GwHeap_Remove(&c->timers, &call->timer_index);
     g_hash_table_remove(c->open, &call->call);
 }
 
-/* Ends the call at once, whatever it was doing, and the resends attached to
- * it with the same outcome. */
+/* Finishes a call in any state, and its attached resends with the same
+ * outcome. Frees them all. */
 void
 GwCalls_Finish(GwCalls *c, const GwCallsEnv *env, GwCall *call,
                const GwCallEnd *end)
@@ -113,12 +115,12 @@
     GwCall *attached = call->next_attached;
 
     abandon_attempts(env, call);
-    settle_ticket(c, env, call, end);
+    record_outcome(c, env, call, end);
     emit_finish(env, call, end);
     remove_call(c, call);
     while (attached != NULL) {
         GwCall *next = attached->next_attached;
-#if GW_MUTANT == 16 /* breaks: a resend gets the first one's outcome */
+#if GW_MUTANT == 16 /* breaks: an attached resend gets the same outcome */
         GwCallEnd other = {.outcome = GW_OUTCOME_NOT_RUN,
                            .reason = GW_REASON_DEADLINE};
         end = &other;
@@ -129,13 +131,13 @@
     }
 }
 
-/* Ends the call as not run; where an earlier attempt may have run, the only
- * true outcome is UNKNOWN. */
+/* Finishes the call as NOT_RUN, or as UNKNOWN if an earlier attempt may have
+ * run. */
 void
 GwCalls_FinishNotRun(GwCalls *c, const GwCallsEnv *env, GwCall *call,
                      GwReason reason, uint32_t retry_after_ms)
 {
-#if GW_MUTANT != 8 /* breaks: an earlier attempt may have run */
+#if GW_MUTANT != 8 /* breaks: no NOT_RUN if an attempt may have run */
     if (call->may_have_run) {
         GwCalls_FinishUnknown(c, env, call, reason);
         return;
--- a/lib/entry/calls_start.c
+++ b/lib/entry/calls_start.c
@@ -1,66 +1,68 @@
-/* Waiting, and the start of attempts. */
+/* Queues of waiting calls, and the start of attempts. */
 #include "entry/calls_internal.h"
 
 #include <assert.h>
 #include <string.h>
 
 static GwHeap *
-queue_of(GwCalls *c, const GwCall *call)
+find_queue(GwCalls *c, const GwCall *call)
 {
     GwServiceCalls *service = &c->services[call->service];
-    bool here = call->relayed && !call->to_owner;
-    return here ? &service->relayed : &service->local;
+    bool must_run_here = call->relayed && !call->to_owner;
+    return must_run_here ? &service->relayed : &service->local;
 }
 
-/* Puts the call into its service's queue, ordered by deadline. */
+/* Adds the call to its service's queue, which is ordered by deadline. */
 void
 GwCalls_Enqueue(GwCalls *c, GwCall *call)
 {
-    assert(call->queue_place == GW_HEAP_OUT);
+    assert(call->queue_index == GW_HEAP_OUT);
     call->state = GW_CALL_WAITING;
-    GwHeap_Push(queue_of(c, call), call->deadline_us, call,
-                &call->queue_place);
+    GwHeap_Push(find_queue(c, call), call->deadline_us, call,
+                &call->queue_index);
     c->waiting_count++;
     c->queued[call->service]++;
 }
 
-/* Takes the call out of its queue, if it is in one. */
+/* Removes the call from its queue; no effect if it is not queued. */
 void
 GwCalls_Dequeue(GwCalls *c, GwCall *call)
 {
-    if (call->queue_place == GW_HEAP_OUT) {
+    if (call->queue_index == GW_HEAP_OUT) {
         return;
     }
-    GwHeap_Remove(queue_of(c, call), &call->queue_place);
+    GwHeap_Remove(find_queue(c, call), &call->queue_index);
     c->waiting_count--;
     c->queued[call->service]--;
 }
 
-/* The time an attempt needs with near certainty, when it is known.
+/* Returns the time an attempt takes at most, by the service's latency
+ * estimate; 0 without samples.
  *
- * A non-idempotent call started with less time left than its server mostly
- * takes ends in UNKNOWN, which costs its caller far more than a refusal. An
- * idempotent one wastes its slot: under overload the queue, ordered by
- * deadline, would start every call just too late. Each asks for no more than
- * half of the time the call had, so that a wrong estimate can't refuse
- * everything and stay unmended. */
+ * A non-idempotent call started with less time left is likely to end as
+ * UNKNOWN, which costs its caller far more than a refusal. An idempotent call
+ * would waste its slot: under overload the queue, ordered by deadline, would
+ * start every call just too late. The result is limited to half of the call's
+ * total time: an estimate that is far too high would otherwise refuse every
+ * call, and without new samples never be corrected. */
 static int64_t
 time_needed_us(const GwCalls *c, const GwCall *call)
 {
     const GwLatency *latency = &c->services[call->service].latency;
     int64_t half = (call->deadline_us - call->arrived_us) / 2;
-    int64_t need = GwLatency_High(latency);
+    int64_t need = GwLatency_UpperBound(latency);
 
     return need < half ? need : half;
 }
 
-/* Whether a call that has not started can no longer make its deadline. */
+/* Returns whether an attempt started now would probably miss the deadline. */
 bool
-GwCalls_IsHopeless(const GwCalls *c, const GwCall *call, int64_t now_us)
+GwCalls_WillMissDeadline(const GwCalls *c, const GwCall *call, int64_t now_us)
 {
     return now_us + time_needed_us(c, call) >= call->deadline_us;
 }
 
+/* Returns when to start a hedge; INT64_MAX if the call gets none. */
 static int64_t
 hedge_time_us(const GwCalls *c, const GwCallsEnv *env, const GwCall *call)
 {
@@ -76,9 +78,10 @@
     return call->attempts[0].started_us + service->latency.quantile_us;
 }
 
-/* Works out when the call has to be looked at next. */
+/* Sets the call's timer to its next due time: deadline, latest useful start,
+ * end of back-off, time-out of an attempt, or hedge. */
 void
-GwCalls_SetDue(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+GwCalls_UpdateTimer(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
     int64_t due = call->deadline_us;
 
@@ -101,11 +104,11 @@
         }
     }
     call->due_us = due;
-    if (call->timer_place == GW_HEAP_OUT) {
-        GwHeap_Push(&c->timers, due, call, &call->timer_place);
+    if (call->timer_index == GW_HEAP_OUT) {
+        GwHeap_Push(&c->timers, due, call, &call->timer_index);
     }
     else {
-        GwHeap_Move(&c->timers, &call->timer_place, due);
+        GwHeap_Move(&c->timers, &call->timer_index, due);
     }
 }
 
@@ -176,19 +179,19 @@
     emit_relay(env, call, attempt, pick->peer, pick->address, pick->grant);
 }
 
-/* Relays a call to the entry that owns its ticket, whatever the place. */
+/* Relays a call to the entry that owns its ticket, in any region. */
 void
-GwCalls_StartOwner(GwCalls *c, const GwCallsEnv *env, GwCall *call,
-                   const GwMember *owner)
+GwCalls_RelayToOwner(GwCalls *c, const GwCallsEnv *env, GwCall *call,
+                     const GwMember *owner)
 {
     GwAttempt *attempt = begin_attempt(c, env, call, GW_ATTEMPT_OWNER);
     emit_relay(env, call, attempt, owner->info.id, owner->info.peer_address,
                0);
-    GwCalls_SetDue(c, env, call);
+    GwCalls_UpdateTimer(c, env, call);
 }
 
 static void
-pick_for(const GwCallsEnv *env, const GwCall *call, GwPick *pick)
+pick_target(const GwCallsEnv *env, const GwCall *call, GwPick *pick)
 {
     GwPickAsk ask = {.service = call->service,
                      .idempotent = call->idempotent,
@@ -203,10 +206,10 @@
                  pick);
 }
 
-/* Tries to start the call with the earliest deadline of one queue. False
- * when nothing is free for it. */
+/* Starts or refuses the call with the earliest deadline of one queue. Returns
+ * false if the queue is empty or no capacity is free for that call. */
 static bool
-start_top(GwCalls *c, const GwCallsEnv *env, GwHeap *queue)
+start_earliest(GwCalls *c, const GwCallsEnv *env, GwHeap *queue)
 {
     GwCall *call = GwHeap_Top(queue);
     GwPick pick;
@@ -214,12 +217,12 @@
     if (call == NULL) {
         return false;
     }
-    if (GwCalls_IsHopeless(c, call, env->now_us)) {
+    if (GwCalls_WillMissDeadline(c, call, env->now_us)) {
         GwCalls_FinishNotRun(c, env, call, GW_REASON_DEADLINE,
                              GW_RETRY_AFTER_MS);
         return true;
     }
-    pick_for(env, call, &pick);
+    pick_target(env, call, &pick);
     switch (pick.kind) {
     case GW_PICK_WAIT:
         return false;
@@ -235,16 +238,16 @@
         start_peer(c, env, call, &pick);
         break;
     }
-    GwCalls_SetDue(c, env, call);
+    GwCalls_UpdateTimer(c, env, call);
     return true;
 }
 
-/* Starts waiting calls until nothing is free. Of a service's two queues the
- * one whose first deadline is earlier goes first. Nothing is started while
- * this entry can't know what the others obey: the server it would choose may
- * have been taken out. */
+/* Starts waiting calls until no capacity is free. Of the two queues of a
+ * service, the one with the earlier first deadline is served first. Nothing
+ * starts while the entry is not ready: its configuration may be out of date,
+ * and a chosen backend server may have been removed. */
 void
-GwCalls_Pump(GwCalls *c, const GwCallsEnv *env)
+GwCalls_DispatchWaiting(GwCalls *c, const GwCallsEnv *env)
 {
     if (env->config == NULL || !env->ready || c->waiting_count == 0) {
         return;
@@ -254,19 +257,21 @@
         GwHeap *relayed = &c->services[i].relayed;
         bool started = true;
         while (started) {
-            bool first = GwHeap_TopKey(local) <= GwHeap_TopKey(relayed);
-            started = start_top(c, env, first ? local : relayed) ||
-                      start_top(c, env, first ? relayed : local);
+            bool is_local_first =
+                GwHeap_TopKey(local) <= GwHeap_TopKey(relayed);
+            started =
+                start_earliest(c, env, is_local_first ? local : relayed) ||
+                start_earliest(c, env, is_local_first ? relayed : local);
         }
     }
 }
 
 /* Starts a second attempt of an idempotent call that takes longer than the
- * tracked quantile, when the budget pays for it and another backend server
- * of this region has a free unit. Never into another region: there it would
- * spend headroom that a refused booking could have had. */
+ * tracked quantile, if the retry budget allows and another backend server of
+ * this region has a free unit. A hedge never goes to another region, where it
+ * would use capacity that a non-idempotent call could need. */
 bool
-GwCalls_Hedge(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+GwCalls_TryHedge(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
     GwPick pick;
 
@@ -277,10 +282,10 @@
     call->hedged = true;
     if (c->queued[call->service] > 0 || !env->ready ||
         call->attempts_made >= GW_ATTEMPTS_MAX ||
-        !GwRetryBudget_Draw(&c->services[call->service].budget)) {
+        !GwRetryBudget_TryDraw(&c->services[call->service].budget)) {
         return false;
     }
-    pick_for(env, call, &pick);
+    pick_target(env, call, &pick);
     if (pick.kind == GW_PICK_BACKEND && pick.backend != call->last_backend) {
         start_backend(c, env, call, &pick);
         return true;
--- a/lib/entry/calls_time.c
+++ b/lib/entry/calls_time.c
@@ -1,10 +1,10 @@
-/* What time and departing callers do to open calls. */
+/* Timers, disconnected callers and the graceful stop. */
 #include "entry/calls_internal.h"
 
-/* Treats an attempt past its end as UNKNOWN, without waiting for the host to
- * say so. */
+/* Ends attempts past give_up_us as UNKNOWN, without waiting for the host to
+ * report their end. */
 static void
-give_up_attempts(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+time_out_attempts(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
     uint64_t handle = call->call;
 
@@ -18,7 +18,7 @@
                              .attempt = attempt->number,
                              .outcome = GW_OUTCOME_UNKNOWN,
                              .reason = GW_REASON_SILENT};
-        GwCalls_Attempt(c, env, &ev);
+        GwCalls_EndAttempt(c, env, &ev);
         if (g_hash_table_lookup(c->open, &handle) == NULL) {
             return;
         }
@@ -26,12 +26,12 @@
 }
 
 static void
-past_deadline(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+finish_past_deadline(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
-    bool at_risk =
+    bool may_have_run =
         call->state == GW_CALL_RUNNING || call->state == GW_CALL_ATTACHED;
 
-    if (at_risk) {
+    if (may_have_run) {
         GwCalls_FinishUnknown(c, env, call, GW_REASON_SILENT);
         return;
     }
@@ -40,60 +40,60 @@
     GwCalls_FinishNotRun(c, env, call, reason, GW_RETRY_AFTER_MS);
 }
 
-/* Takes an attached call out of the list of the call it waits for. */
+/* Removes a resend from the list of the call that it is attached to. */
 static void
-detach(GwCalls *c, GwCall *call)
+detach_resend(GwCalls *c, GwCall *call)
 {
     GwRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
-    GwCall *at =
+    GwCall *prev =
         record == NULL ? NULL : g_hash_table_lookup(c->open, &record->call);
 
-    while (at != NULL && at->next_attached != call) {
-        at = at->next_attached;
+    while (prev != NULL && prev->next_attached != call) {
+        prev = prev->next_attached;
     }
-    if (at != NULL) {
-        at->next_attached = call->next_attached;
+    if (prev != NULL) {
+        prev->next_attached = call->next_attached;
     }
     call->next_attached = NULL;
 }
 
 static void
-call_due(GwCalls *c, const GwCallsEnv *env, GwCall *call)
+on_call_timer(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
     if (call->service == GW_NONE && call->state == GW_CALL_BACKOFF) {
         GwCalls_FinishNotRun(c, env, call, GW_REASON_NO_SERVICE, 0);
         return;
     }
     if (call->state == GW_CALL_ATTACHED) {
-        detach(c, call);
+        detach_resend(c, call);
     }
     if (env->now_us >= call->deadline_us) {
-        past_deadline(c, env, call);
+        finish_past_deadline(c, env, call);
         return;
     }
     switch (call->state) {
     case GW_CALL_WAITING:
-        /* The estimate it was due by may have fallen since. */
-        if (GwCalls_IsHopeless(c, call, env->now_us)) {
-            past_deadline(c, env, call);
+        /* The latency estimate may have fallen since the timer was set. */
+        if (GwCalls_WillMissDeadline(c, call, env->now_us)) {
+            finish_past_deadline(c, env, call);
         }
         else {
-            GwCalls_SetDue(c, env, call);
+            GwCalls_UpdateTimer(c, env, call);
         }
         break;
     case GW_CALL_BACKOFF:
         GwCalls_Enqueue(c, call);
-        GwCalls_SetDue(c, env, call);
+        GwCalls_UpdateTimer(c, env, call);
         break;
     case GW_CALL_RUNNING: {
         uint64_t handle = call->call;
         if (call->service != GW_NONE && !call->attempts[1].active) {
-            GwCalls_Hedge(c, env, call);
+            GwCalls_TryHedge(c, env, call);
         }
-        give_up_attempts(c, env, call);
+        time_out_attempts(c, env, call);
         if (g_hash_table_lookup(c->open, &handle) != NULL &&
             call->state == GW_CALL_RUNNING) {
-            GwCalls_SetDue(c, env, call);
+            GwCalls_UpdateTimer(c, env, call);
         }
         break;
     }
@@ -107,17 +107,14 @@
 GwCalls_Tick(GwCalls *c, const GwCallsEnv *env)
 {
     while (GwHeap_TopKey(&c->timers) <= env->now_us) {
-        call_due(c, env, GwHeap_Top(&c->timers));
+        on_call_timer(c, env, GwHeap_Top(&c->timers));
     }
     GwTickets_Expire(c->tickets, env->now_us);
-    GwCalls_Pump(c, env);
+    GwCalls_DispatchWaiting(c, env);
 }
 
-/* The caller hung up. A call that waits, also for its next attempt, is
- * dropped; one that runs goes on, so that its outcome is there for a resend,
- * and so does one whose resend still has a caller. */
 void
-GwCalls_Gone(GwCalls *c, const GwCallsEnv *env, uint64_t handle)
+GwCalls_CallerDisconnected(GwCalls *c, const GwCallsEnv *env, uint64_t handle)
 {
     GwCall *call = g_hash_table_lookup(c->open, &handle);
 
@@ -129,11 +126,12 @@
     }
 }
 
-/* The entry leaves: its seats go to peers, so nothing here will come free for a
- * call that waits. Left in the queue it would be refused at its deadline,
- * and hold up the stop until then; told now, its caller goes elsewhere. */
+/* During a graceful stop the seats go to peers, so no capacity comes free for
+ * waiting calls. Kept in the queue they would be refused at their deadlines
+ * and delay the stop until then; refused now, their callers can use another
+ * entry at once. */
 void
-GwCalls_Leave(GwCalls *c, const GwCallsEnv *env)
+GwCalls_RefuseWaiting(GwCalls *c, const GwCallsEnv *env)
 {
     GPtrArray *waiting = g_ptr_array_new();
     GHashTableIter iter;
--- a/lib/entry/estimate.c
+++ b/lib/entry/estimate.c
@@ -1,13 +1,13 @@
 #include "entry/estimate.h"
 
-/* A full budget covers a short burst of failures; more than that is an
- * outage, in which retries only add load. */
-#define BUDGET_FULL_X100 2000
-#define TOKEN_X100       100
+/* 20 tokens, in hundredths: enough for a short burst of failures. More
+ * failures than that are an outage, in which retries only add load. */
+#define BUDGET_MAX_X100 2000
+#define TOKEN_X100      100
 
-/* Adds one answered attempt. The quantile moves by a step of the deviation:
- * up by p where a sample lies above it, down by 1 - p where below, so it
- * settles where p of the samples are below. */
+/* The quantile estimate moves in steps proportional to the deviation: up by
+ * p steps for a sample above it, down by 1 - p for one below. It is stable
+ * where a share p of the samples is below. */
 void
 GwLatency_Add(GwLatency *l, int64_t sample_us, uint32_t percentile)
 {
@@ -33,32 +33,30 @@
     }
 }
 
-/* A time that few calls exceed: mean plus four deviations. */
+/* Mean plus four deviations. */
 int64_t
-GwLatency_High(const GwLatency *l)
+GwLatency_UpperBound(const GwLatency *l)
 {
     return l->samples == 0 ? 0 : l->mean_us + 4 * l->deviation_us;
 }
 
-/* Starts full, so that the first failure after a start may be retried. */
 void
 GwRetryBudget_Init(GwRetryBudget *b, uint32_t percent)
 {
-    *b = (GwRetryBudget){.percent = percent, .tokens_x100 = BUDGET_FULL_X100};
+    *b = (GwRetryBudget){.percent = percent, .tokens_x100 = BUDGET_MAX_X100};
 }
 
 void
-GwRetryBudget_Pay(GwRetryBudget *b)
+GwRetryBudget_Credit(GwRetryBudget *b)
 {
     b->tokens_x100 += b->percent;
-    if (b->tokens_x100 > BUDGET_FULL_X100) {
-        b->tokens_x100 = BUDGET_FULL_X100;
+    if (b->tokens_x100 > BUDGET_MAX_X100) {
+        b->tokens_x100 = BUDGET_MAX_X100;
     }
 }
 
-/* False when the successes of late have not paid for another attempt. */
 bool
-GwRetryBudget_Draw(GwRetryBudget *b)
+GwRetryBudget_TryDraw(GwRetryBudget *b)
 {
     if (b->tokens_x100 < TOKEN_X100) {
         return false;
--- a/lib/entry/estimate.h
+++ b/lib/entry/estimate.h
@@ -1,13 +1,13 @@
-/* Running estimates of one service at one entry: how long its calls take,
- * and how many retries and hedges its successes have paid for. */
+/* Running estimates of one service at one entry: the latency of its attempts,
+ * and the budget of retries and hedges that its successes earn. */
 #ifndef GW_ENTRY_ESTIMATE_H
 #define GW_ENTRY_ESTIMATE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Mean and mean deviation as TCP keeps them for its round-trip time, and
- * one tracked quantile. Zero samples: no estimate. */
+/* Smoothed mean and mean deviation, as in TCP's round-trip estimator, and one
+ * tracked quantile. No estimate while `samples` is 0. */
 typedef struct {
     uint32_t samples;
     int64_t mean_us;
@@ -15,17 +15,23 @@
     int64_t quantile_us;
 } GwLatency;
 
+/* Adds the duration of an answered attempt. `percentile` (0..99) is the
+ * quantile to track. */
 void GwLatency_Add(GwLatency *l, int64_t sample_us, uint32_t percentile);
-int64_t GwLatency_High(const GwLatency *l);
+/* Returns a duration that few attempts exceed, or 0 without samples. */
+int64_t GwLatency_UpperBound(const GwLatency *l);
 
-/* Retries and hedges draw one whole token; each success pays a share. */
+/* Token bucket: a retry or hedge costs one token, a success adds `percent`
+ * hundredths of a token. */
 typedef struct {
     uint32_t percent;
     uint32_t tokens_x100;
 } GwRetryBudget;
 
+/* Starts full, so that the first failures after a start may be retried. */
 void GwRetryBudget_Init(GwRetryBudget *b, uint32_t percent);
-void GwRetryBudget_Pay(GwRetryBudget *b);
-bool GwRetryBudget_Draw(GwRetryBudget *b);
+void GwRetryBudget_Credit(GwRetryBudget *b);
+/* Takes one token; returns false if there is none. */
+bool GwRetryBudget_TryDraw(GwRetryBudget *b);
 
 #endif
--- a/lib/entry/lookup.c
+++ b/lib/entry/lookup.c
@@ -1,29 +1,29 @@
-/* The answer to "which entries should I use?".
+/* Look-up: the list of entries that a caller should use, best first.
  *
- * The entry that is asked names itself first, since the tickets it gives are
- * its own, unless it carries clearly more than its region's mean: then a share of
- * the answers, as large as its excess, names the least loaded entry first. So
- * callers that moved to the others while an entry was replaced come back to it;
- * without that it would stay empty, and its seats would work only on loan. */
+ * An entry lists itself first, since it owns the tickets that it mints. If its
+ * load is clearly above the mean of its region, a share of its answers equal
+ * to the excess lists the least loaded entry first instead. This moves callers
+ * back to an entry that was replaced; otherwise it would stay idle, and the
+ * units of its seats would be used only on loan. */
 #include "entry/node_internal.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* An entry is over-loaded above this share of the mean, in percent, and by
- * more than one call. The gap keeps callers from moving to and fro on noise
- * and on digests that lag by a heartbeat. */
-#define EXCESS_PERCENT 120
+/* An entry is overloaded if its load exceeds this percentage of the mean by
+ * more than one call. The margin keeps callers from oscillating between
+ * entries, given noise and digests that lag by a heartbeat. */
+#define OVERLOAD_PERCENT 120
 
 typedef struct {
     const GwMember *member;
-    bool local;
-    uint64_t load; /* calls in flight and waiting, of this service */
+    bool local;    /* in the region of this entry */
+    uint64_t load; /* calls of the service, in flight and waiting */
 } Candidate;
 
 typedef struct {
     uint32_t count;
-    Candidate best[GW_LOOKUP_MAX];
+    Candidate best[GW_LOOKUP_MAX]; /* best first */
 } Ranking;
 
 static bool
@@ -35,9 +35,9 @@
     return a->load < b->load;
 }
 
-/* Keeps the GW_LOOKUP_MAX best candidates in order. */
+/* Inserts a candidate, keeping the GW_LOOKUP_MAX best in order. */
 static void
-keep_best(Ranking *r, const Candidate *c)
+insert_candidate(Ranking *r, const Candidate *c)
 {
     uint32_t at = r->count;
 
@@ -57,7 +57,8 @@
     r->best[at] = *c;
 }
 
-/* Members that callers may be sent to: alive, heard directly, not leaving. */
+/* Ranks the members that may serve callers: alive, not leaving, and known
+ * from a direct message. */
 static void
 rank_members(const GwNode *n, uint64_t service, Ranking *r)
 {
@@ -70,8 +71,8 @@
             m->info.id.node == n->params.id.node) {
             continue;
         }
-        /* Most members of other regions are out before their load is looked
-         * up: it could only worsen their place. */
+        /* Skips most members of other regions before the look-up of their
+         * load, which could only lower their rank. */
         bool local = m->info.region == region;
         if (r->count == GW_LOOKUP_MAX && !local &&
             (r->best[GW_LOOKUP_MAX - 1].local ||
@@ -85,13 +86,13 @@
                        .load = digest == NULL ? 0
                                               : (uint64_t)digest->in_flight +
                                                     digest->queued};
-        keep_best(r, &c);
+        insert_candidate(r, &c);
     }
 }
 
-/* How many of GW_LOOKUP_DRAWS answers name another entry first. */
+/* Returns how many of GW_LOOKUP_DRAWS answers list another entry first. */
 static uint32_t
-draws_to_move(uint64_t own_load, const Ranking *r)
+count_moving_draws(uint64_t own_load, const Ranking *r)
 {
     uint64_t total = own_load;
     uint64_t entries = 1;
@@ -100,7 +101,7 @@
         total += r->best[i].load;
         entries++;
     }
-    if (own_load * entries * 100 <= total * EXCESS_PERCENT + entries * 100) {
+    if (own_load * entries * 100 <= total * OVERLOAD_PERCENT + entries * 100) {
         return 0;
     }
     uint64_t excess = own_load * entries - total;
@@ -153,7 +154,7 @@
 
     uint64_t own = (uint64_t)GwSteer_InFlight(n->steer, index) +
                    GwCalls_Queued(n->calls)[index];
-    out->moving_draws = n->leaving ? 0 : draws_to_move(own, &r);
+    out->moving_draws = n->leaving ? 0 : count_moving_draws(own, &r);
     out->self_first = !n->leaving && draw >= out->moving_draws;
     uint32_t first = 0;
     if (!out->self_first && r.count > 0) {
--- a/lib/entry/node.c
+++ b/lib/entry/node.c
@@ -1,5 +1,5 @@
-/* The node facade: routes each event to the part that decides on it and
- * joins what the parts know of each other. */
+/* The node facade: dispatches each event to the module that handles it, and
+ * passes data between the modules. */
 #include "common/log_events.h"
 #include "entry/node_internal.h"
 
@@ -7,13 +7,13 @@
 #include <glib.h>
 #include <string.h>
 
-/* A copy of the look-up is published this often at least, so that suspicion
- * and load reach callers without a step of their own. */
+/* Maximum age of the published look-up snapshot, so that changes of member
+ * state and load reach callers without an event of their own. */
 #define PUBLISH_PERIOD_US 200000
-/* So many peers hear of a new configuration at once; each of them tells as
- * many again. */
-#define HURRY_PEERS 4
-/* Until the region's own number is known. */
+/* Number of peers that a new configuration is announced to at once; each of
+ * them announces it to as many. */
+#define CONFIG_ANNOUNCE_PEERS 4
+/* Used if the configuration does not list the region. */
 #define DEFAULT_SEATS 12
 
 GwNode *
@@ -52,12 +52,12 @@
 static void
 publish(GwNode *n, int64_t now_us, GwActions *out)
 {
-    n->published_us = now_us;
+    n->last_publish_us = now_us;
     GwActions_Add(out, GW_ACTION_PUBLISH);
 }
 
 static GwCallsEnv
-calls_env(GwNode *n, int64_t now_us, GwActions *out)
+make_calls_env(GwNode *n, int64_t now_us, GwActions *out)
 {
     return (GwCallsEnv){.now_us = now_us,
                         .config = n->config,
@@ -70,7 +70,7 @@
 }
 
 static GwCargo
-cargo(GwNode *n, int64_t now_us)
+make_cargo(GwNode *n, int64_t now_us)
 {
     GwCargo c = {0};
     c.config_version = n->config == NULL ? 0 : n->config->version;
@@ -80,71 +80,72 @@
 }
 
 static uint32_t
-seats_of_region(const GwConfig *config, const char *region)
+find_seat_count(const GwConfig *config, const char *region)
 {
     uint32_t at = GwConfig_FindRegion(config, region);
     return at == GW_NONE ? DEFAULT_SEATS : config->regions[at].seats;
 }
 
-/* Puts a configuration in force in every part within this one step, and
- * hurries its spread. */
+/* Applies a new configuration to all modules within one step, and announces
+ * its version to some peers at once. */
 static void
-config_changed(GwNode *n, int64_t now_us, GwActions *out)
+apply_config(GwNode *n, int64_t now_us, GwActions *out)
 {
     n->config = GwSync_Config(n->sync);
-    GwSeats_Configure(n->seats, seats_of_region(n->config, n->params.region));
+    GwSeats_Configure(n->seats, find_seat_count(n->config, n->params.region));
     GwSteer_Configure(n->steer, now_us, n->config);
     GwCalls_Configure(n->calls, now_us, n->config);
-    GwCargo c = cargo(n, now_us);
-    GwMembers_Hurry(n->members, now_us, HURRY_PEERS, &c, out);
+    GwCargo c = make_cargo(n, now_us);
+    GwMembers_Hurry(n->members, now_us, CONFIG_ANNOUNCE_PEERS, &c, out);
     publish(n, now_us, out);
 }
 
-/* Asks peers for slots in the step in which a call has to wait: at the next
- * tick it would have waited half a tick longer than the loan takes. */
+/* Requests loans of slots from peers in the step in which a call starts to
+ * wait; left to the next tick, the call would wait half a tick longer on
+ * average. */
 static void
-borrow(GwNode *n, int64_t now_us, GwActions *out)
+request_loans(GwNode *n, int64_t now_us, GwActions *out)
 {
     GwSteer_Borrow(n->steer, now_us, n->members, n->seats,
                    GwCalls_Queued(n->calls), out);
 }
 
 static void
-pump(GwNode *n, int64_t now_us, GwActions *out)
+dispatch_waiting(GwNode *n, int64_t now_us, GwActions *out)
 {
-    GwCallsEnv env = calls_env(n, now_us, out);
-    GwCalls_Pump(n->calls, &env);
-    borrow(n, now_us, out);
+    GwCallsEnv env = make_calls_env(n, now_us, out);
+    GwCalls_DispatchWaiting(n->calls, &env);
+    request_loans(n, now_us, out);
 }
 
 /* ---- events --------------------------------------------------------------- */
 
-/* The stop is over once nothing runs, nothing is lent or borrowed, every
- * seat has a new holder, and no caller's cached look-up names this entry
- * any more. Seats and loans are waited for only up to the bound (peers and
- * the store may both be away; a loan ends by itself and a seat is reclaimed),
- * calls always: they end by their own deadlines. */
+/* Emits STOPPED once no call is open, nothing is lent or borrowed, every seat
+ * is handed over, and all cached look-ups that list this entry have expired.
+ * Calls are always waited for: they end by their deadlines. Seats and loans
+ * are waited for up to leave_bound_ms, since peers and the store may be
+ * unavailable; loans expire, and peers reclaim the seats. */
 static void
 check_stopped(GwNode *n, int64_t now_us, GwActions *out)
 {
-    bool idle = GwSteer_Leave(n->steer, now_us, n->members, out);
-    int64_t since_ms = (now_us - n->leave_at_us) / 1000;
-    bool handed = idle && GwSeats_HeldCount(n->seats) == 0;
+    bool is_idle = GwSteer_Leave(n->steer, now_us, n->members, out);
+    int64_t since_ms = (now_us - n->leave_began_us) / 1000;
+    bool is_handed_over = is_idle && GwSeats_HeldCount(n->seats) == 0;
 
-#if GW_MUTANT == 7 /* breaks: a stop waits for its calls */
+#if GW_MUTANT == 7 /* breaks: a graceful stop waits for open calls */
     if (!n->stopped &&
 #else
-    if (!n->stopped && GwCalls_Open(n->calls) == 0 &&
+    if (!n->stopped && GwCalls_OpenCount(n->calls) == 0 &&
 #endif
         since_ms >= n->params.lookup_ttl_ms &&
-        (handed || since_ms >= n->params.leave_bound_ms)) {
+        (is_handed_over || since_ms >= n->params.leave_bound_ms)) {
         n->stopped = true;
         GwActions_Add(out, GW_ACTION_STOPPED);
     }
 }
 
-/* The cargo looks at every slot, so it is made only for a tick that may
- * send. */
+/* Building the heartbeat content scans all slots, so it is done only for a
+ * tick that may send. */
 static void
 tick_members(GwNode *n, int64_t now_us, GwActions *out)
 {
@@ -154,7 +155,7 @@
         GwMembers_Tick(n->members, now_us, &none, out);
         return;
     }
-    GwCargo c = cargo(n, now_us);
+    GwCargo c = make_cargo(n, now_us);
     GwMembers_Tick(n->members, now_us, &c, out);
 }
 
@@ -166,19 +167,19 @@
     GwSync_Tick(n->sync, now_us, out);
     GwSteer_Tick(n->steer, now_us, n->members, n->seats,
                  GwCalls_Queued(n->calls), out);
-    GwCallsEnv env = calls_env(n, now_us, out);
+    GwCallsEnv env = make_calls_env(n, now_us, out);
     GwCalls_Tick(n->calls, &env);
     if (n->leaving) {
         check_stopped(n, now_us, out);
     }
-    if (now_us - n->published_us >= PUBLISH_PERIOD_US) {
+    if (now_us - n->last_publish_us >= PUBLISH_PERIOD_US) {
         publish(n, now_us, out);
     }
 }
 
-/* An address to answer a peer at: members carry theirs. */
+/* Returns the address for replies to a peer, "" if it is not a member. */
 static const char *
-address_of(const GwNode *n, GwNodeId id)
+find_peer_address(const GwNode *n, GwNodeId id)
 {
     const GwMember *member = GwMembers_Find(n->members, id.node);
     return member == NULL ? "" : member->info.peer_address;
@@ -188,14 +189,14 @@
 on_heartbeat(GwNode *n, int64_t now_us, const GwMessage *msg, GwActions *out)
 {
     const GwHeartbeat *beat = &msg->u.heartbeat;
-    GwCargo c = cargo(n, now_us);
+    GwCargo c = make_cargo(n, now_us);
 
     bool changed = GwMembers_Receive(n->members, now_us, msg, &c, out);
     for (uint32_t i = 0; i < beat->drain_count; i++) {
         GwSteer_DrainHint(n->steer, now_us, beat->drains[i].backend,
                           beat->drains[i].ttl_ms);
     }
-    GwSync_Heard(n->sync, now_us, msg->from, address_of(n, msg->from),
+    GwSync_Heard(n->sync, now_us, msg->from, find_peer_address(n, msg->from),
                  beat->config_version, out);
     if (changed) {
         publish(n, now_us, out);
@@ -213,9 +214,9 @@
         break;
     case GW_MSG_CONFIG_ASK:
     case GW_MSG_CONFIG_DOC:
-        if (GwSync_Receive(n->sync, now_us, msg, address_of(n, msg->from),
-                           out)) {
-            config_changed(n, now_us, out);
+        if (GwSync_Receive(n->sync, now_us, msg,
+                           find_peer_address(n, msg->from), out)) {
+            apply_config(n, now_us, out);
         }
         break;
     case GW_MSG_LOAN_ASK:
@@ -232,13 +233,14 @@
 }
 
 static void
-on_table(GwNode *n, int64_t now_us, const GwTableReply *reply, GwActions *out)
+on_table_reply(GwNode *n, int64_t now_us, const GwTableReply *reply,
+               GwActions *out)
 {
     if (GW_TOKEN_KIND(reply->token) == GW_TOKEN_SEATS) {
         GwSeats_TableReply(n->seats, now_us, reply, n->members, out);
     }
     else if (GwSync_TableReply(n->sync, now_us, reply, out)) {
-        config_changed(n, now_us, out);
+        apply_config(n, now_us, out);
     }
 }
 
@@ -249,32 +251,33 @@
         return;
     }
     n->leaving = true;
-    n->leave_at_us = now_us;
-    GwCargo c = cargo(n, now_us);
+    n->leave_began_us = now_us;
+    GwCargo c = make_cargo(n, now_us);
     GwMembers_Leave(n->members, now_us, &c, out);
     GwSeats_Leave(n->seats, now_us);
-    GwCallsEnv env = calls_env(n, now_us, out);
-    GwCalls_Leave(n->calls, &env);
+    GwCallsEnv env = make_calls_env(n, now_us, out);
+    GwCalls_RefuseWaiting(n->calls, &env);
     GwActions_Log(out, GW_LOG_STOP_BEGIN, "open_calls=%u",
-                  GwCalls_Open(n->calls));
+                  GwCalls_OpenCount(n->calls));
     publish(n, now_us, out);
 }
 
-/* The beat of the seats comes before any decision: a process that was paused
- * learns of it here, whatever event woke it, and stops using its seats and
- * loans before that event can spend one of their units. */
+/* Runs the seat tick, at most once per GW_TICK_US, before an event is handled.
+ * A process that was paused detects the gap here, whatever the event, and
+ * stops using its seats and loans before the event can use their units. */
 static void
-beat(GwNode *n, int64_t now_us, GwActions *out)
+tick_seats(GwNode *n, int64_t now_us, GwActions *out)
 {
-    if (now_us - n->last_beat_us >= GW_TICK_US || n->last_beat_us == 0) {
-#if GW_MUTANT != 10 /* breaks: a woken entry obeys what it slept through */
-        int64_t gap_us = now_us - n->last_beat_us;
-        if (n->last_beat_us != 0 &&
+    if (now_us - n->last_seat_tick_us >= GW_TICK_US ||
+        n->last_seat_tick_us == 0) {
+#if GW_MUTANT != 10 /* breaks: a resumed entry syncs first */
+        int64_t gap_us = now_us - n->last_seat_tick_us;
+        if (n->last_seat_tick_us != 0 &&
             gap_us > (int64_t)n->params.fence_ms * 1000) {
             GwSync_Woke(n->sync, now_us);
         }
 #endif
-        n->last_beat_us = now_us;
+        n->last_seat_tick_us = now_us;
         GwSeats_Tick(n->seats, now_us, n->members, out);
     }
 }
@@ -282,8 +285,8 @@
 void
 GwNode_Step(GwNode *n, int64_t now_us, const GwEvent *event, GwActions *out)
 {
-    beat(n, now_us, out);
-    GwCallsEnv env = calls_env(n, now_us, out);
+    tick_seats(n, now_us, out);
+    GwCallsEnv env = make_calls_env(n, now_us, out);
     switch (event->kind) {
     case GW_EVENT_TICK:
         on_tick(n, now_us, out);
@@ -293,19 +296,19 @@
         break;
     case GW_EVENT_CALL:
         GwCalls_Arrive(n->calls, &env, &event->u.call);
-        borrow(n, now_us, out);
+        request_loans(n, now_us, out);
         return;
     case GW_EVENT_CALL_GONE:
-        GwCalls_Gone(n->calls, &env, event->u.call_gone);
+        GwCalls_CallerDisconnected(n->calls, &env, event->u.call_gone);
         break;
     case GW_EVENT_ATTEMPT:
-        GwCalls_Attempt(n->calls, &env, &event->u.attempt);
+        GwCalls_EndAttempt(n->calls, &env, &event->u.attempt);
         break;
     case GW_EVENT_HEALTH:
         GwSteer_Health(n->steer, now_us, &event->u.health);
         break;
     case GW_EVENT_TABLE:
-        on_table(n, now_us, event->u.table, out);
+        on_table_reply(n, now_us, event->u.table, out);
         break;
     case GW_EVENT_LIST:
         GwMembers_Listed(n->members, now_us, event->u.list, out);
@@ -314,10 +317,10 @@
         on_leave(n, now_us, out);
         break;
     }
-    pump(n, now_us, out);
+    dispatch_waiting(n, now_us, out);
 }
 
-/* ---- what callers ask ------------------------------------------------- */
+/* ---- queries ------------------------------------------------------------ */
 
 GwResult
 GwNode_MintTickets(GwNode *n, int64_t now_us, uint32_t count, GwTicket *out)
@@ -328,5 +331,5 @@
     if (!GwSync_Ready(n->sync, now_us)) {
         return GW_ERR(NOT_READY);
     }
-    return GwCalls_Mint(n->calls, now_us, count, out);
+    return GwCalls_MintTickets(n->calls, now_us, count, out);
 }
--- a/lib/entry/node_dump.c
+++ b/lib/entry/node_dump.c
@@ -102,11 +102,11 @@
         top, "ready", json_object_new_boolean(GwSync_Ready(n->sync, now_us)));
     json_object_object_add(top, "leaving",
                            json_object_new_boolean(n->leaving));
-    GwJson_SetU64(top, "open_calls", GwCalls_Open(n->calls));
+    GwJson_SetU64(top, "open_calls", GwCalls_OpenCount(n->calls));
     json_object_object_add(top, "members", dump_members(n, now_us));
     json_object_object_add(top, "seats", dump_seats(n));
     json_object_object_add(top, "services", dump_services(n, now_us));
-    GwJson_SetU64(top, "tickets", GwCalls_Tickets(n->calls));
+    GwJson_SetU64(top, "tickets", GwCalls_TicketCount(n->calls));
     GwSteer_Dump(n->steer, now_us, top);
     char *text =
         g_strdup(json_object_to_json_string_ext(top, JSON_C_TO_STRING_PRETTY));
--- a/lib/entry/node_internal.h
+++ b/lib/entry/node_internal.h
@@ -1,4 +1,4 @@
-/* Private to the node facade. */
+/* State of a node; private to the facade, the look-up and the dump. */
 #ifndef GW_ENTRY_NODE_INTERNAL_H
 #define GW_ENTRY_NODE_INTERNAL_H
 
@@ -13,11 +13,11 @@
     GwSteer *steer;
     GwCalls *calls;
     const GwConfig *config; /* in force; owned by sync */
-    bool leaving;
-    bool stopped;
-    int64_t leave_at_us;
-    int64_t last_beat_us;
-    int64_t published_us;
+    bool leaving;           /* a graceful stop has begun */
+    bool stopped;           /* STOPPED was emitted */
+    int64_t leave_began_us;
+    int64_t last_seat_tick_us; /* 0 before the first step */
+    int64_t last_publish_us;
 };
 
 #endif
--- a/lib/entry/tickets.c
+++ b/lib/entry/tickets.c
@@ -6,31 +6,33 @@
 #include <stdio.h>
 #include <string.h>
 
-#define US_PER_MS       1000
-#define HOLD_DEFAULT_US 10000000
+#define US_PER_MS               1000
+#define DEFAULT_REFUSAL_HOLD_US 10000000
 
 struct GwTickets_s {
     GwNodeId self;
     uint32_t capacity;
     int64_t valid_us;
-    int64_t keep_us; /* validity plus retention, from first sight */
-    uint64_t last_seq;
-    int64_t hold_us;        /* how long a refusal stands */
-    int64_t shut_minted_ms; /* the table was full: tickets minted up to here */
-    int64_t shut_until_us;  /*   are refused until then */
-    GQueue refused;         /* GwAge by the end of the hold */
-    GHashTable *by_seq;     /* &record->seq -> GwRecord, owned */
-    GQueue ages;            /* GwAge, oldest first */
+    int64_t keep_us;         /* validity plus retention, from the first use */
+    uint64_t last_seq;       /* last minted */
+    int64_t refusal_hold_us; /* how long a refusal holds */
+    /* Set when the table is full: until the second time, tickets minted at or
+     * before the first are rejected. */
+    int64_t rejected_minted_ms;
+    int64_t rejected_until_us;
+    GQueue refused;     /* GwExpiry of refusals, by end of the hold */
+    GHashTable *by_seq; /* &record->seq -> GwRecord, owned */
+    GQueue expiries;    /* GwExpiry of all records, earliest first */
 };
 
-/* A record's place in the order of expiry. A record that was forgotten and
- * begun again has a later expiry than its first entry here says. */
+/* Element of an expiry queue. It may be stale: a record that was dropped and
+ * created again expires later than its first element says. */
 typedef struct {
     uint64_t seq;
     int64_t expires_us;
-} GwAge;
+} GwExpiry;
 
-/* Reads the text form; GW_ERR(PARSE) when it is not a ticket. */
+/* Parses the text form. Returns GW_ERR(PARSE) if it is not a ticket. */
 GwResult
 GwTicket_Parse(const char *text, GwTicket *out)
 {
@@ -41,8 +43,8 @@
     if (strlen(text) >= GW_TICKET_TEXT_MAX) {
         return GW_ERR(PARSE);
     }
-    /* A field of more than 16 digits is stopped by its width, and the dash
-     * that must follow is then missing: nothing wraps. */
+    /* The field width rejects more than 16 digits, since the dash does not
+     * follow then; so no value overflows. */
     int fields = sscanf(
         text, "%16" SCNx64 "-%16" SCNx64 "-%16" SCNx64 "-%16" SCNx64 "%n",
         &t.owner.node, &t.owner.start, &minted, &t.seq, &used);
@@ -55,7 +57,7 @@
     return 0;
 }
 
-/* Writes the text form that GwTicket_Parse reads. */
+/* Writes the text form that GwTicket_Parse accepts. */
 void
 GwTicket_Format(const GwTicket *t, char out[GW_TICKET_TEXT_MAX])
 {
@@ -64,7 +66,6 @@
              t->owner.node, t->owner.start, (uint64_t)t->minted_ms, t->seq);
 }
 
-/* An empty table for the tickets of one start of one entry. */
 GwTickets *
 GwTickets_Create(const GwNodeParams *params)
 {
@@ -76,9 +77,9 @@
         t->valid_us + (int64_t)params->ticket_retention_ms * US_PER_MS;
     t->by_seq =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    g_queue_init(&t->ages);
+    g_queue_init(&t->expiries);
     g_queue_init(&t->refused);
-    t->hold_us = HOLD_DEFAULT_US;
+    t->refusal_hold_us = DEFAULT_REFUSAL_HOLD_US;
     return t;
 }
 
@@ -89,12 +90,11 @@
         return;
     }
     g_hash_table_destroy(t->by_seq);
-    g_queue_clear_full(&t->ages, g_free);
+    g_queue_clear_full(&t->expiries, g_free);
     g_queue_clear_full(&t->refused, g_free);
     g_free(t);
 }
 
-/* A ticket costs nothing until it is sent: no record is made for it. */
 GwTicket
 GwTickets_Mint(GwTickets *t, int64_t now_us)
 {
@@ -109,53 +109,53 @@
     return g_hash_table_lookup(t->by_seq, &seq);
 }
 
-/* What this entry may do with a ticket that a call brought. */
 GwTicketCheck
 GwTickets_Check(GwTickets *t, int64_t now_us, const GwTicket *ticket,
                 GwRecord **record)
 {
     if (!GwNodeId_Equal(ticket->owner, t->self)) {
-        return GW_TICKET_OTHER;
+        return GW_TICKET_FOREIGN;
     }
     if (ticket->seq > t->last_seq || ticket->minted_ms > now_us / US_PER_MS) {
-        return GW_TICKET_BAD;
+        return GW_TICKET_INVALID;
     }
     *record = GwTickets_Find(t, ticket->seq);
-#if GW_MUTANT == 17 /* breaks: a ticket that runs is not run beside itself */
+#if GW_MUTANT == 17 /* breaks: a running ticket is not run twice */
     if (*record != NULL && (*record)->state == GW_RECORD_RUNNING) {
-        GwTickets_Forget(t, ticket->seq);
+        GwTickets_Remove(t, ticket->seq);
         *record = NULL;
     }
 #endif
     if (*record != NULL) {
         return GW_TICKET_KNOWN;
     }
-    /* Without a record an old ticket may have run and been forgotten; to run
-     * it would be a second booking. A record lives longer than its ticket is
-     * valid, so a valid ticket without a record never ran. */
-#if GW_MUTANT != 1 /* breaks: an old ticket is not run again */
+    /* An expired ticket without a record may have run before the record was
+     * dropped, so running it could execute the call twice. A record outlives
+     * the validity of its ticket, so a valid ticket without one never ran. */
+#if GW_MUTANT != 1 /* breaks: an expired ticket is not run again */
     if (now_us - ticket->minted_ms * US_PER_MS > t->valid_us) {
-        return GW_TICKET_OLD;
+        return GW_TICKET_EXPIRED;
     }
 #endif
-    if (now_us < t->shut_until_us && ticket->minted_ms <= t->shut_minted_ms) {
-        return GW_TICKET_SHUT;
+    if (now_us < t->rejected_until_us &&
+        ticket->minted_ms <= t->rejected_minted_ms) {
+        return GW_TICKET_REJECTED;
     }
     return GW_TICKET_NEW;
 }
 
-/* Opens the record of a ticket that is about to run. */
 GwRecord *
 GwTickets_Begin(GwTickets *t, int64_t now_us, uint64_t seq, uint64_t call)
 {
-    /* Places in the order of expiry outlive records that were forgotten, so
-     * they are bounded too: a storm of refusals can't grow the queue. */
+    /* Elements of the expiry queue outlive dropped records, so the queue is
+     * bounded too; many refusals would grow it without limit otherwise. */
 #if GW_MUTANT != 18 /* breaks: the table is bounded */
     if (g_hash_table_size(t->by_seq) >= t->capacity ||
-        g_queue_get_length(&t->ages) / 2 >= t->capacity) {
-        /* There is no room for a record of this refusal either. */
-        t->shut_minted_ms = now_us / US_PER_MS;
-        t->shut_until_us = now_us + t->hold_us;
+        g_queue_get_length(&t->expiries) / 2 >= t->capacity) {
+        /* This refusal can't be recorded either, so all tickets minted until
+         * now are rejected instead. */
+        t->rejected_minted_ms = now_us / US_PER_MS;
+        t->rejected_until_us = now_us + t->refusal_hold_us;
         return NULL;
     }
 #endif
@@ -166,77 +166,78 @@
     record->expires_us = now_us + t->keep_us;
     g_hash_table_insert(t->by_seq, &record->seq, record);
 
-    GwAge *age = g_new(GwAge, 1);
-    *age = (GwAge){.seq = seq, .expires_us = record->expires_us};
-    g_queue_push_tail(&t->ages, age);
+    GwExpiry *expiry = g_new(GwExpiry, 1);
+    *expiry = (GwExpiry){.seq = seq, .expires_us = record->expires_us};
+    g_queue_push_tail(&t->expiries, expiry);
     return record;
 }
 
 void
-GwTickets_SetHold(GwTickets *t, int64_t hold_us)
+GwTickets_SetRefusalHold(GwTickets *t, int64_t refusal_hold_us)
 {
-    t->hold_us = hold_us;
+    t->refusal_hold_us = refusal_hold_us;
 }
 
-/* Another sending of the ticket may still be on its way: through an entry that
- * has died since, or on a slow link. Were it run, the caller that was told
- * "not run", and booked again, would have booked twice. So the refusal
- * stands until every sending before it is past its deadline. */
+/* Another send of the ticket may still be in transit: through an entry that
+ * has failed since, or on a slow link. If it ran, a caller that got NOT_RUN
+ * and repeated the request with a new ticket would have it executed twice. So
+ * the refusal holds until every earlier send is past its deadline. */
 void
 GwTickets_Refuse(GwTickets *t, int64_t now_us, GwRecord *record,
                  GwReason reason, uint32_t retry_after_ms)
 {
-    GwAge *age = g_new(GwAge, 1);
+    GwExpiry *expiry = g_new(GwExpiry, 1);
 
     record->state = GW_RECORD_REFUSED;
     record->reason = reason;
     record->retry_after_ms = retry_after_ms;
-    record->refused_until_us = now_us + t->hold_us;
-    *age = (GwAge){.seq = record->seq, .expires_us = record->refused_until_us};
-    g_queue_push_tail(&t->refused, age);
+    record->refused_until_us = now_us + t->refusal_hold_us;
+    *expiry =
+        (GwExpiry){.seq = record->seq, .expires_us = record->refused_until_us};
+    g_queue_push_tail(&t->refused, expiry);
 }
 
 void
-GwTickets_Forget(GwTickets *t, uint64_t seq)
+GwTickets_Remove(GwTickets *t, uint64_t seq)
 {
     g_hash_table_remove(t->by_seq, &seq);
 }
 
-/* Refusals are dropped early, or a storm of them would fill the table. */
+/* Drops refusals at the end of their hold, before retention ends; many
+ * refusals would fill the table otherwise. */
 static void
 expire_refused(GwTickets *t, int64_t now_us)
 {
-    GwAge *age = g_queue_peek_head(&t->refused);
+    GwExpiry *expiry = g_queue_peek_head(&t->refused);
 
-    while (age != NULL && age->expires_us <= now_us) {
-        GwRecord *record = GwTickets_Find(t, age->seq);
+    while (expiry != NULL && expiry->expires_us <= now_us) {
+        GwRecord *record = GwTickets_Find(t, expiry->seq);
         if (record != NULL && record->state == GW_RECORD_REFUSED &&
             record->refused_until_us <= now_us) {
-            GwTickets_Forget(t, age->seq);
+            GwTickets_Remove(t, expiry->seq);
         }
         g_free(g_queue_pop_head(&t->refused));
-        age = g_queue_peek_head(&t->refused);
+        expiry = g_queue_peek_head(&t->refused);
     }
 }
 
-/* Drops records whose ticket has been invalid for the whole retention. A
- * record still RUNNING is kept: its call ends by its own deadline. */
+/* A record that is still RUNNING is kept: its call ends by its deadline. */
 void
 GwTickets_Expire(GwTickets *t, int64_t now_us)
 {
     expire_refused(t, now_us);
-    GwAge *age = g_queue_peek_head(&t->ages);
+    GwExpiry *expiry = g_queue_peek_head(&t->expiries);
 
-    while (age != NULL && age->expires_us <= now_us) {
-        GwRecord *record = GwTickets_Find(t, age->seq);
+    while (expiry != NULL && expiry->expires_us <= now_us) {
+        GwRecord *record = GwTickets_Find(t, expiry->seq);
         if (record != NULL && record->expires_us <= now_us) {
             if (record->state == GW_RECORD_RUNNING) {
                 return;
             }
-            g_hash_table_remove(t->by_seq, &age->seq);
+            g_hash_table_remove(t->by_seq, &expiry->seq);
         }
-        g_free(g_queue_pop_head(&t->ages));
-        age = g_queue_peek_head(&t->ages);
+        g_free(g_queue_pop_head(&t->expiries));
+        expiry = g_queue_peek_head(&t->expiries);
     }
 }
 
--- a/tests/property/calls.cpp
+++ b/tests/property/calls.cpp
@@ -1,10 +1,11 @@
-/* The request machine alone, with a steer that gives, refuses and withholds
- * by chance: callers that resend and hang up, attempts that end in every way
- * and order, services that are renumbered, taken out and put back, operations
- * that become idempotent, a full table, an entry that is not ready or leaves.
- * What must hold: one FINISH a call; no second dispatch of a ticket while an
- * earlier one may have run; "not run" only when nothing of it may have run;
- * one Done for each Pick; resends that waited get the first one's outcome. */
+/* The call state machine alone, with a fake GwSteer that picks, refuses or
+ * returns WAIT at random: callers resend and disconnect, attempts end in every
+ * way and order, services are renumbered, removed and added again, operations
+ * become idempotent, the ticket table is full, the entry is not ready or
+ * stops.
+ * Invariants: one FINISH per call; no second dispatch of a ticket while an
+ * earlier one may have run; NOT_RUN only if no attempt may have run; one Done
+ * per Pick; attached resends get the outcome of the first call. */
 #include <glib.h>
 
 extern "C" {
@@ -33,7 +34,7 @@
 constexpr int64_t RETENTION_MS = 800;
 constexpr int64_t SEAT_MS = 2500; /* hold-off less fence */
 constexpr uint64_t SELF = 5;
-constexpr uint64_t FAR = 77;
+constexpr uint64_t PEER = 77; /* node in another region */
 
 enum class Ran { RUNNING, NOT_RUN, MAY, ANSWERED };
 
@@ -41,7 +42,7 @@
     uint64_t handle;
     uint32_t number;
     bool to_owner;
-    bool live; /* the machine still waits for its end */
+    bool live; /* its end is still awaited */
     Ran ran;
     uint32_t use;
     int64_t give_up_us;
@@ -63,8 +64,8 @@
     uint32_t config = 0;
     GwMembers_s members;
     GwSteer_s steer;
-    GwMember far{};
-    bool far_known = true;
+    GwMember peer{};
+    bool peer_known = true;
     bool ready = true;
     bool leaving = false;
     int64_t now_us = 1000000;
@@ -73,12 +74,12 @@
     uint32_t picks = 0;
     uint64_t next_handle = 0;
     std::set<uint32_t> uses;
-    std::vector<uint32_t> picked; /* in this step, whose start is not seen */
+    std::vector<uint32_t> picked; /* in this step, start not yet seen */
     std::map<uint64_t, Call> known;
     std::vector<Attempt> attempts;
     std::vector<GwTicket> tickets;
     std::set<uint64_t> attached;
-    std::set<uint64_t> others; /* open and not attached */
+    std::set<uint64_t> others; /* open calls that are not attached */
 };
 
 World *world;
@@ -105,7 +106,7 @@
     out->kind = GW_PICK_BACKEND;
     if (kind == 3 && !ask->relayed) {
         out->kind = GW_PICK_PEER;
-        out->peer = GwNodeId{FAR, 1};
+        out->peer = GwNodeId{PEER, 1};
         out->grant = 9;
     }
     if (world->pick_mode == 7) {
@@ -119,7 +120,7 @@
     world->picked.push_back(out->use);
 }
 
-/* A unit stays in use as long as its server may run the call. */
+/* Checks that a unit stays in use while its backend server may run the call. */
 void
 GwSteer_Done(GwSteer *, int64_t now_us, uint32_t use,
              const GwAttemptEvent *end, int64_t hold_until_us)
@@ -139,7 +140,7 @@
 const GwMember *
 GwMembers_Find(const GwMembers *, uint64_t node)
 {
-    return node == FAR && world->far_known ? &world->far : nullptr;
+    return node == PEER && world->peer_known ? &world->peer : nullptr;
 }
 }
 
@@ -157,7 +158,7 @@
     return a.ticket.seq != 0 && keyOf(a.ticket) == keyOf(b.ticket);
 }
 
-/* Whether an attempt is of this call, or of its ticket through any call. */
+/* Returns whether an attempt belongs to this call or to any with its ticket. */
 bool
 concerns(const World &w, const Attempt &a, uint64_t handle)
 {
@@ -183,7 +184,7 @@
     }
     RC_ASSERT(live < 2u);
     RC_ASSERT(number <= 4u);
-    /* The owner alone may run a ticket. */
+    /* Only its owner may run a ticket. */
     if (call.ticket.seq != 0) {
         RC_ASSERT(to_owner == (call.ticket.owner.node != SELF));
     }
@@ -212,25 +213,25 @@
     }
     bool foreign = call.ticket.seq != 0 && call.ticket.owner.node != SELF;
     bool may = false;
-    bool owner_said = false;
+    bool owner_refused = false;
     for (Attempt &a : w.attempts) {
         if (a.handle == f.call && a.live) {
             RC_FAIL("a call ended with an attempt that was not abandoned");
         }
         if (concerns(w, a, f.call)) {
-            /* Of another owner's ticket only that owner can speak. */
+            /* Only the owner knows the outcome of a foreign ticket. */
             may |= a.ran != Ran::NOT_RUN && (!foreign || a.handle == f.call);
-            owner_said |=
+            owner_refused |=
                 a.handle == f.call && a.to_owner && a.ran == Ran::NOT_RUN;
         }
     }
     switch (f.outcome) {
     case GW_OUTCOME_NOT_RUN:
         RC_ASSERT(!may);
-        RC_ASSERT(!foreign || owner_said);
+        RC_ASSERT(!foreign || owner_refused);
         break;
     case GW_OUTCOME_UNKNOWN: {
-        /* Without its service the machine says no more than it must. */
+        /* Without the service, a call with a ticket may be UNKNOWN. */
         may |= f.reason == GW_REASON_NO_SERVICE && call.ticket.seq != 0;
         bool old = w.now_us / MS - call.ticket.minted_ms > VALID_MS;
         RC_ASSERT(may || foreign || attached.count(f.call) > 0 ||
@@ -249,7 +250,7 @@
     }
 }
 
-/* Resends that were attached before the step, by the call they wait for. */
+/* Checks that resends attached before the step finished with their call. */
 void
 checkAttached(const World &w, const std::set<uint64_t> &attached,
               const std::set<uint64_t> &finished)
@@ -301,11 +302,11 @@
     for (const auto &one : w.known) {
         open += one.second.open;
     }
-    RC_ASSERT(open == GwCalls_Open(w.calls));
+    RC_ASSERT(open == GwCalls_OpenCount(w.calls));
 }
 
 void
-carryOut(World &w, GwActions *out)
+applyActions(World &w, GwActions *out)
 {
     std::set<uint64_t> finished;
 
@@ -359,7 +360,7 @@
 
 const char *const services[] = {"a", "b", "c", "gone"};
 
-/* draw: which service, method, ticket and way in. */
+/* Sends a call; `draw` selects service, method, ticket and origin. */
 void
 arrive(World &w, uint32_t draw)
 {
@@ -379,11 +380,11 @@
     if (way == 15) {
         ev.relayed = true;
         ev.grant = draw / 65536 % 3;
-        ev.relay_from = GwNodeId{FAR, 1};
+        ev.relay_from = GwNodeId{PEER, 1};
         call.shifted = true;
     }
     else if (post && way < 10 && !w.tickets.empty()) {
-        /* Mostly a late one: those are resent soon. */
+        /* Mostly one of the latest: callers resend soon. */
         size_t back = draw / 65536 % (way < 7 ? 4 : 64);
         back = back < w.tickets.size() ? back : w.tickets.size() - 1;
         ev.ticket = w.tickets[w.tickets.size() - 1 - back];
@@ -391,7 +392,7 @@
             ev.ticket.owner.node == SELF && draw % 3 == 0;
     }
     else if (post && way == 10) {
-        ev.ticket = GwTicket{GwNodeId{FAR, 1}, w.now_us / MS, 1 + draw % 7};
+        ev.ticket = GwTicket{GwNodeId{PEER, 1}, w.now_us / MS, 1 + draw % 7};
     }
     call.ticket = ev.ticket;
     call.arrived_us = w.now_us;
@@ -400,13 +401,13 @@
     if (call.shifted && ev.grant == 0) {
         RC_ASSERT(out.count == 1u);
     }
-    /* A POST without a ticket was given one on arrival. */
+    /* A POST without a ticket gets one on arrival. */
     auto *inside =
         static_cast<GwCall *>(g_hash_table_lookup(w.calls->open, &ev.call));
     if (inside != nullptr && !call.shifted) {
         w.known[ev.call].ticket = inside->ticket;
     }
-    carryOut(w, &out);
+    applyActions(w, &out);
 }
 
 void
@@ -426,8 +427,8 @@
     }
     GwActions out{};
     GwCallsEnv env = envOf(w, &out);
-    GwCalls_Attempt(w.calls, &env, &ev);
-    carryOut(w, &out);
+    GwCalls_EndAttempt(w.calls, &env, &ev);
+    applyActions(w, &out);
 }
 
 void
@@ -463,25 +464,25 @@
     w.now_us += by_us;
     GwCallsEnv env = envOf(w, &out);
     GwCalls_Tick(w.calls, &env);
-    carryOut(w, &out);
+    applyActions(w, &out);
 }
 
 void
-hangUp(World &w, uint32_t draw)
+disconnect(World &w, uint32_t draw)
 {
     GwActions out{};
     GwCallsEnv env = envOf(w, &out);
     uint64_t back = draw % 8;
-    GwCalls_Gone(w.calls, &env,
-                 w.next_handle > back ? w.next_handle - back : 0);
-    carryOut(w, &out);
+    GwCalls_CallerDisconnected(
+        w.calls, &env, w.next_handle > back ? w.next_handle - back : 0);
+    applyActions(w, &out);
 }
 
 void
 mint(World &w, uint32_t draw)
 {
     GwTicket t;
-    GwCalls_Mint(w.calls, w.now_us, 1, &t);
+    GwCalls_MintTickets(w.calls, w.now_us, 1, &t);
     w.tickets.push_back(t);
 }
 
@@ -521,7 +522,7 @@
         mint(w, draw);
         break;
     case 13:
-        hangUp(w, draw);
+        disconnect(w, draw);
         break;
     case 14:
         w.pick_mode = draw % 16 < 8 ? draw % 8 : 1;
@@ -534,8 +535,8 @@
         w.leaving = draw % 16 == 5;
         break;
     default:
-        w.far_known = draw % 3 != 0;
-        w.far.info.state = draw % 2 == 0 ? GW_MEMBER_ALIVE : GW_MEMBER_DEAD;
+        w.peer_known = draw % 3 != 0;
+        w.peer.info.state = draw % 2 == 0 ? GW_MEMBER_ALIVE : GW_MEMBER_DEAD;
         break;
     }
 }
@@ -588,13 +589,13 @@
                                 "," + service("a", true),
                             3);
     w.configs[3] = configOf(service("a", false), 4);
-    w.far.info.id = GwNodeId{FAR, 1};
-    w.far.info.state = GW_MEMBER_ALIVE;
+    w.peer.info.id = GwNodeId{PEER, 1};
+    w.peer.info.state = GW_MEMBER_ALIVE;
     w.pick_mode = 1;
     GwCalls_Configure(w.calls, w.now_us, w.configs[0]);
 }
 
-/* Hedges begin only after some answers. */
+/* Hedges start only after 20 answers. */
 void
 warmUp(World &w)
 {
@@ -615,7 +616,7 @@
 int
 main()
 {
-    bool ok = rc::check("request machine", [] {
+    bool ok = rc::check("call state machine", [] {
         auto steps = *rc::gen::scale(
             4.0,
             rc::gen::container<std::vector<std::pair<uint32_t, uint32_t>>>(
@@ -629,9 +630,9 @@
         for (const auto &one : steps) {
             step(w, one.first, one.second);
         }
-        /* All deadlines pass: nothing may be left over. */
+        /* All deadlines pass: no call may stay open, no unit in use. */
         tick(w, 5000 * MS);
-        RC_ASSERT(GwCalls_Open(w.calls) == 0u);
+        RC_ASSERT(GwCalls_OpenCount(w.calls) == 0u);
         RC_ASSERT(w.uses.empty());
         tick(w, (VALID_MS + RETENTION_MS) * MS);
         RC_ASSERT(GwTickets_Count(w.calls->tickets) == 0u);
--- a/tests/property/estimate.cpp
+++ b/tests/property/estimate.cpp
@@ -1,5 +1,5 @@
-/* The heap of timers and queues, the quantile by which calls are hedged, and
- * the budget that pays for retries. */
+/* The heap behind timers and queues, the latency quantile that triggers
+ * hedges, and the retry budget. */
 #include <glib.h>
 
 extern "C" {
@@ -20,8 +20,8 @@
     int64_t key = 0;
 };
 
-/* The top is the least key, after any pushes, moves and removals; popping it
- * gives every item that is left, once, in order. */
+/* The top has the least key after any pushes, moves and removals; popping
+ * returns every remaining item once, in order. */
 void
 heapIsOrdered(const std::vector<std::pair<uint8_t, int16_t>> &steps)
 {
@@ -65,9 +65,9 @@
     GwHeap_Free(&heap);
 }
 
-/* With times that are evenly spread, the estimate settles near the quantile:
- * the share of later samples below it is the percentile, give or take a
- * tenth. */
+/* For uniformly distributed samples the estimate converges to the quantile:
+ * the share of the later half of the samples below it is within 10 points of
+ * the percentile. */
 void
 quantileConverges(uint32_t percentile, uint32_t spread_ms,
                   const std::vector<uint32_t> &draws)
@@ -91,9 +91,9 @@
     RC_ASSERT(share <= percentile + 10);
 }
 
-/* Never more retries than a full budget and what successes paid for. */
+/* Retries never exceed a full budget plus the credit of successes. */
 void
-budgetIsKept(uint32_t percent, const std::vector<bool> &steps)
+budgetIsNotExceeded(uint32_t percent, const std::vector<bool> &steps)
 {
     GwRetryBudget budget;
     uint64_t paid = 0;
@@ -103,10 +103,10 @@
     uint64_t full = budget.tokens_x100;
     for (bool success : steps) {
         if (success) {
-            GwRetryBudget_Pay(&budget);
+            GwRetryBudget_Credit(&budget);
             paid += percent;
         }
-        else if (GwRetryBudget_Draw(&budget)) {
+        else if (GwRetryBudget_TryDraw(&budget)) {
             drawn += 100;
         }
         RC_ASSERT(budget.tokens_x100 <= full);
@@ -130,9 +130,9 @@
             4000, rc::gen::resize(100, rc::gen::inRange(0u, 1u << 30)));
         quantileConverges(percentile, spread_ms, draws);
     });
-    ok &= rc::check("budget is kept", [] {
+    ok &= rc::check("budget is not exceeded", [] {
         uint32_t percent = *rc::gen::inRange(0u, 101u);
-        budgetIsKept(percent, *rc::gen::arbitrary<std::vector<bool>>());
+        budgetIsNotExceeded(percent, *rc::gen::arbitrary<std::vector<bool>>());
     });
     return ok ? 0 : 1;
 }
