--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -1,3 +1,5 @@
+/* The look-up answer: its order, how it balances callers, and a graceful
+ * stop. */
 #include "fakes/cluster.h"
 
 #include <criterion/criterion.h>
@@ -6,7 +8,7 @@
 #define NODES 6
 
 static FakeCluster *
-start(char **text)
+start_cluster(char **text)
 {
     *text = FakeConfig_Text(2, 1, 4, 3, 6, 12);
     FakeClusterParams params = {.seed = 11,
@@ -30,18 +32,18 @@
 }
 
 static GwLookup
-look(FakeCluster *c, uint32_t node, uint32_t draw)
+look_up(FakeCluster *c, uint32_t node, uint32_t draw)
 {
     GwLookup lookup;
     cr_assert_gt(GwNode_Lookup(c->nodes[node].node, "s0", draw, &lookup), 0);
     return lookup;
 }
 
-Test(lookup, the_own_region_comes_first_and_nobody_twice)
+Test(lookup, lists_own_region_first_and_no_entry_twice)
 {
     char *text = NULL;
-    FakeCluster *c = start(&text);
-    GwLookup lookup = look(c, 2, 0);
+    FakeCluster *c = start_cluster(&text);
+    GwLookup lookup = look_up(c, 2, 0);
 
     cr_assert_eq(lookup.count, NODES);
     cr_assert_str_eq(lookup.entries[0].name, "entry-2");
@@ -54,8 +56,8 @@
     finish(c, text);
 }
 
-/* Callers of one service take the first entry of each look-up for two
- * seconds, as a caching client does. Returns each local entry's callers. */
+/* Runs callers of one service. Each uses the first entry of a look-up for two
+ * seconds, as a client with a cache does. Sets at[] to the entry of each. */
 static void
 run_callers(FakeCluster *c, uint32_t *at, uint32_t callers, int seconds)
 {
@@ -63,7 +65,7 @@
         FakeCluster_Run(c, c->now_us + 20 * FAKE_MS);
         for (uint32_t k = 0; k < callers; k++) {
             if ((uint32_t)step % 100 == k % 100) {
-                GwLookup lookup = look(c, at[k], k % GW_LOOKUP_DRAWS);
+                GwLookup lookup = look_up(c, at[k], k % GW_LOOKUP_DRAWS);
                 at[k] =
                     (uint32_t)strtoul(lookup.entries[0].name + 6, NULL, 10);
             }
@@ -75,14 +77,14 @@
     }
 }
 
-/* Two of a region's three entries carry all callers, as after the third was
- * replaced: nothing tells their callers of the new one, which would idle with
- * a third of the region's seats. Within ten seconds of look-ups the callers
- * are spread again, and then stay where they are. */
-Test(lookup, callers_come_back_to_a_replaced_entry)
+/* Guards against an idle entry: two of a region's three entries serve all
+ * callers, as after the third was replaced, which holds a third of the seats.
+ * Within ten seconds the look-ups must spread the callers over all three
+ * entries, and move none to the other region. */
+Test(lookup, moves_callers_to_a_replaced_entry)
 {
     char *text = NULL;
-    FakeCluster *c = start(&text);
+    FakeCluster *c = start_cluster(&text);
     uint32_t at[12];
     uint32_t count[NODES] = {0};
 
@@ -99,18 +101,18 @@
     finish(c, text);
 }
 
-Test(lookup, a_leaving_entry_names_the_others)
+Test(lookup, omits_a_stopping_entry)
 {
     char *text = NULL;
-    FakeCluster *c = start(&text);
+    FakeCluster *c = start_cluster(&text);
 
     FakeCluster_Leave(c, 2);
-    GwLookup lookup = look(c, 2, 0);
+    GwLookup lookup = look_up(c, 2, 0);
     cr_expect_eq(lookup.count, NODES - 1);
     cr_expect_not(lookup.self_first);
     FakeCluster_Run(c, c->now_us + FAKE_SEC);
     for (uint32_t i = 0; i < NODES; i++) {
-        GwLookup other = look(c, i == 2 ? 0 : i, 0);
+        GwLookup other = look_up(c, i == 2 ? 0 : i, 0);
         for (uint32_t k = 0; k < other.count; k++) {
             cr_expect_str_neq(other.entries[k].name, "entry-2");
         }
