--- a/lib/route/route.c
+++ b/lib/route/route.c
@@ -102,8 +102,8 @@
     return len > 0 && prefix[len - 1] == '/';
 }
 
-/* Few routes are found as fast one after the other. */
-#define INDEX_ABOVE 8
+/* Up to this many routes, linear search is as fast as the index. */
+#define LINEAR_ROUTES_MAX 8
 
 static void
 index_routes(GwRouteHost *host)
@@ -113,7 +113,7 @@
             return;
         }
     }
-    if (host->route_count <= INDEX_ABOVE) {
+    if (host->route_count <= LINEAR_ROUTES_MAX) {
         return;
     }
     host->by_prefix = g_new0(GwRoute *, host->route_count);
@@ -142,24 +142,25 @@
     }
 }
 
-/* Text of a given length against one that ends: as strcmp. */
+/* Compares the first `len` bytes of a path with a whole prefix, as strcmp. */
 static int
-compare_part(const char *part, size_t len, const char *whole)
+compare_with_prefix(const char *path, size_t len, const char *prefix)
 {
-    int order = strncmp(part, whole, len);
+    int order = strncmp(path, prefix, len);
 
-    return order != 0 ? order : whole[len] == '\0' ? 0 : -1;
+    return order != 0 ? order : prefix[len] == '\0' ? 0 : -1;
 }
 
 static const GwRoute *
-find_prefix(const GwRouteHost *host, const char *path, size_t len)
+find_by_prefix(const GwRouteHost *host, const char *path, size_t len)
 {
     uint32_t low = 0;
     uint32_t high = host->route_count;
 
     while (low < high) {
         uint32_t mid = low + (high - low) / 2;
-        int order = compare_part(path, len, host->by_prefix[mid]->prefix);
+        int order =
+            compare_with_prefix(path, len, host->by_prefix[mid]->prefix);
         if (order == 0) {
             return host->by_prefix[mid];
         }
@@ -173,13 +174,14 @@
     return NULL;
 }
 
-/* Each part of the path that ends with a slash, the longest first. */
+/* Looks up each leading part of the path that ends with a slash, the longest
+ * first. */
 static const GwRoute *
 match_indexed(const GwRouteHost *host, const char *path, size_t path_len)
 {
     for (size_t len = path_len; len > 0; len--) {
         const GwRoute *route =
-            path[len - 1] == '/' ? find_prefix(host, path, len) : NULL;
+            path[len - 1] == '/' ? find_by_prefix(host, path, len) : NULL;
         if (route != NULL) {
             return route;
         }
@@ -188,7 +190,7 @@
 }
 
 static const GwRoute *
-match_each(const GwRouteHost *host, const char *path, size_t path_len)
+match_linear(const GwRouteHost *host, const char *path, size_t path_len)
 {
     for (uint32_t i = 0; i < host->route_count; i++) {
         size_t len = strlen(host->routes[i].prefix);
@@ -233,7 +235,7 @@
         return NULL;
     }
     return h->by_prefix != NULL ? match_indexed(h, path, path_len)
-                                : match_each(h, path, path_len);
+                                : match_linear(h, path, path_len);
 }
 
 const GwRouteService *
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -1,7 +1,8 @@
-/* Routes: which service answers a request, and within which limits.
+/* Routes map a request's host and path to a service and its limits.
  *
- * A GwRouting is one version of what operators set. It is immutable and
- * counted: a request keeps the version by which it was admitted. */
+ * A GwRouting is one version of the operators' settings. After GwRouting_Seal
+ * it is immutable and shared by reference count: a request keeps the version
+ * that admitted it. */
 #ifndef GW_ROUTE_ROUTE_H
 #define GW_ROUTE_ROUTE_H
 
@@ -9,7 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* One of the services that a route is split over. */
+/* One service of a route, with its weight in the route's traffic split. */
 typedef struct {
     char *service;
     uint32_t weight;
@@ -17,35 +18,37 @@
 
 typedef struct {
     char *name;
-    char *prefix; /* begins and ends with a slash */
+    char *prefix; /* starts and ends with a slash */
     bool idempotent;
-    bool warm_keys;      /* a server that lately saw the key answers faster */
-    uint32_t timeout_ms; /* longest time a request is kept waiting; 0: none */
-    uint32_t objective_ms; /* an answer later than this is worth less */
-    uint32_t priority;     /* 0 goes first */
-    uint32_t attempts_max; /* backend servers one request may be sent to */
+    /* Servers cache per key: a server that recently served a key answers
+     * requests for that key faster. */
+    bool warm_keys;
+    uint32_t timeout_ms;   /* time limit of a request; 0: none */
+    uint32_t objective_ms; /* latency objective */
+    uint32_t priority;     /* 0 is the highest */
+    uint32_t attempts_max; /* backend servers tried per request */
     uint32_t part_count;
     GwRoutePart *parts;
-    uint32_t home_count; /* 0: any region */
-    char **homes;        /* regions that may see the request */
+    uint32_t home_count; /* 0: all regions are allowed */
+    char **homes;        /* regions that may receive the request */
 } GwRoute;
 
 typedef struct {
     char *host;
     uint32_t route_count;
     GwRoute *routes; /* longest prefix first */
-    /* The same by the prefix's text; NULL where a prefix ends with no slash,
-     * or where routes are few. */
+    /* Routes sorted by prefix for binary search; NULL if a prefix lacks the
+     * final slash or the host has few routes (linear search). */
     GwRoute **by_prefix;
 } GwRouteHost;
 
 typedef struct {
     char *name;
-    uint32_t connections_max; /* of one backend server, from all entries */
-    double cold_per_s;        /* requests a second that a cold server bears */
+    uint32_t connections_max; /* per backend server, from all entries */
+    double cold_per_s;        /* requests per second to a cold server */
 } GwRouteService;
 
-/* What a caller may send, and how long it may take. */
+/* Limits on the size and the pace of a caller's requests. */
 typedef struct {
     uint64_t head_bytes;
     uint64_t body_bytes;
@@ -59,7 +62,7 @@
     GwCallerLimits limits;
     uint32_t host_count;
     GwRouteHost *hosts;
-    GwRouteHost **by_name; /* the same by name, in any case; see Seal */
+    GwRouteHost **by_name; /* sorted by name, ignoring case */
     uint32_t service_count;
     GwRouteService *services;
 } GwRouting;
@@ -72,15 +75,17 @@
 GwRouting *GwRouting_Create(uint32_t host_count, uint32_t service_count);
 GwRouting *GwRouting_Ref(GwRouting *r);
 void GwRouting_Unref(GwRouting *r);
-/* Sorts hosts and their routes; to be called once after filling in. A look-up
- * among 2,000 routes takes 0.15 us then, against 5.9 us one after the other,
- * and each request makes two (build/bench_route_match). */
+/* Sorts hosts and routes for binary search; must be called once, after the
+ * last host, route and service is set. With 2,000 routes a lookup takes
+ * 0.15 us instead of 5.9 us by linear search, and each request makes two. */
 void GwRouting_Seal(GwRouting *r);
-/* The route of a request, or NULL. `host` may carry a port, `path` a query. */
+/* Returns the route with the longest matching prefix, or NULL. `host` may
+ * include a port, `path` a query. */
 const GwRoute *GwRouting_Match(const GwRouting *r, const char *host,
                                const char *path);
+/* Returns NULL if no service has this name. */
 const GwRouteService *GwRouting_Service(const GwRouting *r, const char *name);
-/* Whether the route lets this region see the request. */
+/* Whether the region may receive requests of the route. */
 bool GwRoute_AllowsRegion(const GwRoute *route, const char *region);
 
 #endif
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -1,34 +1,35 @@
+/* Matching of hosts and paths to routes, with and without the index. */
 #include "route/route.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
 static void
-add_route(GwRoute *route, const char *name, const char *prefix)
+set_route(GwRoute *route, const char *name, const char *prefix)
 {
     *route = (GwRoute){.name = g_strdup(name), .prefix = g_strdup(prefix)};
 }
 
 static GwRouting *
-sample(void)
+create_routing(void)
 {
     GwRouting *r = GwRouting_Create(2, 0);
 
     r->hosts[0].host = g_strdup("a.example");
     r->hosts[0].route_count = 3;
     r->hosts[0].routes = g_new0(GwRoute, 3);
-    add_route(&r->hosts[0].routes[0], "short", "/x/");
-    add_route(&r->hosts[0].routes[1], "long", "/x/y/");
-    add_route(&r->hosts[0].routes[2], "other", "/z/");
+    set_route(&r->hosts[0].routes[0], "short", "/x/");
+    set_route(&r->hosts[0].routes[1], "long", "/x/y/");
+    set_route(&r->hosts[0].routes[2], "other", "/z/");
     r->hosts[1].host = g_strdup("b.example");
     r->hosts[1].route_count = 1;
     r->hosts[1].routes = g_new0(GwRoute, 1);
-    add_route(&r->hosts[1].routes[0], "all", "/");
+    set_route(&r->hosts[1].routes[0], "all", "/");
     GwRouting_Seal(r);
     return r;
 }
 
-Test(route, host_and_longest_prefix_decide)
+Test(route, longest_prefix_of_the_host_matches)
 {
     static const struct {
         const char *host;
@@ -48,7 +49,7 @@
         {"c.example", "/x/", NULL},
         {"", "/x/", NULL},
     };
-    GwRouting *r = sample();
+    GwRouting *r = create_routing();
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         const GwRoute *route =
@@ -63,9 +64,9 @@
     GwRouting_Unref(r);
 }
 
-/* Two thousand routes, and a request's path against each: found by the index
- * as by looking at one after the other, whatever the path. */
-Test(route, many_routes_are_found_as_few_are)
+/* With 700 routes on each of three hosts, the index finds the same route as a
+ * linear search for the longest matching prefix. */
+Test(route, index_finds_the_longest_prefix)
 {
     GwRouting *r = GwRouting_Create(3, 0);
     uint32_t seed = 7;
@@ -80,7 +81,7 @@
                            : i % 3 == 1
                                ? g_strdup_printf("/r%u/x/", i - 1)
                                : g_strdup_printf("/r%u/x/%u/", i - 2, i);
-            add_route(&host->routes[i], prefix, prefix);
+            set_route(&host->routes[i], prefix, prefix);
             g_free(prefix);
         }
     }
