--- a/lib/store/away.c
+++ b/lib/store/away.c
@@ -1,7 +1,7 @@
 #include "store/away.h"
 
-#define WAIT_MS      3500
-#define WAIT_AWAY_MS 800
+#define WAIT_MS        3500
+#define WAIT_OUTAGE_MS 800
 
 bool
 GwStoreSight_WasAway(const GwStoreSight *sight)
@@ -13,5 +13,5 @@
 uint32_t
 GwStorePoll_WaitMs(bool was_away)
 {
-    return was_away ? WAIT_AWAY_MS : WAIT_MS;
+    return was_away ? WAIT_OUTAGE_MS : WAIT_MS;
 }
--- a/lib/store/away.h
+++ b/lib/store/away.h
@@ -1,33 +1,36 @@
-/* Whether the store was away, or only this entry was cut off from it. */
+/* Tells an outage of the store from a lost connection of one entry, and sets
+ * the timing of polls. */
 #ifndef GW_STORE_AWAY_H
 #define GW_STORE_AWAY_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What an entry knows when its own polls, or a peer's, have failed and are
- * answered again. */
+/* Results of polls, taken when polls of this entry or of a peer succeed again
+ * after failures. */
 typedef struct {
-    bool failed;     /* here, or as the peer says of itself */
-    bool reads_well; /* this entry polls, and its polls never failed */
-    uint32_t peers_reading_well;
+    bool failed;     /* polls of this entry, or of a peer by its report */
+    bool reads_well; /* this entry polls, without any failure */
+    uint32_t peers_reading_well; /* peers that report the same */
 } GwStoreSight;
 
-/* Rows of live servers lapse while the store is away, so removals that come
- * right after may be taken back. When another entry read it all the while,
- * nothing lapsed: removals are meant, and holding them back for 2 s sends
- * requests to servers that have left. */
+/* Returns whether the store was unavailable to all entries. Rows of live
+ * servers expire during an outage, so removals right after it may be
+ * temporary and are delayed. If any entry polled without failure, no row
+ * expired: removals are final, and delaying them for 2 s would send requests
+ * to servers that have stopped. */
 bool GwStoreSight_WasAway(const GwStoreSight *sight);
 
-/* How long the store may hold a poll that has nothing to say. Each call is
- * priced; but a store that takes a poll and never answers, while its machine
- * lives, is noticed only when this and GW_POLL_ANSWER_MS are over.
- * `was_away`: it has not answered since it failed. It may go on taking polls
- * that it never answers, so it is asked for less then. */
+/* Returns for how long the store may hold a poll without changes. A long wait
+ * saves calls, which are billed. But a store process that accepts a poll and
+ * never answers, on a running machine, is detected only after this wait plus
+ * GW_POLL_ANSWER_MS. `was_away`: the store has not answered since the last
+ * failure and may keep accepting polls without answering, so the wait is
+ * shorter. */
 uint32_t GwStorePoll_WaitMs(bool was_away);
-/* An answer that is later than the wait by this much won't come. */
+/* A poll fails if the answer is later than the wait by this margin. */
 #define GW_POLL_ANSWER_MS 1500
-/* Before a failed call is made again; doubled with each that fails. */
+/* Back-off before a failed call is repeated; doubles with each failure. */
 #define GW_POLL_RETRY_MIN_MS 150
 #define GW_POLL_RETRY_MAX_MS 1000
 
--- a/lib/store/rows.c
+++ b/lib/store/rows.c
@@ -3,24 +3,25 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A dropped row is remembered for so long: longer than a peer may lag. */
-#define MARK_LIFE_US 120000000
+/* Must be longer than the lag of any peer, or that peer restores the row. */
+#define TOMBSTONE_LIFE_US 120000000
 
-/* A row that is absent as of `version`, and counts as gone from `at_us`. */
+/* A row that is absent from the store since `version` and is removed here at
+ * `due_us`, unless the store has the row again by then. */
 typedef struct {
-    int64_t at_us;
+    int64_t due_us;
     uint64_t version;
-} Missing;
+} PendingRemoval;
 
 struct GwRowCache_s {
-    GHashTable *rows;    /* key -> GwStoreRow */
-    GHashTable *missing; /* key -> Missing: gone, unless it comes back */
+    GHashTable *rows;     /* key -> GwStoreRow */
+    GHashTable *removals; /* key -> PendingRemoval */
     uint64_t version;
-    uint64_t marks_since; /* removals above it are all known here */
+    uint64_t tombstones_since; /* all removals above this version are known */
     int64_t grace_until_us;
     int64_t grace_us;
     GwRowChanged changed;
-    GwRowIsNews is_news; /* NULL: every change is */
+    GwRowIsNews is_update; /* NULL: all changes are */
     void *ctx;
 };
 
@@ -43,7 +44,7 @@
     if (row != NULL) {
         g_free(row->key);
         g_free(row->value);
-        g_free(row->news_value);
+        g_free(row->update_value);
         g_free(row);
     }
 }
@@ -83,7 +84,7 @@
 
     cache->rows = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
                                         (GDestroyNotify)GwStoreRow_Free);
-    cache->missing =
+    cache->removals =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cache->changed = changed;
     cache->ctx = ctx;
@@ -95,15 +96,15 @@
 {
     if (cache != NULL) {
         g_hash_table_destroy(cache->rows);
-        g_hash_table_destroy(cache->missing);
+        g_hash_table_destroy(cache->removals);
         g_free(cache);
     }
 }
 
 void
-GwRowCache_SetIsNews(GwRowCache *cache, GwRowIsNews is_news)
+GwRowCache_SetIsNews(GwRowCache *cache, GwRowIsNews is_update)
 {
-    cache->is_news = is_news;
+    cache->is_update = is_update;
 }
 
 uint64_t
@@ -113,48 +114,49 @@
 }
 
 static void
-set_missing(GwRowCache *cache, const char *key, int64_t at_us,
-            uint64_t version)
+schedule_removal(GwRowCache *cache, const char *key, int64_t due_us,
+                 uint64_t version)
 {
-    Missing missing = {at_us, version};
+    PendingRemoval removal = {due_us, version};
 
-    if (!g_hash_table_contains(cache->missing, key)) {
-        g_hash_table_insert(cache->missing, g_strdup(key),
-                            g_memdup2(&missing, sizeof(missing)));
+    if (!g_hash_table_contains(cache->removals, key)) {
+        g_hash_table_insert(cache->removals, g_strdup(key),
+                            g_memdup2(&removal, sizeof(removal)));
     }
 }
 
-/* Whether the row is held and live. */
 static GwStoreRow *
-live_row(const GwRowCache *cache, const char *key)
+find_live_row(const GwRowCache *cache, const char *key)
 {
     GwStoreRow *row = g_hash_table_lookup(cache->rows, key);
 
     return row != NULL && !row->removed ? row : NULL;
 }
 
+/* The value that peers have received. */
 static const char *
-news_of(const GwStoreRow *row)
+value_of_update(const GwStoreRow *row)
 {
-    return row->news_value != NULL ? row->news_value : row->value;
+    return row->update_value != NULL ? row->update_value : row->value;
 }
 
 static bool
-is_news(const GwRowCache *cache, int64_t now_us, const GwStoreRow *old,
-        const GwStoreRow *row)
+is_update_for_peers(const GwRowCache *cache, int64_t now_us,
+                    const GwStoreRow *old, const GwStoreRow *row)
 {
     if (old == NULL || old->removed || row->removed) {
         return true;
     }
-    if (strcmp(news_of(old), row->value) == 0) {
+    if (strcmp(value_of_update(old), row->value) == 0) {
         return false;
     }
-    return cache->is_news == NULL ||
-           cache->is_news(cache->ctx, row->key, news_of(old),
-                          now_us - old->news_us, row->value);
+    return cache->is_update == NULL ||
+           cache->is_update(cache->ctx, row->key, value_of_update(old),
+                            now_us - old->update_us, row->value);
 }
 
-/* A copy that keeps the news of the row before it; NULL: it is news itself. */
+/* Copies a row. The copy keeps the last update of `kept`, or is an update
+ * itself if `kept` is NULL. */
 static GwStoreRow *
 copy_row(int64_t now_us, const GwStoreRow *row, const GwStoreRow *kept)
 {
@@ -163,81 +165,84 @@
 
     copy->removed_us = now_us;
     if (kept == NULL) {
-        copy->news_version = row->version;
-        copy->news_us = now_us;
+        copy->update_version = row->version;
+        copy->update_us = now_us;
         return copy;
     }
-    copy->news_version = kept->news_version;
-    copy->news_us = kept->news_us;
-    copy->news_value = g_strdup(news_of(kept));
+    copy->update_version = kept->update_version;
+    copy->update_us = kept->update_us;
+    copy->update_value = g_strdup(value_of_update(kept));
     return copy;
 }
 
-/* Whether the row brought news. */
+/* Returns whether the row is an update, which peers must receive. */
 static bool
-put(GwRowCache *cache, int64_t now_us, const GwStoreRow *row)
+apply_row(GwRowCache *cache, int64_t now_us, const GwStoreRow *row)
 {
     GwStoreRow *old = g_hash_table_lookup(cache->rows, row->key);
 
     if (old != NULL && old->version >= row->version) {
         return false;
     }
-    /* All that lived at `marks_since` was read: an older row that is not known
-     * here has gone, and this copy of it is late. Nothing would ever remove
-     * it again. */
-    if (old == NULL && row->version <= cache->marks_since) {
+    /* The copy has every row that was live at `tombstones_since`, so an older
+     * row that is unknown here was removed, and its tombstone has expired or
+     * was never seen. No later message would remove that row again. */
+    if (old == NULL && row->version <= cache->tombstones_since) {
         return false;
     }
     if (row->removed && now_us < cache->grace_until_us && old != NULL &&
         !old->removed) {
-        set_missing(cache, row->key, now_us + cache->grace_us, row->version);
+        schedule_removal(cache, row->key, now_us + cache->grace_us,
+                         row->version);
         return true;
     }
-    bool news = is_news(cache, now_us, old, row);
-    /* Peers were told that it is gone. */
-    bool is_back = g_hash_table_remove(cache->missing, row->key);
-    GwStoreRow *copy = copy_row(now_us, row, news || is_back ? NULL : old);
+    bool is_update = is_update_for_peers(cache, now_us, old, row);
+    /* Peers have received the pending removal, so the return is an update. */
+    bool is_restored = g_hash_table_remove(cache->removals, row->key);
+    GwStoreRow *copy =
+        copy_row(now_us, row, is_update || is_restored ? NULL : old);
     g_hash_table_replace(cache->rows, copy->key, copy);
-    if (news) {
+    if (is_update) {
         cache->changed(cache->ctx, copy);
     }
-    return news || is_back;
+    return is_update || is_restored;
 }
 
 static bool
-put_all(GwRowCache *cache, int64_t now_us, const GwRowSet *set)
+apply_rows(GwRowCache *cache, int64_t now_us, const GwRowSet *set)
 {
-    bool news = false;
+    bool has_update = false;
 
     for (guint i = 0; i < set->rows->len; i++) {
-        news |= put(cache, now_us, set->rows->pdata[i]);
+        has_update |= apply_row(cache, now_us, set->rows->pdata[i]);
     }
-    return news;
+    return has_update;
 }
 
 void
 GwRowCache_Apply(GwRowCache *cache, int64_t now_us, const GwRowSet *set)
 {
-    (void)put_all(cache, now_us, set);
+    (void)apply_rows(cache, now_us, set);
     cache->version = MAX(cache->version, set->version);
 }
 
 void
 GwRowCache_ApplyChanges(GwRowCache *cache, int64_t now_us, const GwRowSet *set)
 {
-    if (put_all(cache, now_us, set)) {
+    if (apply_rows(cache, now_us, set)) {
         cache->version = MAX(cache->version, set->version);
     }
 }
 
 static void
-drop(GwRowCache *cache, int64_t now_us, const char *key, uint64_t version)
+remove_row(GwRowCache *cache, int64_t now_us, const char *key,
+           uint64_t version)
 {
-    GwStoreRow gone = {
+    GwStoreRow tombstone = {
         .key = (char *)key, .version = version, .removed = true};
 
     cache->grace_until_us = 0;
-    (void)put(cache, now_us, &gone);
+    (void)apply_row(cache, now_us, &tombstone);
 }
 
 void
@@ -246,7 +251,7 @@
     GHashTable *present = g_hash_table_new(g_str_hash, g_str_equal);
     GHashTableIter iter;
     gpointer value;
-    int64_t gone_us =
+    int64_t due_us =
         now_us < cache->grace_until_us ? now_us + cache->grace_us : now_us;
 
     for (guint i = 0; i < set->rows->len; i++) {
@@ -257,25 +262,24 @@
         const GwStoreRow *row = value;
         if (!row->removed && !g_hash_table_contains(present, row->key) &&
             row->version < set->version) {
-            set_missing(cache, row->key, gone_us, set->version);
+            schedule_removal(cache, row->key, due_us, set->version);
         }
     }
     g_hash_table_destroy(present);
     GwRowCache_Apply(cache, now_us, set);
     GwRowCache_Tick(cache, now_us);
-    /* Rows that came and went meanwhile left no mark here. */
-    cache->marks_since = MAX(cache->marks_since, set->version);
+    /* Rows that were added and removed in the meantime have no tombstone. */
+    cache->tombstones_since = MAX(cache->tombstones_since, set->version);
 }
 
 bool
 GwRowCache_KnowsAllAfter(const GwRowCache *cache, uint64_t version)
 {
-    return version >= cache->marks_since;
+    return version >= cache->tombstones_since;
 }
 
-/* Forgets marks of rows that went long ago. */
 static void
-drop_old_marks(GwRowCache *cache, int64_t now_us)
+drop_expired_tombstones(GwRowCache *cache, int64_t now_us)
 {
     GHashTableIter iter;
     gpointer value;
@@ -283,8 +287,9 @@
     g_hash_table_iter_init(&iter, cache->rows);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwStoreRow *row = value;
-        if (row->removed && now_us - row->removed_us > MARK_LIFE_US) {
-            cache->marks_since = MAX(cache->marks_since, row->version);
+        if (row->removed && now_us - row->removed_us > TOMBSTONE_LIFE_US) {
+            cache->tombstones_since =
+                MAX(cache->tombstones_since, row->version);
             g_hash_table_iter_remove(&iter);
         }
     }
@@ -293,22 +298,22 @@
 typedef struct {
     char *key;
     uint64_t version;
-} Due;
+} DueRemoval;
 
 static GArray *
-collect_due(const GwRowCache *cache, int64_t now_us)
+collect_due_removals(const GwRowCache *cache, int64_t now_us)
 {
-    GArray *due = g_array_new(FALSE, FALSE, sizeof(Due));
+    GArray *due = g_array_new(FALSE, FALSE, sizeof(DueRemoval));
     GHashTableIter iter;
     gpointer key;
     gpointer value;
 
-    g_hash_table_iter_init(&iter, cache->missing);
+    g_hash_table_iter_init(&iter, cache->removals);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const Missing *missing = value;
-        if (missing->at_us <= now_us) {
-            Due one = {g_strdup(key), missing->version};
-            g_array_append_val(due, one);
+        const PendingRemoval *removal = value;
+        if (removal->due_us <= now_us) {
+            DueRemoval item = {g_strdup(key), removal->version};
+            g_array_append_val(due, item);
         }
     }
     return due;
@@ -317,18 +322,18 @@
 void
 GwRowCache_Tick(GwRowCache *cache, int64_t now_us)
 {
-    GArray *due = collect_due(cache, now_us);
+    GArray *due = collect_due_removals(cache, now_us);
 
     for (guint i = 0; i < due->len; i++) {
-        Due *one = &g_array_index(due, Due, i);
-        (void)g_hash_table_remove(cache->missing, one->key);
-        if (live_row(cache, one->key) != NULL) {
-            drop(cache, now_us, one->key, one->version);
+        DueRemoval *item = &g_array_index(due, DueRemoval, i);
+        (void)g_hash_table_remove(cache->removals, item->key);
+        if (find_live_row(cache, item->key) != NULL) {
+            remove_row(cache, now_us, item->key, item->version);
         }
-        g_free(one->key);
+        g_free(item->key);
     }
     g_array_free(due, TRUE);
-    drop_old_marks(cache, now_us);
+    drop_expired_tombstones(cache, now_us);
 }
 
 void
@@ -349,8 +354,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwStoreRow *row = value;
         if (!row->removed &&
-            !g_hash_table_contains(cache->missing, row->key)) {
-            digest ^= XXH64(row->key, strlen(row->key), row->news_version);
+            !g_hash_table_contains(cache->removals, row->key)) {
+            digest ^= XXH64(row->key, strlen(row->key), row->update_version);
         }
     }
     return digest;
@@ -369,7 +374,7 @@
     g_hash_table_iter_init(&iter, cache->rows);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwStoreRow *row = value;
-        if (row->news_version > version && !row->removed) {
+        if (row->update_version > version && !row->removed) {
             bytes += strlen(row->value);
         }
     }
@@ -395,14 +400,15 @@
     g_hash_table_iter_init(&iter, cache->rows);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const GwStoreRow *row = value;
-        const Missing *missing = g_hash_table_lookup(cache->missing, row->key);
-        if (missing != NULL && missing->version > version) {
-            /* Peers judge for themselves how long it may still come back. */
+        const PendingRemoval *removal =
+            g_hash_table_lookup(cache->removals, row->key);
+        if (removal != NULL && removal->version > version) {
+            /* Each peer applies a grace period of its own. */
             g_ptr_array_add(
                 set->rows,
-                GwStoreRow_Create(row->key, NULL, missing->version, true));
+                GwStoreRow_Create(row->key, NULL, removal->version, true));
         }
-        else if (row->news_version > version) {
+        else if (row->update_version > version) {
             g_ptr_array_add(set->rows,
                             GwStoreRow_Create(row->key, row->value,
                                               row->version, row->removed));
--- a/lib/store/rows.h
+++ b/lib/store/rows.h
@@ -1,10 +1,10 @@
-/* Rows of the platform's store as this entry knows them.
+/* A local copy of a table of the platform's store.
  *
- * The copy is fed by the store and, while the store turns this entry away, by
- * peers. Every row carries the store's version of it, which only rises, so
- * whatever comes later or from elsewhere, the greater version wins. Dropped
- * rows are remembered for a while, so that a peer's older copy does not bring
- * them back. */
+ * Rows arrive from the store or, while the store rejects this entry, from
+ * peers. The store assigns each row a version that only increases, so the
+ * greater version wins regardless of source and order of arrival. Removed rows
+ * leave tombstones for a while, so that an older copy from a peer does not
+ * restore them. */
 #ifndef GW_STORE_ROWS_H
 #define GW_STORE_ROWS_H
 
@@ -14,76 +14,79 @@
 
 typedef struct {
     char *key;
-    char *value; /* NUL-terminated; NULL when removed */
+    char *value; /* NULL if removed */
     uint64_t version;
     bool removed;
-    int64_t removed_us; /* when it became known here */
-    /* The last change that was news to entries (GwRowIsNews), and the value
-     * that it brought, where a later one said no more; else NULL. */
-    uint64_t news_version;
-    char *news_value;
-    int64_t news_us;
+    int64_t removed_us; /* when this entry learned of the removal */
+    /* The last change that is sent to peers (GwRowIsNews): its version, its
+     * time, and its value if `value` has changed since; else NULL. */
+    uint64_t update_version;
+    char *update_value;
+    int64_t update_us;
 } GwStoreRow;
 
 GwStoreRow *GwStoreRow_Create(const char *key, const char *value,
                               uint64_t version, bool removed);
 void GwStoreRow_Free(GwStoreRow *row);
 
-/* An answer of the store about rows. */
+/* One page of rows, as read from the store or a peer. */
 typedef struct {
     GPtrArray *rows; /* GwStoreRow, owned */
     uint64_t version;
-    bool more; /* a further page follows the last key */
+    bool more; /* further pages follow after the last key */
 } GwRowSet;
 
 GwRowSet *GwRowSet_Create(void);
 void GwRowSet_Free(GwRowSet *set);
-/* Where the next page begins: behind this key. NULL for a set without rows,
- * and for no set. */
+/* Returns the key after which the next page starts. NULL if the set is NULL or
+ * has no rows. */
 const char *GwRowSet_LastKey(const GwRowSet *set);
 
-/* One table's copy. */
+/* The copy of one table. */
 typedef struct GwRowCache_s GwRowCache;
 
-/* Called for each row that is new or changed; `row->removed` for a dropped
- * one. */
+/* Called for each row that is added, changed or removed (`row->removed`). */
 typedef void (*GwRowChanged)(void *ctx, const GwStoreRow *row);
 
-/* Whether a changed value says more than what is to be expected of the row
- * `age_us` after it had the old one. A warming server counts down in its row,
- * and every entry would be told of each step. */
+/* Returns whether a change must be sent to peers: the new value differs from
+ * what the old value, `age_us` ago, predicts. A warming server counts down in
+ * its row; without this filter each step would be sent to every entry. */
 typedef bool (*GwRowIsNews)(void *ctx, const char *key, const char *old,
                             int64_t age_us, const char *value);
 
 GwRowCache *GwRowCache_Create(GwRowChanged changed, void *ctx);
-void GwRowCache_SetIsNews(GwRowCache *cache, GwRowIsNews is_news);
+void GwRowCache_SetIsNews(GwRowCache *cache, GwRowIsNews is_update);
 void GwRowCache_Free(GwRowCache *cache);
-/* All news up to this version of the store are known. */
+/* The store version up to which the copy has all updates. */
 uint64_t GwRowCache_Version(const GwRowCache *cache);
-/* Takes all that is news up to the set's version, as a peer tells it. */
+/* Applies rows from a peer, which include all updates up to the set's
+ * version. */
 void GwRowCache_Apply(GwRowCache *cache, int64_t now_us, const GwRowSet *set);
-/* Takes changes as the store tells them. The version rises only with news:
- * peers that lack a version ask for it. */
+/* Applies changes from the store. The version increases only with an update,
+ * because peers request every version that they lack. */
 void GwRowCache_ApplyChanges(GwRowCache *cache, int64_t now_us,
                              const GwRowSet *set);
-/* Takes a full reading, of all pages: rows that it lacks are gone, at once or
- * after the grace. */
+/* Applies a snapshot of the whole table. Rows that the snapshot lacks are
+ * removed, immediately or after the grace period. */
 void GwRowCache_ApplyFull(GwRowCache *cache, int64_t now_us,
                           const GwRowSet *set);
-/* Drops what has been missing for its grace, and old marks. */
+/* Removes rows whose grace period is over, and expired tombstones. */
 void GwRowCache_Tick(GwRowCache *cache, int64_t now_us);
-/* Removals that come within `grace_us` count only after it; for the time
- * after the store was away, when rows lapse and come back. */
+/* Delays removals that arrive before `until_us` by `grace_us`: after an outage
+ * of the store, rows of live servers expire and are written again. */
 void GwRowCache_SetGrace(GwRowCache *cache, int64_t until_us,
                          int64_t grace_us);
-/* Whether all removals above the version are known here; else who asks for
- * what is newer has to take the whole table (After 0, ApplyFull). */
+/* Returns whether the copy has all removals above the version. If not, a peer
+ * at that version needs the whole table (GwRowCache_After with version 0, and
+ * GwRowCache_ApplyFull). */
 bool GwRowCache_KnowsAllAfter(const GwRowCache *cache, uint64_t version);
-/* The same for the same live rows with the same news, whatever the version. */
+/* Hash of the live rows and the versions of their last updates. Copies with
+ * equal rows have equal digests, even if their versions differ. */
 uint64_t GwRowCache_Digest(const GwRowCache *cache);
-/* Bytes of the values of rows with news above a version. */
+/* Total length in bytes of the values of rows updated after a version. */
 uint64_t GwRowCache_BytesAfter(const GwRowCache *cache, uint64_t version);
-/* Rows with news above a version, marks included, in order; for peers. */
+/* Copies the rows updated after a version, tombstones included, sorted by
+ * version; for peers. */
 GwRowSet *GwRowCache_After(const GwRowCache *cache, uint64_t version);
 
 #endif
--- a/lib/store/rows_wire.c
+++ b/lib/store/rows_wire.c
@@ -8,7 +8,8 @@
 #include <zstd.h>
 
 #define TARGET_PATH "/rows"
-/* Rows of servers are alike; a higher level saves little more. */
+/* Rows of servers are similar to each other, so a higher level saves little
+ * more. */
 #define ZSTD_LEVEL 3
 
 char *
@@ -81,7 +82,7 @@
 }
 
 static GwRowSet *
-read_set(const Gw__Peer__Rows *rows)
+unpack_set(const Gw__Peer__Rows *rows)
 {
     GwRowSet *set = GwRowSet_Create();
 
@@ -108,16 +109,19 @@
     unsigned long long size = ZSTD_getFrameContentSize(bytes, len);
     GwRowSet *set = NULL;
 
-    if (size > GW_ROWS_MAX_BYTES) { /* unknown and bad are above it too */
+    if (size >
+        GW_ROWS_MAX_BYTES) { /* includes zstd's codes for an unknown size and an error */
         return NULL;
     }
     uint8_t *plain = g_malloc(size + 1);
-    size_t got = ZSTD_decompress(plain, size, bytes, len);
+    size_t plain_len = ZSTD_decompress(plain, size, bytes, len);
     Gw__Peer__Rows *rows =
-        ZSTD_isError(got) ? NULL : gw__peer__rows__unpack(NULL, got, plain);
+        ZSTD_isError(plain_len)
+            ? NULL
+            : gw__peer__rows__unpack(NULL, plain_len, plain);
     g_free(plain);
     if (rows != NULL) {
-        set = read_set(rows);
+        set = unpack_set(rows);
         gw__peer__rows__free_unpacked(rows, NULL);
     }
     return set;
--- a/lib/store/rows_wire.h
+++ b/lib/store/rows_wire.h
@@ -1,5 +1,4 @@
-/* How one entry fetches rows of the store from another: what it asks for, and
- * the rows on the wire. */
+/* Requests for rows of the store between entries, and the encoding of rows. */
 #ifndef GW_STORE_ROWS_WIRE_H
 #define GW_STORE_ROWS_WIRE_H
 
@@ -7,21 +6,21 @@
 
 typedef struct {
     char table[64];
-    uint64_t after;  /* all news up to this version are known; 0: none */
-    uint64_t digest; /* of the rows that the asker has (GwRowCache_Digest) */
+    uint64_t after;  /* the requester has all updates up to this; 0: none */
+    uint64_t digest; /* of the requester's rows (GwRowCache_Digest) */
 } GwRowsAsk;
 
-/* The target of a GET; freed by g_free. */
+/* Returns the target of the GET request; to be freed by g_free. */
 char *GwRowsAsk_WriteTarget(const GwRowsAsk *ask);
-/* False for another target. */
+/* Returns false if the target is not a request for rows. */
 bool GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *ask);
 
-/* Bytes that rows may take, unpacked. */
+/* Limit on the size of a set of rows before compression. */
 #define GW_ROWS_MAX_BYTES (8u << 20)
 
-/* Packed and compressed. */
+/* Encodes and compresses a set. */
 GByteArray *GwRowSet_Pack(const GwRowSet *set);
-/* NULL for what Pack did not write, and for more than GW_ROWS_MAX_BYTES. */
+/* Returns NULL if the bytes are no encoded set or exceed GW_ROWS_MAX_BYTES. */
 GwRowSet *GwRowSet_Unpack(const char *bytes, size_t len);
 
 #endif
--- a/tests/unit/test_rows_wire.c
+++ b/tests/unit/test_rows_wire.c
@@ -1,3 +1,4 @@
+/* Encoding of rows and of requests for rows between entries. */
 #include "store/rows_wire.h"
 
 #include <criterion/criterion.h>
@@ -22,8 +23,7 @@
     return set;
 }
 
-/* Rows that a peer tells are those that it has. */
-Test(rows_wire, rows_are_the_same_behind_the_wire)
+Test(rows_wire, decoded_rows_equal_the_encoded_rows)
 {
     static const uint32_t counts[] = {0, 1, 3, 1000};
 
@@ -48,8 +48,8 @@
     }
 }
 
-/* A torn or foreign answer names no rows. */
-Test(rows_wire, what_was_not_packed_here_is_refused)
+/* Guards against rows read from a truncated answer or another format. */
+Test(rows_wire, truncated_or_foreign_bytes_are_rejected)
 {
     GwRowSet *set = make_set(50);
     GByteArray *bytes = GwRowSet_Pack(set);
@@ -62,7 +62,7 @@
     g_byte_array_free(bytes, TRUE);
 }
 
-Test(rows_wire, targets)
+Test(rows_wire, targets_of_row_requests_are_parsed)
 {
     static const struct {
         const char *target;
@@ -75,8 +75,8 @@
         {"/rows", false},
         {"/other", false},
     };
-    GwRowsAsk ask = {.table = "servers", .after = 42, .digest = 0x1f};
-    char *target = GwRowsAsk_WriteTarget(&ask);
+    GwRowsAsk request = {.table = "servers", .after = 42, .digest = 0x1f};
+    char *target = GwRowsAsk_WriteTarget(&request);
 
     cr_expect_str_eq(target, cases[0].target);
     g_free(target);
