--- a/lib/http/conn.c
+++ b/lib/http/conn.c
@@ -10,17 +10,17 @@
 
 #define GW_CONN_BACKLOG   511
 #define GW_READ_BUF_BYTES 65536
-/* Written to a caller and not taken by the kernel yet; above it no further
- * request is read. */
-#define GW_OUT_MAX_BYTES (256u << 10)
+/* While more bytes than this are queued, no further request is read. */
+#define GW_WRITE_QUEUE_MAX_BYTES (256u << 10)
+
 typedef struct {
     uv_write_t req;
     uv_buf_t buf;
     GwConn *conn;
-} Write;
+} PendingWrite;
 
-/* One buffer serves all connections: libuv hands it out and takes it back
- * within one callback. */
+/* Shared by all connections: libuv uses the buffer only until the read callback
+ * returns. */
 static char read_buf[GW_READ_BUF_BYTES];
 
 static void
@@ -38,9 +38,9 @@
 }
 
 static void
-end(GwConn *c, GwConnEnd how)
+end_conn(GwConn *c, GwConnEnd how)
 {
-    if (c->closing) {
+    if (c->is_closing) {
         return;
     }
     GwConn_CloseHandle(c);
@@ -49,16 +49,16 @@
     }
 }
 
-/* Nothing after ambiguous bytes can be trusted, but the other side may still
- * be told what was wrong: the owner writes and closes. */
+/* Handles malformed input: further bytes can't be trusted, so reading stops,
+ * but the owner may still send an error response before closing. */
 static void
-bad(GwConn *c)
+reject_input(GwConn *c)
 {
-    if (c->finishing) {
-        GwConn_StopWatching(c);
+    if (c->is_finishing) {
+        GwConn_StopReporting(c);
         return;
     }
-    if (c->closing) {
+    if (c->is_closing) {
         return;
     }
     GwConn_Pause(c, true);
@@ -70,9 +70,9 @@
 {
     GwConn *c = owner;
 
-    if (c->closing || c->finishing) {
-        if (c->watching) {
-            GwConn_NoteDropped(c, msg);
+    if (c->is_closing || c->is_finishing) {
+        if (c->reports_dropped) {
+            GwConn_ReportDropped(c, msg);
         }
         GwHttpMessage_Free(msg);
         return;
@@ -85,14 +85,14 @@
 {
     GwConn *c = owner;
 
-    return !c->closing && c->params.ops->to_head != NULL &&
+    return !c->is_closing && c->params.ops->to_head != NULL &&
            c->params.ops->to_head(c->params.owner);
 }
 
-/* libuv takes a hang-up behind a short read for an orderly end without asking
- * the socket, and a reset looks like one then: an answer without a length
- * that was cut off by a reset would be taken for whole. So the socket is
- * asked: only a read of zero bytes is an end in order. */
+/* Checks the socket itself, where only a read of zero bytes is an orderly end.
+ * libuv reports a hang-up after a short read as UV_EOF without reading the
+ * socket, also after a reset; a response without a length that was truncated
+ * by a reset would be taken for complete. */
 static bool
 has_ended_in_order(const GwConn *c)
 {
@@ -109,43 +109,44 @@
     GwConn *c = stream->data;
     GwHttpError error = GW_HTTP_OK;
 
-    if (len == 0 || c->closing) {
+    if (len == 0 || c->is_closing) {
         return;
     }
-    c->heard_us = GwConn_NowUs();
+    c->received_us = GwConn_NowUs();
     if (len == UV_EOF && !has_ended_in_order(c)) {
         len = UV_ECONNRESET;
     }
-    if (c->finishing && len < 0) {
+    if (c->is_finishing && len < 0) {
         GwConn_CloseHandle(c);
         return;
     }
-    if (c->finishing && !c->watching) {
+    if (c->is_finishing && !c->reports_dropped) {
         return;
     }
-    c->feeding = true;
+    c->is_parsing = true;
     if (len > 0) {
         error = GwHttpParser_Feed(c->parser, buf->base, (size_t)len);
     }
     else if (len == UV_EOF) {
         error = GwHttpParser_End(c->parser);
     }
-    c->feeding = false;
+    c->is_parsing = false;
     if (error != GW_HTTP_OK && len > 0) {
-        bad(c);
+        reject_input(c);
     }
     else if (len < 0) {
-        end(c, len == UV_EOF && error == GW_HTTP_OK ? GW_CONN_ENDED
-                                                    : GW_CONN_FAILED);
+        end_conn(c, len == UV_EOF && error == GW_HTTP_OK ? GW_CONN_ENDED
+                                                         : GW_CONN_FAILED);
     }
-    else if (c->params.ops->read != NULL && !c->closing && !c->finishing) {
+    else if (c->params.ops->read != NULL && !c->is_closing &&
+             !c->is_finishing) {
         c->params.ops->read(c->params.owner);
     }
-    GwConn_FreeIfOver(c);
+    GwConn_FreeIfUnused(c);
 }
 
-/* Probes every second, three of them: libuv sets the first one only and
- * leaves minutes between the others. */
+/* Sends a probe every second and fails after three. libuv sets only the delay
+ * of the first probe; the default interval of the others is minutes. */
 static void
 set_keepalive(GwConn *c)
 {
@@ -196,7 +197,7 @@
     c->parser = GwHttpParser_Create(&parser);
     (void)uv_tcp_init(params->loop, &c->tcp);
     c->tcp.data = c;
-    c->heard_us = GwConn_NowUs();
+    c->received_us = GwConn_NowUs();
     return c;
 }
 
@@ -210,7 +211,7 @@
         return NULL;
     }
     set_options(c);
-    c->reading = true;
+    c->is_reading = true;
     (void)uv_read_start((uv_stream_t *)&c->tcp, on_alloc, on_read);
     return c;
 }
@@ -220,16 +221,17 @@
 {
     GwConn *c = req->data;
 
-    c->connecting = false;
-    if (c->closing) {
+    c->is_connecting = false;
+    if (c->is_closing) {
         return;
     }
     if (status != 0) {
-        end(c, status == UV_ECONNREFUSED ? GW_CONN_REFUSED : GW_CONN_FAILED);
+        end_conn(c,
+                 status == UV_ECONNREFUSED ? GW_CONN_REFUSED : GW_CONN_FAILED);
         return;
     }
-    c->heard_us = GwConn_NowUs();
-    c->reading = true;
+    c->received_us = GwConn_NowUs();
+    c->is_reading = true;
     (void)uv_read_start((uv_stream_t *)&c->tcp, on_alloc, on_read);
     c->params.ops->connected(c->params.owner);
 }
@@ -261,7 +263,7 @@
     }
     GwConn *c = create(params);
     c->connect.data = c;
-    c->connecting = true;
+    c->is_connecting = true;
     int rc = uv_tcp_connect(&c->connect, &c->tcp, (const struct sockaddr *)&to,
                             on_connect);
     if (rc != 0) {
@@ -272,26 +274,27 @@
     return c;
 }
 
-/* Answers to a caller that sends on and reads nothing would fill the memory:
- * it is read again when it has taken what was written. The other way round a
- * server may answer before it has taken the whole request. */
+/* Returns whether reading must wait for the write queue to drain. Without this
+ * limit, responses to a caller that keeps sending requests but reads nothing
+ * would fill the memory. Connections that read responses are exempt: a server
+ * may respond before it has read the whole request. */
 static bool
-is_clogged(const GwConn *c)
+is_write_queue_full(const GwConn *c)
 {
-    return c->params.requests && !c->finishing &&
+    return c->params.requests && !c->is_finishing &&
            uv_stream_get_write_queue_size((const uv_stream_t *)&c->tcp) >
-               GW_OUT_MAX_BYTES;
+               GW_WRITE_QUEUE_MAX_BYTES;
 }
 
 static void
 update_reading(GwConn *c)
 {
-    bool reads = !c->paused && !is_clogged(c);
+    bool reads = !c->is_paused && !is_write_queue_full(c);
 
-    if (c->closing || c->connecting || c->reading == reads) {
+    if (c->is_closing || c->is_connecting || c->is_reading == reads) {
         return;
     }
-    c->reading = reads;
+    c->is_reading = reads;
     if (reads) {
         (void)uv_read_start((uv_stream_t *)&c->tcp, on_alloc, on_read);
     }
@@ -301,34 +304,34 @@
 }
 
 static void
-on_written(uv_write_t *req, int status)
+on_write_done(uv_write_t *req, int status)
 {
-    Write *w = (Write *)req;
+    PendingWrite *w = (PendingWrite *)req;
     GwConn *c = w->conn;
 
     c->writes--;
     g_free(w->buf.base);
     g_free(w);
-    if (!c->closing && status != 0) {
-        end(c, GW_CONN_FAILED);
+    if (!c->is_closing && status != 0) {
+        end_conn(c, GW_CONN_FAILED);
     }
     update_reading(c);
-    GwConn_FreeIfOver(c);
+    GwConn_FreeIfUnused(c);
 }
 
-/* Tries to hand the bytes to the kernel at once, which saves a wake-up and a
- * copy for nearly all messages; the rest is copied and queued. */
+/* Passes the bytes to the kernel at once if possible, which saves a wake-up and
+ * a copy for nearly all messages; the rest is copied and queued. */
 void
 GwConn_Write(GwConn *c, const GString *text)
 {
     size_t sent = 0;
 
-    if (c->closing || text->len == 0) {
+    if (c->is_closing || text->len == 0) {
         return;
     }
     c->bytes_out += text->len;
-    c->wrote_us = GwConn_NowUs();
-    if (c->writes == 0 && !c->connecting) {
+    c->sent_us = GwConn_NowUs();
+    if (c->writes == 0 && !c->is_connecting) {
         uv_buf_t whole = uv_buf_init(text->str, (unsigned int)text->len);
         int rc = uv_try_write((uv_stream_t *)&c->tcp, &whole, 1);
         sent = rc > 0 ? (size_t)rc : 0;
@@ -336,13 +339,13 @@
     if (sent == text->len) {
         return;
     }
-    Write *w = g_new0(Write, 1);
+    PendingWrite *w = g_new0(PendingWrite, 1);
     size_t rest = text->len - sent;
     w->conn = c;
     w->buf =
         uv_buf_init(g_memdup2(text->str + sent, rest), (unsigned int)rest);
     c->writes++;
-    if (uv_write(&w->req, (uv_stream_t *)&c->tcp, &w->buf, 1, on_written) !=
+    if (uv_write(&w->req, (uv_stream_t *)&c->tcp, &w->buf, 1, on_write_done) !=
         0) {
         c->writes--;
         g_free(w->buf.base);
@@ -403,7 +406,7 @@
 int64_t
 GwConn_LastHeard(const GwConn *c)
 {
-    return c->heard_us;
+    return c->received_us;
 }
 
 void
@@ -416,7 +419,7 @@
 void
 GwConn_Pause(GwConn *c, bool paused)
 {
-    c->paused = paused;
+    c->is_paused = paused;
     update_reading(c);
 }
 
@@ -439,8 +442,8 @@
     char byte;
     int fd;
 
-    if (c->feeding || c->closing) {
-        return true; /* what came with the last answer is not parsed yet */
+    if (c->is_parsing || c->is_closing) {
+        return true; /* the current read is not parsed to its end */
     }
     if (uv_fileno((const uv_handle_t *)&c->tcp, &fd) != 0) {
         return true;
@@ -452,23 +455,24 @@
 bool
 GwConn_IsPaused(const GwConn *c)
 {
-    return !c->reading;
+    return !c->is_reading;
 }
 
 bool
 GwConn_HasEnded(const GwConn *c)
 {
-    struct pollfd end = {.events = POLLRDHUP};
+    struct pollfd fds = {.events = POLLRDHUP};
     char byte;
 
-    if (c->closing || uv_fileno((const uv_handle_t *)&c->tcp, &end.fd) != 0) {
+    if (c->is_closing ||
+        uv_fileno((const uv_handle_t *)&c->tcp, &fds.fd) != 0) {
         return true;
     }
-    ssize_t len = recv(end.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    ssize_t len = recv(fds.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (len <= 0) {
         return len == 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
     }
-    return poll(&end, 1, 0) > 0;
+    return poll(&fds, 1, 0) > 0;
 }
 
 uv_tcp_t *
--- a/lib/http/conn.h
+++ b/lib/http/conn.h
@@ -1,5 +1,5 @@
-/* One TCP connection on the event loop that carries HTTP messages, of either
- * side. All calls are made on the loop's thread. */
+/* A TCP connection on the event loop that carries HTTP messages, for the client
+ * or the server side. Not thread-safe: call on the loop's thread only. */
 #ifndef GW_HTTP_CONN_H
 #define GW_HTTP_CONN_H
 
@@ -10,31 +10,35 @@
 typedef struct GwConn_s GwConn;
 
 typedef enum {
-    GW_CONN_ENDED = 1,  /* the other side closed in order */
-    GW_CONN_FAILED = 2, /* reset, time-out, or never made */
-    GW_CONN_BAD = 3,    /* bytes that are no message; see GwConn_Error */
-    GW_CONN_REFUSED = 4 /* never made: nothing listens at that address */
+    GW_CONN_ENDED = 1,  /* orderly close by the peer */
+    GW_CONN_FAILED = 2, /* reset, time-out, or failed to connect */
+    GW_CONN_BAD = 3,    /* malformed message; see GwConn_Error */
+    GW_CONN_REFUSED = 4 /* connection refused: no listener at the address */
 } GwConnEnd;
 
-/* A request, or what came of it, that was read while its connection was being
- * closed: nobody answers it. */
+/* A request, possibly incomplete, that arrived while its connection was closing
+ * and gets no response. */
 typedef struct {
-    const GwHttpMessage *msg; /* its head may be cut short; NULL: no head */
-    uint32_t closing_ms;      /* since the close began */
-    uint32_t idle_ms;         /* without a byte either way before the close */
+    const GwHttpMessage *msg; /* the head may be incomplete; NULL: no head */
+    uint32_t closing_ms;      /* time since the start of the close */
+    uint32_t idle_ms;         /* time without traffic before the close */
 } GwConnDropped;
 
-/* Callbacks never come from inside a call of this module. `ended` comes at
- * most once, and never after a close by the owner. After BAD it can still be
- * written to, and the owner closes it; else the connection is gone. */
+/* Callbacks are never made from within a call of this module. `ended` is called
+ * at most once, and never after the owner closed the connection. After
+ * GW_CONN_BAD the owner can still write and must close the connection; after
+ * the other ends the connection is released. */
 typedef struct {
     void (*connected)(void *owner);
-    void (*message)(void *owner, GwHttpMessage *msg); /* takes over */
-    /* All messages of one read were given to `message`; may be NULL. */
+    void (*message)(void *owner, GwHttpMessage *msg); /* takes ownership */
+    /* Called after all messages of one read were passed to `message`; may be
+     * NULL. */
     void (*read)(void *owner);
+    /* Returns whether the next response is to a HEAD request; may be NULL. */
     bool (*to_head)(void *owner);
     void (*ended)(void *owner, GwConnEnd end);
-    /* After GwConn_FinishAndClose; may be NULL. */
+    /* Called for requests that arrive after GwConn_FinishAndClose; may be
+     * NULL. */
     void (*dropped)(void *host, const GwConnDropped *dropped);
 } GwConnOps;
 
@@ -42,67 +46,77 @@
     uv_loop_t *loop;
     const GwConnOps *ops;
     void *owner;
-    void *host;    /* outlives owner and connection; for `dropped` */
-    bool requests; /* reads requests; else answers */
+    void *host;    /* argument of `dropped`; outlives the connection */
+    bool requests; /* reads requests; else responses */
     uint64_t head_max;
     uint64_t body_max;
-    GwHttpBudget *budget; /* NULL: bodies are not bounded together */
-    /* Unacknowledged bytes end the connection after this time: a machine
-     * without power, or a path that lost track of the connection, answers
-     * nothing at all. 0: the system's default, minutes. */
+    GwHttpBudget *budget; /* NULL: no shared limit on bodies */
+    /* The connection fails when sent bytes stay unacknowledged for this time
+     * (TCP_USER_TIMEOUT): a machine without power, or a network device that
+     * lost its connection state, sends no reset. 0: the system's default,
+     * minutes. */
     uint32_t user_timeout_ms;
-    /* Probes on a silent connection, every second; for long waits. */
+    /* Sends TCP keep-alive probes every second, for long waits. */
     bool keepalive;
 } GwConnParams;
 
-/* Takes the next connection of a listener, or returns NULL. */
+/* Accepts the next connection of a listener; NULL on failure. */
 GwConn *GwConn_Accept(const GwConnParams *params, uv_stream_t *listener);
-/* Begins to connect to ip:port; NULL when the address makes no sense. */
+/* Starts connecting to ip:port. Returns NULL if the address is invalid or the
+ * attempt fails at once. */
 GwConn *GwConn_Connect(const GwConnParams *params, const char *address);
-/* Queues bytes; `text` is copied where it does not leave at once. */
+/* Sends bytes. Bytes that the kernel does not take at once are copied and
+ * queued. */
 void GwConn_Write(GwConn *c, const GString *text);
-/* A request without a body. */
+/* Sends a GET request. */
 void GwConn_WriteGet(GwConn *c, const char *target, const char *host);
-/* One with a body of JSON. */
+/* Sends a POST request with a JSON body. */
 void GwConn_WritePost(GwConn *c, const char *target, const char *host,
                       const char *body);
-/* Behind a last message that says so: closes once what was written has left
- * and then the other side has closed too or sent nothing for 0.4 s, 10 s in all
- * at most. What still comes is read and dropped. No longer the owner's. */
+/* Graceful close after a last message with `Connection: close`: sends all
+ * queued bytes, then waits until the peer closes or sends nothing for 0.4 s,
+ * for at most 10 s in total. Received bytes are read and dropped. Releases the
+ * owner's reference. */
 void GwConn_FinishAndClose(GwConn *c);
-/* Closes when what was written has arrived, at once or within that time, and
- * reads no more: the other side is reset if it sends, or has sent, what nobody
- * will answer. No longer the owner's. */
+/* Closes as soon as all sent bytes are acknowledged, or after `wait_ms`, without
+ * reading further: a peer that has sent, or sends, an unread request receives a
+ * reset. Releases the owner's reference. */
 void GwConn_CloseUnread(GwConn *c, uint32_t wait_ms);
-/* Closes now; what is queued is dropped. */
+/* Closes at once and drops queued bytes. Releases the owner's reference. */
 void GwConn_Close(GwConn *c);
-/* The same for the connection that `*at` names, if any; `*at` is NULL then. */
+/* Closes the connection `*at`, if not NULL, and sets `*at` to NULL. */
 void GwConn_CloseAt(GwConn **at);
 
 GwHttpError GwConn_Error(const GwConn *c);
-bool GwConn_IsInside(const GwConn *c); /* part of a message has come */
-bool GwConn_IsInHead(const GwConn *c); /* and its head is not complete */
+/* Whether a received message is incomplete. */
+bool GwConn_IsInside(const GwConn *c);
+/* Whether the head of a received message is incomplete. */
+bool GwConn_IsInHead(const GwConn *c);
 uint64_t GwConn_BytesOut(const GwConn *c);
-int64_t GwConn_LastHeard(const GwConn *c); /* us, uv_hrtime */
+/* Time of the last received byte, or of the start of the connection, in us of
+ * uv_hrtime. */
+int64_t GwConn_LastHeard(const GwConn *c);
 void GwConn_SetLimits(GwConn *c, uint64_t head_max, uint64_t body_max);
-/* Stops reading. A connection that reads requests does so by itself while the
- * other side leaves much of what was written untaken. */
+/* Stops or resumes reading. A connection that reads requests also stops by
+ * itself while its write queue is long. */
 void GwConn_Pause(GwConn *c, bool paused);
 bool GwConn_IsPaused(const GwConn *c);
-/* What was written has arrived at the other side's machine. Costs one system
+/* Whether the peer's kernel has acknowledged all sent bytes. Makes one system
  * call. */
 bool GwConn_HasArrived(const GwConn *c);
-/* Bytes or an end wait unread: what is sent now would meet a stray answer or
- * a closed connection. Costs one system call. */
+/* Whether unread bytes or an end of the stream are waiting: a request sent now
+ * would receive a stray response or a reset. Makes one system call. */
 bool GwConn_HasUnread(const GwConn *c);
 
-/* The other side has closed or reset the connection, also where that lies
- * unread, behind bytes that do. One system call, two where bytes wait. */
+/* Whether the peer has closed or reset the connection, even if the end of the
+ * stream is unread behind other bytes. Makes one system call, or two if unread
+ * bytes are waiting. */
 bool GwConn_HasEnded(const GwConn *c);
 
-/* "ip:port" to an address; false when it is not one. */
+/* Parses "ip:port" (IPv4). Returns false if the text is invalid. */
 bool GwConn_ParseAddress(const char *text, struct sockaddr_in *out);
-/* A listening socket; NULL with a log line by the caller on failure. */
+/* Creates a listening socket. Returns NULL on failure, which the calling
+ * function must log. */
 uv_tcp_t *GwConn_Listen(uv_loop_t *loop, const char *address,
                         uv_connection_cb on_connection, void *data);
 
--- a/lib/http/conn_close.c
+++ b/lib/http/conn_close.c
@@ -1,19 +1,20 @@
-/* How connections end: at once, behind a last message, or without reading any
- * further. */
+/* Closing of connections: at once, gracefully after a last message, or without
+ * reading further. */
 #include "http/conn_internal.h"
 
-/* Behind the last byte, for the other side's close. */
+/* Time without received bytes after which a graceful close stops waiting for
+ * the peer's close. */
 #define GW_LINGER_MS 400
-/* For what was written to leave: a caller on a busy link takes its time, one
- * that reads nothing must not keep the connection for good. */
-#define GW_DRAIN_MS 10000
-/* How often it is looked whether what was written has arrived. */
-#define GW_SETTLE_MS 20
+/* Time limit of a graceful close: long enough for a caller on a congested link,
+ * bounded so that a caller that reads nothing can't keep the connection. */
+#define GW_FINISH_MAX_MS 10000
+/* Interval of checks whether all sent bytes are acknowledged. */
+#define GW_ACK_CHECK_MS 20
 
 void
-GwConn_FreeIfOver(GwConn *c)
+GwConn_FreeIfUnused(GwConn *c)
 {
-    if (!c->handle_closed || c->feeding || c->writes > 0) {
+    if (!c->is_handle_closed || c->is_parsing || c->writes > 0) {
         return;
     }
     GwHttpParser_Free(c->parser);
@@ -25,8 +26,8 @@
 {
     GwConn *c = handle->data;
 
-    c->handle_closed = true;
-    GwConn_FreeIfOver(c);
+    c->is_handle_closed = true;
+    GwConn_FreeIfUnused(c);
 }
 
 static void
@@ -45,7 +46,7 @@
 }
 
 void
-GwConn_NoteDropped(GwConn *c, const GwHttpMessage *msg)
+GwConn_ReportDropped(GwConn *c, const GwHttpMessage *msg)
 {
     GwConnDropped dropped = {
         .msg = msg,
@@ -58,24 +59,23 @@
     }
 }
 
-/* Tells of a request of which only a part was read, and of no more. */
 void
-GwConn_StopWatching(GwConn *c)
+GwConn_StopReporting(GwConn *c)
 {
-    if (c->watching && GwHttpParser_IsInside(c->parser)) {
-        GwConn_NoteDropped(c, GwHttpParser_Begun(c->parser));
+    if (c->reports_dropped && GwHttpParser_IsInside(c->parser)) {
+        GwConn_ReportDropped(c, GwHttpParser_Begun(c->parser));
     }
-    c->watching = false;
+    c->reports_dropped = false;
 }
 
 void
 GwConn_CloseHandle(GwConn *c)
 {
-    if (c->closing) {
+    if (c->is_closing) {
         return;
     }
-    GwConn_StopWatching(c);
-    c->closing = true;
+    GwConn_StopReporting(c);
+    c->is_closing = true;
     if (c->has_linger) {
         uv_close((uv_handle_t *)&c->linger, on_timer_closed);
         return;
@@ -83,28 +83,29 @@
     uv_close((uv_handle_t *)&c->tcp, on_closed);
 }
 
-/* Closes when the other side is silent. One that still sends a body has not
- * looked for its answer yet, and a reset would destroy it. */
+/* Closes when the peer sends nothing more. A peer that still sends a body has
+ * not read the response yet, which a reset would discard. */
 static void
 on_linger(uv_timer_t *timer)
 {
     GwConn *c = timer->data;
-    int64_t at_us = GwConn_NowUs();
-    bool silent =
-        ms_between(c->heard_us, at_us) >= GW_LINGER_MS && !GwConn_HasUnread(c);
+    int64_t now_us = GwConn_NowUs();
+    bool is_silent = ms_between(c->received_us, now_us) >= GW_LINGER_MS &&
+                     !GwConn_HasUnread(c);
 
-    if (silent || ms_between(c->finish_us, at_us) >= GW_DRAIN_MS) {
+    if (is_silent || ms_between(c->finish_us, now_us) >= GW_FINISH_MAX_MS) {
         GwConn_CloseHandle(c);
         return;
     }
     (void)uv_timer_start(timer, on_linger, GW_LINGER_MS, 0);
 }
 
-/* A close with unread bytes resets the connection, which may destroy an
- * answer on its way; so the write side is shut first, and what still comes
- * is read and dropped until the other side closes or falls silent. */
+/* Called after all bytes are sent and the write side is shut down. Closing a
+ * socket with unread bytes resets the connection, which may discard a response
+ * in flight, so received bytes are read and dropped until the peer closes or
+ * stops sending. */
 static void
-on_drained(uv_shutdown_t *req, int status)
+on_shutdown_done(uv_shutdown_t *req, int status)
 {
     GwConn *c = req->data;
 
@@ -113,43 +114,44 @@
     if (status != 0) {
         GwConn_CloseHandle(c);
     }
-    else if (!c->closing) {
+    else if (!c->is_closing) {
         (void)uv_timer_start(&c->linger, on_linger, GW_LINGER_MS, 0);
     }
-    GwConn_FreeIfOver(c);
+    GwConn_FreeIfUnused(c);
 }
 
-/* From here on requests are not answered; they are told to `dropped`, up to the
- * first with a body, which is not held. What was refused half read is not
- * another request. */
+/* Starts reporting requests, which get no response any more, to `dropped`, up to
+ * the first with a body: bodies are no longer stored. The rest of a request
+ * that was rejected before its end is not reported. */
 static void
-watch(GwConn *c)
+start_reporting(GwConn *c)
 {
     c->finish_us = GwConn_NowUs();
-    c->idle_ms = ms_between(MAX(c->heard_us, c->wrote_us), c->finish_us);
-    c->watching = c->params.requests && !GwHttpParser_IsInside(c->parser) &&
-                  GwHttpParser_Error(c->parser) == GW_HTTP_OK;
+    c->idle_ms = ms_between(MAX(c->received_us, c->sent_us), c->finish_us);
+    c->reports_dropped = c->params.requests &&
+                         !GwHttpParser_IsInside(c->parser) &&
+                         GwHttpParser_Error(c->parser) == GW_HTTP_OK;
     GwHttpParser_SetLimits(c->parser, c->params.head_max, 0);
 }
 
 void
 GwConn_FinishAndClose(GwConn *c)
 {
-    if (c->closing || c->finishing) {
+    if (c->is_closing || c->is_finishing) {
         return;
     }
-    c->finishing = true;
+    c->is_finishing = true;
     c->params.owner = NULL;
-    watch(c);
+    start_reporting(c);
     GwConn_Pause(c, false);
     (void)uv_timer_init(c->params.loop, &c->linger);
     c->linger.data = c;
     c->has_linger = true;
-    (void)uv_timer_start(&c->linger, on_linger, GW_DRAIN_MS, 0);
+    (void)uv_timer_start(&c->linger, on_linger, GW_FINISH_MAX_MS, 0);
     uv_shutdown_t *req = g_new0(uv_shutdown_t, 1);
     req->data = c;
     c->writes++;
-    if (uv_shutdown(req, (uv_stream_t *)&c->tcp, on_drained) != 0) {
+    if (uv_shutdown(req, (uv_stream_t *)&c->tcp, on_shutdown_done) != 0) {
         c->writes--;
         g_free(req);
         GwConn_CloseHandle(c);
@@ -157,24 +159,25 @@
 }
 
 static void
-on_settle(uv_timer_t *timer)
+on_ack_check(uv_timer_t *timer)
 {
     GwConn *c = timer->data;
 
-    if (GwConn_HasArrived(c) || GwConn_NowUs() >= c->settle_until_us) {
+    if (GwConn_HasArrived(c) || GwConn_NowUs() >= c->ack_deadline_us) {
         GwConn_CloseHandle(c);
     }
 }
 
-/* A request may cross the close. Read and dropped, it would leave its caller
- * without an answer and without the right to send it again; unread, it is
- * reset by the kernel, whether it comes before or after the close, and the
- * caller knows that it did not run. The reset could destroy an answer that has
- * not arrived, so that is waited for. */
+/* A request may be in flight during the close. If it were read and dropped, the
+ * caller would get no response and could not safely retry. Left unread, the
+ * request causes a reset by the kernel, whether it arrives before or after the
+ * close, so the caller knows that it did not run. Because the reset could
+ * discard a response in flight, the close waits for acknowledgement of all
+ * sent bytes. */
 void
 GwConn_CloseUnread(GwConn *c, uint32_t wait_ms)
 {
-    if (c->closing || c->finishing) {
+    if (c->is_closing || c->is_finishing) {
         return;
     }
     c->params.owner = NULL;
@@ -182,13 +185,14 @@
         GwConn_CloseHandle(c);
         return;
     }
-    c->finishing = true;
-    c->settle_until_us = GwConn_NowUs() + (int64_t)wait_ms * 1000;
+    c->is_finishing = true;
+    c->ack_deadline_us = GwConn_NowUs() + (int64_t)wait_ms * 1000;
     GwConn_Pause(c, true);
     (void)uv_timer_init(c->params.loop, &c->linger);
     c->linger.data = c;
     c->has_linger = true;
-    (void)uv_timer_start(&c->linger, on_settle, GW_SETTLE_MS, GW_SETTLE_MS);
+    (void)uv_timer_start(&c->linger, on_ack_check, GW_ACK_CHECK_MS,
+                         GW_ACK_CHECK_MS);
 }
 
 void
--- a/lib/http/conn_internal.h
+++ b/lib/http/conn_internal.h
@@ -1,4 +1,4 @@
-/* What the parts of a connection share. */
+/* Definitions shared by conn.c and conn_close.c. */
 #ifndef GW_HTTP_CONN_INTERNAL_H
 #define GW_HTTP_CONN_INTERNAL_H
 
@@ -10,23 +10,23 @@
     GwConnParams params;
     GwHttpParser *parser;
     uint64_t bytes_out;
-    int64_t heard_us;
-    int64_t wrote_us;
-    int64_t finish_us;       /* when the owner ended it */
-    uint32_t idle_ms;        /* before that */
-    int64_t settle_until_us; /* what was written may arrive until then */
-    uint32_t writes;         /* under way */
+    int64_t received_us;     /* time of the last read */
+    int64_t sent_us;         /* time of the last write */
+    int64_t finish_us;       /* start of the graceful close */
+    uint32_t idle_ms;        /* time without traffic before finish_us */
+    int64_t ack_deadline_us; /* end of the wait for acknowledgements */
+    uint32_t writes;         /* pending write and shutdown requests */
     uint32_t user_timeout_ms;
-    bool connecting;
-    bool reading;
-    bool paused;    /* by its owner */
-    bool finishing; /* close when nothing is left to write */
-    bool watching;  /* finishing, and requests that still come are told */
-    bool closing;
-    bool feeding; /* inside the parser: it must outlive the call */
-    bool doomed;  /* free when the parser returns and the handle is closed */
-    bool handle_closed;
-    uv_timer_t linger; /* bounds the wait for the other side's close */
+    bool is_connecting;
+    bool is_reading;
+    bool is_paused;       /* by the owner */
+    bool is_finishing;    /* closed by the owner, still waits for the peer */
+    bool reports_dropped; /* finishing, and reports requests that arrive */
+    bool is_closing;      /* the handle is being closed */
+    bool is_parsing;      /* the parser is on the stack and can't be freed */
+    bool doomed;          /* unused */
+    bool is_handle_closed;
+    uv_timer_t linger; /* limits the duration of a close */
     bool has_linger;
 };
 
@@ -34,11 +34,11 @@
 
 /* conn_close.c */
 void GwConn_CloseHandle(GwConn *c);
-/* Frees it if nothing can come for it any more. */
-void GwConn_FreeIfOver(GwConn *c);
-/* A request came behind a close. */
-void GwConn_NoteDropped(GwConn *c, const GwHttpMessage *msg);
-/* Tells of a request of which only a part was read, and of no more. */
-void GwConn_StopWatching(GwConn *c);
+/* Frees the connection if no callback can refer to it any more. */
+void GwConn_FreeIfUnused(GwConn *c);
+/* Reports a request, or NULL for one without a head, to `dropped`. */
+void GwConn_ReportDropped(GwConn *c, const GwHttpMessage *msg);
+/* Reports an incomplete request, if any, and disables further reports. */
+void GwConn_StopReporting(GwConn *c);
 
 #endif
--- a/lib/http/message.c
+++ b/lib/http/message.c
@@ -65,9 +65,9 @@
     return NULL;
 }
 
-/* Whether a comma-separated list holds the name. */
+/* Returns whether a comma-separated list contains the name, ignoring case. */
 static bool
-list_holds(const char *list, const char *name)
+list_contains(const char *list, const char *name)
 {
     size_t len = strlen(name);
 
@@ -85,7 +85,7 @@
 bool
 GwHttp_IsHopByHop(const GwHttpMessage *msg, const char *name)
 {
-    static const char *const always[] = {
+    static const char *const never_forwarded[] = {
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -98,14 +98,14 @@
         "content-length",
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(always); i++) {
-        if (strcasecmp(name, always[i]) == 0) {
+    for (size_t i = 0; i < G_N_ELEMENTS(never_forwarded); i++) {
+        if (strcasecmp(name, never_forwarded[i]) == 0) {
             return true;
         }
     }
     for (guint i = 0; i < msg->fields->len; i++) {
         if (strcasecmp(name_of(msg, i), "connection") == 0 &&
-            list_holds(value_of(msg, i), name)) {
+            list_contains(value_of(msg, i), name)) {
             return true;
         }
     }
@@ -113,7 +113,7 @@
 }
 
 static bool
-is_dropped(const char *const *drop, const char *name)
+is_omitted(const char *const *drop, const char *name)
 {
     for (; drop != NULL && *drop != NULL; drop++) {
         if (strcasecmp(*drop, name) == 0) {
@@ -124,11 +124,12 @@
 }
 
 static void
-write_fields(const GwHttpMessage *msg, const GwHttpWrite *how, GString *out)
+write_fields(const GwHttpMessage *msg, const GwHttpWrite *options,
+             GString *out)
 {
     for (guint i = 0; i < msg->fields->len; i++) {
         const char *name = name_of(msg, i);
-        if (is_dropped(how->drop, name) || GwHttp_IsHopByHop(msg, name)) {
+        if (is_omitted(options->drop, name) || GwHttp_IsHopByHop(msg, name)) {
             continue;
         }
         g_string_append(out, name);
@@ -136,21 +137,21 @@
         g_string_append(out, value_of(msg, i));
         g_string_append_len(out, "\r\n", 2);
     }
-    if (how->extra != NULL) {
-        g_string_append(out, how->extra);
+    if (options->extra != NULL) {
+        g_string_append(out, options->extra);
     }
-    if (how->close) {
+    if (options->close) {
         g_string_append(out, "Connection: close\r\n");
     }
 }
 
 void
-GwHttpMessage_WriteRequest(const GwHttpMessage *msg, const GwHttpWrite *how,
-                           GString *out)
+GwHttpMessage_WriteRequest(const GwHttpMessage *msg,
+                           const GwHttpWrite *options, GString *out)
 {
     g_string_append_printf(out, "%s %s HTTP/1.1\r\n", msg->method,
                            msg->target->str);
-    write_fields(msg, how, out);
+    write_fields(msg, options, out);
     if (msg->has_body) {
         g_string_append_printf(out, "Content-Length: %zu\r\n", msg->body->len);
     }
@@ -158,16 +159,16 @@
     g_string_append_len(out, msg->body->str, (gssize)msg->body->len);
 }
 
-/* The length that an answer to a HEAD tells is that of a body that is not
- * sent, so it is passed on and not computed. */
+/* The response to a HEAD request gives the length of a body that is not sent,
+ * so that length is forwarded instead of computed. */
 static void
-write_answer_length(const GwHttpMessage *msg, const GwHttpWrite *how,
-                    GString *out)
+write_response_length(const GwHttpMessage *msg, const GwHttpWrite *options,
+                      GString *out)
 {
     if (msg->status == 204 || msg->status == 304 || msg->status < 200) {
         return;
     }
-    if (how->to_head) {
+    if (options->to_head) {
         const char *length = GwHttpMessage_Get(msg, "content-length");
         if (length != NULL) {
             g_string_append_printf(out, "Content-Length: %s\r\n", length);
@@ -178,7 +179,7 @@
 }
 
 static const char *
-reason_of(uint16_t status)
+reason_phrase(uint16_t status)
 {
     switch (status) {
     case 200:
@@ -199,15 +200,15 @@
 }
 
 void
-GwHttpMessage_WriteAnswer(const GwHttpMessage *msg, const GwHttpWrite *how,
+GwHttpMessage_WriteAnswer(const GwHttpMessage *msg, const GwHttpWrite *options,
                           GString *out)
 {
     g_string_append_printf(out, "HTTP/1.1 %u %s\r\n", msg->status,
-                           reason_of(msg->status));
-    write_fields(msg, how, out);
-    write_answer_length(msg, how, out);
+                           reason_phrase(msg->status));
+    write_fields(msg, options, out);
+    write_response_length(msg, options, out);
     g_string_append_len(out, "\r\n", 2);
-    if (!how->to_head) {
+    if (!options->to_head) {
         g_string_append_len(out, msg->body->str, (gssize)msg->body->len);
     }
 }
--- a/lib/http/message.h
+++ b/lib/http/message.h
@@ -1,10 +1,10 @@
-/* HTTP/1.1 messages: a head and a whole body, read from a stream of bytes by
- * http-parser and written out again.
+/* HTTP/1.1 messages with their whole body: a parser for a stream of bytes,
+ * based on http-parser, and functions that write messages.
  *
- * The parser is strict where two readers of one stream could disagree about
- * where a message ends: two lengths, a length beside chunks, codings other
- * than `chunked`, control characters. Such input ends the connection, since
- * nothing after it can be trusted. */
+ * The parser rejects input whose message boundaries two implementations could
+ * read differently (request smuggling): two lengths, a length together with
+ * chunks, codings other than `chunked`, control characters. Such input ends
+ * the connection, because the bytes after it can't be trusted. */
 #ifndef GW_HTTP_MESSAGE_H
 #define GW_HTTP_MESSAGE_H
 
@@ -14,13 +14,13 @@
 #include <stdint.h>
 
 typedef struct {
-    uint32_t name; /* offsets into the head's text */
+    uint32_t name; /* offsets into GwHttpMessage.text */
     uint32_t value;
 } GwHttpField;
 
-/* Bytes of bodies that may be held at once by all messages that share it. A
- * message that finds no room is refused, so that a few large ones can't take
- * the memory of the process. */
+/* Limit on the total size in bytes of the bodies of all messages that share
+ * the budget. A message that exceeds it is refused, so that a few large bodies
+ * can't exhaust the memory of the process. */
 typedef struct {
     uint64_t held;
     uint64_t max;
@@ -28,17 +28,18 @@
 
 typedef struct {
     char method[16];
-    uint16_t status;   /* of an answer; 0 in a request */
-    bool keep_alive;   /* the sender will go on with this connection */
-    bool framed;       /* has a length or chunks; else ends with the stream */
-    bool has_body;     /* the head promised a body, also an empty one */
-    uint32_t head_len; /* bytes of the head as read */
-    GString *target;   /* of a request: path and query as sent */
+    uint16_t status; /* of a response; 0 in a request */
+    bool keep_alive; /* the sender keeps the connection open */
+    bool
+        framed; /* has a length or chunks; else ends at the end of the stream */
+    bool has_body;     /* the head announces a body, possibly empty */
+    uint32_t head_len; /* size of the head in bytes, as received */
+    GString *target;   /* of a request: path and query as received */
     GString *text;     /* names and values, each NUL-terminated */
     GArray *fields;    /* GwHttpField */
     GString *body;
     GwHttpBudget *budget; /* or NULL */
-    uint64_t held;        /* of it; given back when the message is freed */
+    uint64_t held;        /* bytes of the budget, released with the message */
 } GwHttpMessage;
 
 GwHttpMessage *GwHttpMessage_Create(void);
@@ -46,19 +47,21 @@
 /* Appends a field; name and value are copied. */
 void GwHttpMessage_Add(GwHttpMessage *msg, const char *name,
                        const char *value);
-/* The first field of that name in any case, or NULL. */
+/* Returns the value of the first field of that name, ignoring case, or NULL. */
 const char *GwHttpMessage_Get(const GwHttpMessage *msg, const char *name);
 
-/* Fields that concern one connection only and are never passed on. */
+/* Returns whether the field applies to one connection and is never
+ * forwarded. */
 bool GwHttp_IsHopByHop(const GwHttpMessage *msg, const char *name);
 
-/* Bytes of a head: start line, the fields that may be passed on, except those
- * named in `drop` (NULL-terminated), then `extra` (whole lines). */
+/* Options for writing a message: the start line is followed by the end-to-end
+ * fields except those in `drop` (NULL-terminated), then by `extra` (whole
+ * lines). */
 typedef struct {
     const char *const *drop;
     const char *extra;
-    bool close;   /* this connection ends after the message */
-    bool to_head; /* the answer to a HEAD: length without a body */
+    bool close;   /* the connection closes after the message */
+    bool to_head; /* response to a HEAD request: length without a body */
 } GwHttpWrite;
 
 void GwHttpMessage_WriteRequest(const GwHttpMessage *msg,
@@ -68,22 +71,22 @@
 
 typedef enum {
     GW_HTTP_OK = 0,
-    GW_HTTP_BAD = 1,       /* not this protocol, or ambiguous */
+    GW_HTTP_BAD = 1,       /* not HTTP/1.1, or ambiguous */
     GW_HTTP_LONG_HEAD = 2, /* above head_max */
     GW_HTTP_LONG_BODY = 3, /* above body_max */
-    GW_HTTP_NO_ROOM = 4    /* the budget has no room for its body */
+    GW_HTTP_NO_ROOM = 4    /* the body exceeds the budget */
 } GwHttpError;
 
 typedef struct GwHttpParser_s GwHttpParser;
 
 typedef struct {
-    bool requests; /* else answers */
+    bool requests; /* parses requests; else responses */
     uint64_t head_max;
     uint64_t body_max;
-    GwHttpBudget *budget; /* NULL: not bounded together */
-    /* Takes over the message. */
+    GwHttpBudget *budget; /* NULL: no shared limit */
+    /* Called for each complete message; takes ownership. */
     void (*message)(void *owner, GwHttpMessage *msg);
-    /* Whether the next answer belongs to a HEAD; may be NULL. */
+    /* Returns whether the next response is to a HEAD request; may be NULL. */
     bool (*to_head)(void *owner);
     void *owner;
 } GwHttpParserParams;
@@ -92,16 +95,17 @@
 void GwHttpParser_Free(GwHttpParser *p);
 void GwHttpParser_SetLimits(GwHttpParser *p, uint64_t head_max,
                             uint64_t body_max);
-/* Reads `len` bytes; calls `message` for each that is complete. After an
- * error every later call gives the same error. */
+/* Parses `len` bytes. After an error, all later calls return that error. */
 GwHttpError GwHttpParser_Feed(GwHttpParser *p, const char *data, size_t len);
-/* The stream ended in order: completes an answer without a length. */
+/* Handles the end of the stream, which completes a response without a
+ * length. */
 GwHttpError GwHttpParser_End(GwHttpParser *p);
 GwHttpError GwHttpParser_Error(const GwHttpParser *p);
-/* The message of which a part has been read, until the next call; or NULL. */
+/* Returns the incomplete message, valid until the next call, or NULL. */
 const GwHttpMessage *GwHttpParser_Begun(const GwHttpParser *p);
-/* Part of a message has been read. */
+/* Whether a message is incomplete. */
 bool GwHttpParser_IsInside(const GwHttpParser *p);
+/* Whether the head of a message is incomplete. */
 bool GwHttpParser_IsInHead(const GwHttpParser *p);
 
 #endif
--- a/lib/http/parser.c
+++ b/lib/http/parser.c
@@ -1,4 +1,5 @@
-/* Reads messages with http-parser, and refuses what it would let pass. */
+/* Parses messages with http-parser, and rejects ambiguous input that
+ * http-parser accepts. */
 #include "http/message.h"
 
 #include <http_parser.h>
@@ -8,17 +9,17 @@
 struct GwHttpParser_s {
     GwHttpParserParams params;
     http_parser parser;
-    GwHttpMessage *msg; /* begun and not complete, or NULL */
+    GwHttpMessage *msg; /* incomplete, or NULL */
     GString *name;      /* the field being read */
     GString *value;
     bool in_value;
-    bool head_done; /* fields from here on are trailers: dropped */
+    bool head_done; /* further fields are trailers, which are dropped */
     uint64_t head_len;
     GwHttpError error;
 };
 
 static GwHttpParser *
-self(http_parser *parser)
+parser_of(http_parser *parser)
 {
     return parser->data;
 }
@@ -33,7 +34,7 @@
 }
 
 static bool
-is_clean(const GString *text)
+is_valid_text(const GString *text)
 {
     for (gsize i = 0; i < text->len; i++) {
         unsigned char c = (unsigned char)text->str[i];
@@ -44,9 +45,9 @@
     return true;
 }
 
-/* Ends the field being read, if there is one. */
+/* Adds the current field, if any, to the message. */
 static int
-end_field(GwHttpParser *p)
+finish_field(GwHttpParser *p)
 {
     if (!p->in_value) {
         return 0;
@@ -59,7 +60,7 @@
            strchr(" \t", p->value->str[p->value->len - 1]) != NULL) {
         g_string_truncate(p->value, p->value->len - 1);
     }
-    if (!is_clean(p->name) || !is_clean(p->value)) {
+    if (!is_valid_text(p->name) || !is_valid_text(p->value)) {
         return fail(p, GW_HTTP_BAD);
     }
     GwHttpMessage_Add(p->msg, p->name->str, p->value->str);
@@ -79,7 +80,7 @@
 static int
 on_begin(http_parser *parser)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
 
     GwHttpMessage_Free(p->msg);
     p->msg = GwHttpMessage_Create();
@@ -92,7 +93,7 @@
 static int
 on_url(http_parser *parser, const char *at, size_t len)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
 
     g_string_append_len(p->msg->target, at, (gssize)len);
     return count_head(p, len);
@@ -101,22 +102,22 @@
 static int
 on_name(http_parser *parser, const char *at, size_t len)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
 
     if (p->in_value) {
-        if (end_field(p) != 0) {
+        if (finish_field(p) != 0) {
             return -1;
         }
         g_string_truncate(p->name, 0);
     }
     g_string_append_len(p->name, at, (gssize)len);
-    return count_head(p, len + 4); /* ": " and the line's end */
+    return count_head(p, len + 4); /* ": " and CRLF */
 }
 
 static int
 on_value(http_parser *parser, const char *at, size_t len)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
 
     if (!p->in_value) {
         p->in_value = true;
@@ -126,9 +127,9 @@
     return count_head(p, len);
 }
 
-/* Takes room for a body of `len` bytes in all. */
+/* Reserves the budget for a body of `len` bytes in total. */
 static int
-hold(GwHttpParser *p, uint64_t len)
+reserve_body(GwHttpParser *p, uint64_t len)
 {
     GwHttpBudget *budget = p->params.budget;
     GwHttpMessage *msg = p->msg;
@@ -146,10 +147,10 @@
     return 0;
 }
 
-/* A coding besides chunked would have to be undone here to know the body; a
- * reader that skips it sees another body. */
+/* A coding other than chunked would have to be decoded here to find the end of
+ * the body; an implementation that ignores the coding finds another end. */
 static bool
-has_strange_coding(const GwHttpMessage *msg)
+has_unsupported_coding(const GwHttpMessage *msg)
 {
     const char *coding = GwHttpMessage_Get(msg, "transfer-encoding");
 
@@ -159,15 +160,15 @@
 static int
 on_head(http_parser *parser)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
     GwHttpMessage *msg = p->msg;
 
-    if (end_field(p) != 0) {
+    if (finish_field(p) != 0) {
         return -1;
     }
     g_string_truncate(p->name, 0);
     p->head_done = true;
-    if (has_strange_coding(msg)) {
+    if (has_unsupported_coding(msg)) {
         return fail(p, GW_HTTP_BAD);
     }
     bool chunked = (parser->flags & F_CHUNKED) != 0;
@@ -175,10 +176,10 @@
     if (sized && parser->content_length > p->params.body_max) {
         return fail(p, GW_HTTP_LONG_BODY);
     }
-    /* All of it at once: bodies that grow together could fill the budget with
-     * none of them whole. */
+    /* Reserves the whole length at once: otherwise bodies that arrive at the
+     * same time could use up the budget before any of them is complete. */
     if (sized && parser->content_length > 0 &&
-        hold(p, parser->content_length) != 0) {
+        reserve_body(p, parser->content_length) != 0) {
         return -1;
     }
     if (p->params.requests) {
@@ -198,9 +199,9 @@
     if (!p->params.requests && p->params.to_head != NULL &&
         p->params.to_head(p->params.owner)) {
         msg->framed = true;
-        return 1; /* the answer to a HEAD has no body whatever it says */
+        return 1; /* a response to HEAD has no body, even with a length */
     }
-    /* An Upgrade is not passed on, so it does not end the protocol here. */
+    /* An Upgrade is not forwarded, so the connection stays HTTP/1.1. */
     parser->upgrade = 0;
     return 0;
 }
@@ -208,12 +209,12 @@
 static int
 on_body(http_parser *parser, const char *at, size_t len)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
 
     if (p->msg->body->len + len > p->params.body_max) {
         return fail(p, GW_HTTP_LONG_BODY);
     }
-    if (hold(p, p->msg->body->len + len) != 0) {
+    if (reserve_body(p, p->msg->body->len + len) != 0) {
         return -1;
     }
     g_string_append_len(p->msg->body, at, (gssize)len);
@@ -223,7 +224,7 @@
 static int
 on_complete(http_parser *parser)
 {
-    GwHttpParser *p = self(parser);
+    GwHttpParser *p = parser_of(parser);
     GwHttpMessage *msg = p->msg;
 
     p->msg = NULL;
@@ -277,7 +278,7 @@
 GwHttpError
 GwHttpParser_Feed(GwHttpParser *p, const char *data, size_t len)
 {
-    /* To http-parser no bytes are the end of the stream. */
+    /* http-parser takes a call with zero bytes for the end of the stream. */
     if (p->error != GW_HTTP_OK || len == 0) {
         return p->error;
     }
@@ -316,9 +317,9 @@
     return p->msg;
 }
 
-/* A message also begins behind another one of the same read: a connection
- * with half a request was closed as idle when a flag told the two apart.
- * Empty lines between messages begin nothing. */
+/* Derived from `msg` and not from a flag set per read, because a message may
+ * start after another one in the same read: such a connection would be closed
+ * as idle with half a request. Empty lines between messages start none. */
 bool
 GwHttpParser_IsInside(const GwHttpParser *p)
 {
--- a/lib/http/serve.c
+++ b/lib/http/serve.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define HEAD_MAX (64u << 10)
-#define BODY_MAX (1u << 20)
+#define HEAD_MAX_BYTES (64u << 10)
+#define BODY_MAX_BYTES (1u << 20)
 
 struct GwServe_s {
     uv_loop_t *loop;
@@ -15,7 +15,7 @@
 
 struct GwClient_s {
     GwServe *serve;
-    GwConn *conn; /* NULL once it is closed */
+    GwConn *conn; /* NULL if closed */
     GList link;   /* in serve->clients */
     void *user;
 };
@@ -71,8 +71,8 @@
         .ops = &client_ops,
         .owner = client,
         .requests = true,
-        .head_max = HEAD_MAX,
-        .body_max = BODY_MAX,
+        .head_max = HEAD_MAX_BYTES,
+        .body_max = BODY_MAX_BYTES,
     };
     client->serve = serve;
     client->link.data = client;
@@ -125,7 +125,7 @@
 }
 
 static const char *
-phrase(uint16_t status)
+reason_phrase(uint16_t status)
 {
     return status < 300 ? "OK" : "Error";
 }
@@ -141,7 +141,7 @@
         out,
         "HTTP/1.1 %u %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n"
         "%s%s\r\n",
-        answer->status, phrase(answer->status),
+        answer->status, reason_phrase(answer->status),
         answer->type != NULL ? answer->type : "application/json", len,
         answer->fields != NULL ? answer->fields : "",
         answer->close ? "Connection: close\r\n" : "");
--- a/lib/http/serve.h
+++ b/lib/http/serve.h
@@ -1,42 +1,44 @@
-/* A listener for small HTTP answers: each whole request is handed over, and
- * answered at once or later. One request at a time on a connection is what it
- * is made for; a client that sends several gets answers in the order in which
- * the owner gives them. */
+/* A minimal HTTP server: each complete request is passed to the owner, who
+ * responds immediately or later. Pipelining is not supported: responses are
+ * sent in the order in which the owner writes them. */
 #ifndef GW_HTTP_SERVE_H
 #define GW_HTTP_SERVE_H
 
 #include "http/conn.h"
 
 typedef struct GwServe_s GwServe;
-typedef struct GwClient_s GwClient; /* one connection */
+typedef struct GwClient_s GwClient; /* one connection of a client */
 
 typedef struct {
-    /* Takes the message over. */
+    /* Called for each request; takes ownership of the message. */
     void (*asked)(void *owner, GwClient *client, GwHttpMessage *msg);
-    /* The connection is gone; may be NULL. */
+    /* The connection is closed, and `client` is freed after the call; may be
+     * NULL. */
     void (*gone)(void *owner, GwClient *client);
 } GwServeOps;
 
-/* Listens at ip:port; NULL when it can't. */
+/* Listens at ip:port. Returns NULL if the address is invalid or can't be
+ * bound. */
 GwServe *GwServe_Create(uv_loop_t *loop, const char *address,
                         const GwServeOps *ops, void *owner);
-/* Closes the listener and all connections, without calls to `gone`. The loop
- * has to run once more. */
+/* Closes the listener and all connections without calling `gone`. The memory is
+ * released when the loop runs next. */
 void GwServe_Free(GwServe *serve);
 
 typedef struct {
     uint16_t status;
-    const char *type;   /* of the body; NULL for JSON */
-    const char *fields; /* further header lines; NULL for none */
-    const char *body;   /* "" for none */
-    size_t body_len;    /* 0: it is text, up to its NUL */
-    bool close;         /* says that the connection will end */
+    const char *type; /* content type; NULL for JSON */
+    const char
+        *fields;      /* further header lines, each with CRLF; NULL for none */
+    const char *body; /* "" for none */
+    size_t body_len;  /* 0: length of the NUL-terminated `body` */
+    bool close;       /* sends `Connection: close` */
 } GwServeAnswer;
 
 void GwClient_Answer(GwClient *client, const GwServeAnswer *answer);
-/* Ends the connection without an answer. `gone` is called. */
+/* Closes the connection without a response and calls `gone`. */
 void GwClient_Drop(GwClient *client);
-/* A place for the owner; NULL at first. */
+/* A pointer for use by the owner, initially NULL. */
 void **GwClient_User(GwClient *client);
 
 #endif
--- a/tests/unit/test_http_conn.c
+++ b/tests/unit/test_http_conn.c
@@ -1,4 +1,4 @@
-/* Connections over the loopback interface, both ends on one loop. */
+/* Connections over the loopback interface, with both ends on one event loop. */
 #include "http/conn.h"
 
 #include <criterion/criterion.h>
@@ -10,8 +10,8 @@
     uv_tcp_t *listener;
     char address[32];
     GwConn *conn;
-    const char *bytes; /* what the other side sends */
-    bool resets;       /* and then resets; else closes in order */
+    const char *bytes; /* sent by the peer */
+    bool resets;       /* the peer resets after sending; else closes */
     int messages;
     int ends;
     GwConnEnd end;
@@ -24,7 +24,7 @@
     g_free(handle);
 }
 
-/* Sends the bytes with plain socket calls, then ends the connection. */
+/* Sends the peer's bytes by a socket call, then closes or resets. */
 static void
 on_accept(uv_stream_t *listener, int status)
 {
@@ -74,9 +74,9 @@
 static const GwConnOps ops = {
     .connected = on_connected, .message = on_message, .ended = on_ended};
 
-/* Listens at any free port. */
+/* Listens on a free port. */
 static void
-listen_for(Pair *pair, uv_connection_cb on_connection)
+start_listener(Pair *pair, uv_connection_cb on_connection)
 {
     struct sockaddr_in at;
     int len = sizeof(at);
@@ -97,7 +97,7 @@
 static void
 run(Pair *pair)
 {
-    listen_for(pair, on_accept);
+    start_listener(pair, on_accept);
     GwConnParams params = {.loop = &pair->loop,
                            .ops = &ops,
                            .owner = pair,
@@ -109,10 +109,10 @@
     (void)uv_loop_close(&pair->loop);
 }
 
-/* A backend server crashes while it sends an answer that has no length. The
- * caller must not see a whole answer: only an end in order completes one.
- * libuv reports a reset behind a short read as such an end. */
-Test(http_conn, only_an_end_in_order_completes_an_answer)
+/* Guards against a truncated response passing for complete: a server that
+ * crashes while it sends a response without a length resets the connection,
+ * and libuv reports a reset after a short read as an orderly end. */
+Test(http_conn, only_an_orderly_close_completes_a_response)
 {
     static const struct {
         const char *what;
@@ -125,7 +125,7 @@
          GW_CONN_ENDED},
         {"no length, reset", "HTTP/1.1 200 OK\r\n\r\nabc", true, 0,
          GW_CONN_FAILED},
-        {"sized, cut", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
+        {"sized, truncated", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
          false, 0, GW_CONN_FAILED},
         {"garbage", "?!\r\n\r\n", false, 0, GW_CONN_BAD},
     };
@@ -139,10 +139,10 @@
     }
 }
 
-#define LONG_ANSWER     (32u << 20) /* more than both ends' buffers */
-#define READER_WAITS_MS 700
+#define LONG_RESPONSE   (32u << 20) /* exceeds the socket buffers of both ends */
+#define READER_DELAY_MS 700         /* exceeds the wait for the peer's close */
 
-/* The other side of a connection, which begins to read late. */
+/* The peer of a connection, which starts to read late. */
 typedef struct SlowReader_s {
     uv_tcp_t tcp;
     uv_timer_t timer;
@@ -154,11 +154,11 @@
 static void
 on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
-    static char room[65536];
+    static char buffer[65536];
 
     (void)handle;
     (void)size;
-    *buf = uv_buf_init(room, sizeof(room));
+    *buf = uv_buf_init(buffer, sizeof(buffer));
 }
 
 static void
@@ -178,7 +178,7 @@
 }
 
 static void
-on_read_now(uv_timer_t *timer)
+on_read_delay(uv_timer_t *timer)
 {
     SlowReader *reader = timer->data;
 
@@ -198,26 +198,26 @@
     cr_assert_eq(uv_accept(listener, (uv_stream_t *)&reader->tcp), 0);
     (void)uv_timer_init(&pair->loop, &reader->timer);
     reader->timer.data = reader;
-    (void)uv_timer_start(&reader->timer, on_read_now, READER_WAITS_MS, 0);
+    (void)uv_timer_start(&reader->timer, on_read_delay, READER_DELAY_MS, 0);
 }
 
 static void
 on_connected_to_slow(void *owner)
 {
     Pair *pair = owner;
-    GString *answer = g_string_sized_new(LONG_ANSWER);
+    GString *response = g_string_sized_new(LONG_RESPONSE);
 
-    g_string_set_size(answer, LONG_ANSWER);
-    memset(answer->str, 'x', LONG_ANSWER);
-    GwConn_Write(pair->conn, answer);
+    g_string_set_size(response, LONG_RESPONSE);
+    memset(response->str, 'x', LONG_RESPONSE);
+    GwConn_Write(pair->conn, response);
     GwConn_FinishAndClose(pair->conn);
-    g_string_free(answer, TRUE);
+    g_string_free(response, TRUE);
 }
 
-/* A long answer that closes its connection goes to a caller on a busy link,
- * who takes more than the time that a close waits for the other side. The
- * connection was closed at that time, and the answer cut off. */
-Test(http_conn, a_close_waits_until_the_answer_has_left)
+/* Guards against truncating a long last response to a caller on a congested
+ * link: the wait for the peer's close must start after the last byte is sent,
+ * not with the close. */
+Test(http_conn, a_graceful_close_sends_the_whole_response)
 {
     static const GwConnOps slow_ops = {.connected = on_connected_to_slow,
                                        .message = on_message,
@@ -225,7 +225,7 @@
     SlowReader reader = {0};
     Pair pair = {.slow = &reader};
 
-    listen_for(&pair, on_slow_accept);
+    start_listener(&pair, on_slow_accept);
     GwConnParams params = {.loop = &pair.loop,
                            .ops = &slow_ops,
                            .owner = &pair,
@@ -235,16 +235,16 @@
     cr_assert_not_null(pair.conn);
     (void)uv_run(&pair.loop, UV_RUN_DEFAULT);
     (void)uv_loop_close(&pair.loop);
-    cr_expect_eq(reader.bytes, LONG_ANSWER, "%lu",
+    cr_expect_eq(reader.bytes, LONG_RESPONSE, "%lu",
                  (unsigned long)reader.bytes);
     cr_expect(reader.ended_in_order);
 }
 
-Test(http_conn, addresses_are_an_ip_and_a_port)
+Test(http_conn, only_ipv4_addresses_with_a_port_are_valid)
 {
     static const struct {
         const char *text;
-        bool good;
+        bool is_valid;
     } cases[] = {
         {"127.0.0.1:80", true},
         {"127.0.0.1", false},
@@ -259,7 +259,7 @@
     struct sockaddr_in out;
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        cr_expect_eq(GwConn_ParseAddress(cases[i].text, &out), cases[i].good,
-                     "%s", cases[i].text);
+        cr_expect_eq(GwConn_ParseAddress(cases[i].text, &out),
+                     cases[i].is_valid, "%s", cases[i].text);
     }
 }
