--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -11,7 +11,7 @@
 #include "edge/meters.h"
 #include "edge/stop_signal.h"
 #include "edge/turns.h"
-#include "http/serve.h"
+#include "http/listener.h"
 #include "store/rows_wire.h"
 
 #include <inttypes.h>
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -1,7 +1,7 @@
 /* The store's rows: one long poll for each table, and a full reading where the
  * history is gone. */
 #include "edge/feed_internal.h"
-#include "store/away.h"
+#include "store/outage.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/http/serve.h
+++ b/lib/http/listener.h
@@ -1,8 +1,8 @@
 /* A minimal HTTP server: each complete request is passed to the owner, who
  * responds immediately or later. Pipelining is not supported: responses are
  * sent in the order in which the owner writes them. */
-#ifndef GW_HTTP_SERVE_H
-#define GW_HTTP_SERVE_H
+#ifndef GW_HTTP_LISTENER_H
+#define GW_HTTP_LISTENER_H
 
 #include "http/conn.h"
 
--- a/lib/store/away.c
+++ b/lib/store/outage.c
@@ -1,4 +1,4 @@
-#include "store/away.h"
+#include "store/outage.h"
 
 #define WAIT_MS        3500
 #define WAIT_OUTAGE_MS 800
--- a/lib/store/away.h
+++ b/lib/store/outage.h
@@ -1,7 +1,7 @@
 /* Tells an outage of the store from a lost connection of one entry, and sets
  * the timing of polls. */
-#ifndef GW_STORE_AWAY_H
-#define GW_STORE_AWAY_H
+#ifndef GW_STORE_OUTAGE_H
+#define GW_STORE_OUTAGE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/lib/store/rows_wire.c
+++ b/lib/store/rows_wire.c
@@ -8,8 +8,7 @@
 #include <zstd.h>
 
 #define TARGET_PATH "/rows"
-/* Rows of servers are similar to each other, so a higher level saves little
- * more. */
+/* Rows are similar, so a higher level saves little more. */
 #define ZSTD_LEVEL 3
 
 char *
--- a/tests/unit/test_store_away.c
+++ b/tests/unit/test_store_outage.c
@@ -1,5 +1,5 @@
 /* Detection of outages of the store, and the timing of polls after them. */
-#include "store/away.h"
+#include "store/outage.h"
 
 #include <criterion/criterion.h>
 #include <stddef.h>
@@ -8,7 +8,7 @@
  * although the store is available. Guards against such an entry announcing an
  * outage: all entries delay removals by 2 s, and a server receives requests
  * more than 2.5 s after it stopped. */
-Test(store_away, a_disconnected_entry_is_no_outage)
+Test(store_outage, a_disconnected_entry_is_no_outage)
 {
     static const struct {
         const char *what;
@@ -61,7 +61,7 @@
 
 /* Guards against all entries missing a change after an outage because each
  * waits for a poll that is never answered. */
-Test(store_away, a_poll_that_is_never_answered_is_noticed_in_time)
+Test(store_outage, a_poll_that_is_never_answered_is_noticed_in_time)
 {
     for (uint32_t outage_at_ms = 1; outage_at_ms < 3500; outage_at_ms += 50) {
         for (uint32_t for_ms = 50; for_ms < 15000; for_ms += 50) {
