--- a/lib/http/conn.c
+++ b/lib/http/conn.c
@@ -19,8 +19,8 @@
     GwConn *conn;
 } PendingWrite;
 
-/* Shared by all connections: libuv uses the buffer only until the read callback
- * returns. */
+/* Shared by all connections: libuv uses the buffer only until the read
+ * callback returns. */
 static char read_buf[GW_READ_BUF_BYTES];
 
 static void
@@ -319,8 +319,8 @@
     GwConn_FreeIfUnused(c);
 }
 
-/* Passes the bytes to the kernel at once if possible, which saves a wake-up and
- * a copy for nearly all messages; the rest is copied and queued. */
+/* Passes the bytes to the kernel at once if possible, which saves a wake-up
+ * and a copy for nearly all messages; the rest is copied and queued. */
 void
 GwConn_Write(GwConn *c, const GString *text)
 {
--- a/lib/http/conn.h
+++ b/lib/http/conn.h
@@ -1,5 +1,5 @@
-/* A TCP connection on the event loop that carries HTTP messages, for the client
- * or the server side. Not thread-safe: call on the loop's thread only. */
+/* A TCP connection on the event loop that carries HTTP messages, for the
+ * client or the server side. Not thread-safe: for the loop's thread only. */
 #ifndef GW_HTTP_CONN_H
 #define GW_HTTP_CONN_H
 
@@ -16,18 +16,19 @@
     GW_CONN_REFUSED = 4 /* connection refused: no listener at the address */
 } GwConnEnd;
 
-/* A request, possibly incomplete, that arrived while its connection was closing
- * and gets no response. */
+/* A request, possibly incomplete, that arrived while its connection was
+ * closing and gets no response. */
 typedef struct {
     const GwHttpMessage *msg; /* the head may be incomplete; NULL: no head */
     uint32_t closing_ms;      /* time since the start of the close */
     uint32_t idle_ms;         /* time without traffic before the close */
 } GwConnDropped;
 
-/* Callbacks are never made from within a call of this module. `ended` is called
- * at most once, and never after the owner closed the connection. After
- * GW_CONN_BAD the owner can still write and must close the connection; after
- * the other ends the connection is released. */
+/* Callbacks are never made from within a call of this module. `ended`
+ * is called at most once, and never after the owner closed the
+ * connection. After GW_CONN_BAD the owner can still write and must
+ * close the connection; after the other ends the connection is
+ * released. */
 typedef struct {
     void (*connected)(void *owner);
     void (*message)(void *owner, GwHttpMessage *msg); /* takes ownership */
@@ -75,14 +76,15 @@
                       const char *body);
 /* Graceful close after a last message with `Connection: close`: sends all
  * queued bytes, then waits until the peer closes or sends nothing for 0.4 s,
- * for at most 10 s in total. Received bytes are read and dropped. Releases the
- * owner's reference. */
+ * for at most 10 s in total. Received bytes are read and dropped. The owner
+ * must not use `c` afterwards. */
 void GwConn_FinishAndClose(GwConn *c);
-/* Closes as soon as all sent bytes are acknowledged, or after `wait_ms`, without
- * reading further: a peer that has sent, or sends, an unread request receives a
- * reset. Releases the owner's reference. */
+/* Closes as soon as all sent bytes are acknowledged, or after `wait_ms`,
+ * without reading further: a peer that has sent, or sends, an unread request
+ * receives a reset. The owner must not use `c` afterwards. */
 void GwConn_CloseUnread(GwConn *c, uint32_t wait_ms);
-/* Closes at once and drops queued bytes. Releases the owner's reference. */
+/* Closes at once and drops queued bytes. The owner must not use `c`
+ * afterwards. */
 void GwConn_Close(GwConn *c);
 /* Closes the connection `*at`, if not NULL, and sets `*at` to NULL. */
 void GwConn_CloseAt(GwConn **at);
--- a/lib/http/conn_close.c
+++ b/lib/http/conn_close.c
@@ -5,8 +5,9 @@
 /* Time without received bytes after which a graceful close stops waiting for
  * the peer's close. */
 #define GW_LINGER_MS 400
-/* Time limit of a graceful close: long enough for a caller on a congested link,
- * bounded so that a caller that reads nothing can't keep the connection. */
+/* Time limit of a graceful close: long enough for a caller on a congested
+ * link, bounded so that a caller that reads nothing can't keep the
+ * connection. */
 #define GW_FINISH_MAX_MS 10000
 /* Interval of checks whether all sent bytes are acknowledged. */
 #define GW_ACK_CHECK_MS 20
@@ -120,8 +121,8 @@
     GwConn_FreeIfUnused(c);
 }
 
-/* Starts reporting requests, which get no response any more, to `dropped`, up to
- * the first with a body: bodies are no longer stored. The rest of a request
+/* Starts reporting requests, which get no response any more, to `dropped`, up
+ * to the first with a body: bodies are no longer stored. The rest of a request
  * that was rejected before its end is not reported. */
 static void
 start_reporting(GwConn *c)
@@ -168,10 +169,10 @@
     }
 }
 
-/* A request may be in flight during the close. If it were read and dropped, the
- * caller would get no response and could not safely retry. Left unread, the
- * request causes a reset by the kernel, whether it arrives before or after the
- * close, so the caller knows that it did not run. Because the reset could
+/* A request may be in flight during the close. If it were read and dropped,
+ * the caller would get no response and could not safely retry. Left unread,
+ * the request causes a reset by the kernel, whether it arrives before or after
+ * the close, so the caller knows that it did not run. Because the reset could
  * discard a response in flight, the close waits for acknowledgement of all
  * sent bytes. */
 void
--- a/lib/http/listener.h
+++ b/lib/http/listener.h
@@ -21,8 +21,8 @@
  * bound. */
 GwServe *GwServe_Create(uv_loop_t *loop, const char *address,
                         const GwServeOps *ops, void *owner);
-/* Closes the listener and all connections without calling `gone`. The memory is
- * released when the loop runs next. */
+/* Closes the listener and all connections without calling `gone`. The memory
+ * is released when the loop runs next. */
 void GwServe_Free(GwServe *serve);
 
 typedef struct {
--- a/lib/http/message.h
+++ b/lib/http/message.h
@@ -28,10 +28,9 @@
 
 typedef struct {
     char method[16];
-    uint16_t status; /* of a response; 0 in a request */
-    bool keep_alive; /* the sender keeps the connection open */
-    bool
-        framed; /* has a length or chunks; else ends at the end of the stream */
+    uint16_t status;   /* of a response; 0 in a request */
+    bool keep_alive;   /* the sender keeps the connection open */
+    bool framed;       /* has a length or chunks; else ends with the stream */
     bool has_body;     /* the head announces a body, possibly empty */
     uint32_t head_len; /* size of the head in bytes, as received */
     GString *target;   /* of a request: path and query as received */
@@ -47,7 +46,7 @@
 /* Appends a field; name and value are copied. */
 void GwHttpMessage_Add(GwHttpMessage *msg, const char *name,
                        const char *value);
-/* Returns the value of the first field of that name, ignoring case, or NULL. */
+/* Returns the value of the first field of that name (in any case), or NULL. */
 const char *GwHttpMessage_Get(const GwHttpMessage *msg, const char *name);
 
 /* Returns whether the field applies to one connection and is never
@@ -61,7 +60,7 @@
     const char *const *drop;
     const char *extra;
     bool close;   /* the connection closes after the message */
-    bool to_head; /* response to a HEAD request: length without a body */
+    bool to_head; /* response to a HEAD: length, no body */
 } GwHttpWrite;
 
 void GwHttpMessage_WriteRequest(const GwHttpMessage *msg,
--- a/lib/store/outage.c
+++ b/lib/store/outage.c
@@ -11,7 +11,7 @@
 }
 
 uint32_t
-GwStorePoll_WaitMs(bool was_away)
+GwStorePoll_WaitMs(bool is_unavailable)
 {
-    return was_away ? WAIT_OUTAGE_MS : WAIT_MS;
+    return is_unavailable ? WAIT_OUTAGE_MS : WAIT_MS;
 }
--- a/lib/store/outage.h
+++ b/lib/store/outage.h
@@ -24,10 +24,10 @@
 /* Returns for how long the store may hold a poll without changes. A long wait
  * saves calls, which are billed. But a store process that accepts a poll and
  * never answers, on a running machine, is detected only after this wait plus
- * GW_POLL_ANSWER_MS. `was_away`: the store has not answered since the last
+ * GW_POLL_ANSWER_MS. `is_unavailable`: the store has not answered since the last
  * failure and may keep accepting polls without answering, so the wait is
  * shorter. */
-uint32_t GwStorePoll_WaitMs(bool was_away);
+uint32_t GwStorePoll_WaitMs(bool is_unavailable);
 /* A poll fails if the answer is later than the wait by this margin. */
 #define GW_POLL_ANSWER_MS 1500
 /* Back-off before a failed call is repeated; doubles with each failure. */
--- a/lib/store/rows_wire.c
+++ b/lib/store/rows_wire.c
@@ -108,8 +108,7 @@
     unsigned long long size = ZSTD_getFrameContentSize(bytes, len);
     GwRowSet *set = NULL;
 
-    if (size >
-        GW_ROWS_MAX_BYTES) { /* includes zstd's codes for an unknown size and an error */
+    if (size > GW_ROWS_MAX_BYTES) { /* or zstd's unknown or error code */
         return NULL;
     }
     uint8_t *plain = g_malloc(size + 1);
--- a/tests/unit/test_http_conn.c
+++ b/tests/unit/test_http_conn.c
@@ -1,4 +1,4 @@
-/* Connections over the loopback interface, with both ends on one event loop. */
+/* Connections over the loopback interface, both ends on one event loop. */
 #include "http/conn.h"
 
 #include <criterion/criterion.h>
@@ -139,7 +139,7 @@
     }
 }
 
-#define LONG_RESPONSE   (32u << 20) /* exceeds the socket buffers of both ends */
+#define LONG_RESPONSE   (32u << 20) /* exceeds both socket buffers */
 #define READER_DELAY_MS 700         /* exceeds the wait for the peer's close */
 
 /* The peer of a connection, which starts to read late. */
--- a/tests/unit/test_store_outage.c
+++ b/tests/unit/test_store_outage.c
@@ -38,9 +38,9 @@
  * considered recovered 3 s after the end of an outage. */
 #define RECOVERY_MAX_MS 5500
 
-/* The store accepts polls without answering from `outage_at_ms` on, for `for_ms`.
- * Returns the time in ms from the end of the outage until the entry sends the
- * next poll, the first that is answered. */
+/* The store accepts polls without answering from `outage_at_ms` on, for
+ * `for_ms`. Returns the time in ms from the end of the outage until the entry
+ * sends the next poll, the first that is answered. */
 static uint32_t
 recovery_ms(uint32_t outage_at_ms, uint32_t for_ms)
 {
