--- a/lib/http/listener.c
+++ b/lib/http/listener.c
@@ -7,14 +7,14 @@
 
 struct GwServe_s {
     uv_loop_t *loop;
-    uv_tcp_t *listener;
+    uv_tcp_t *tcp;
     const GwServeOps *ops;
     void *owner;
     GQueue clients; /* GwClient */
 };
 
 struct GwClient_s {
-    GwServe *serve;
+    GwServe *listener;
     GwConn *conn; /* NULL if closed */
     GList link;   /* in serve->clients */
     void *user;
@@ -23,11 +23,11 @@
 static void
 end_client(GwClient *client)
 {
-    GwServe *serve = client->serve;
+    GwServe *listener = client->listener;
 
-    g_queue_unlink(&serve->clients, &client->link);
-    if (serve->ops->gone != NULL) {
-        serve->ops->gone(serve->owner, client);
+    g_queue_unlink(&listener->clients, &client->link);
+    if (listener->ops->gone != NULL) {
+        listener->ops->gone(listener->owner, client);
     }
     g_free(client);
 }
@@ -36,9 +36,9 @@
 on_message(void *owner, GwHttpMessage *msg)
 {
     GwClient *client = owner;
-    GwServe *serve = client->serve;
+    GwServe *listener = client->listener;
 
-    serve->ops->asked(serve->owner, client, msg);
+    listener->ops->asked(listener->owner, client, msg);
 }
 
 static void
@@ -58,47 +58,47 @@
 };
 
 static void
-on_connection(uv_stream_t *listener, int status)
+on_connection(uv_stream_t *stream, int status)
 {
-    GwServe *serve = listener->data;
+    GwServe *listener = stream->data;
 
     if (status != 0) {
         return;
     }
     GwClient *client = g_new0(GwClient, 1);
     GwConnParams params = {
-        .loop = serve->loop,
+        .loop = listener->loop,
         .ops = &client_ops,
         .owner = client,
         .requests = true,
         .head_max = HEAD_MAX_BYTES,
         .body_max = BODY_MAX_BYTES,
     };
-    client->serve = serve;
+    client->listener = listener;
     client->link.data = client;
-    client->conn = GwConn_Accept(&params, listener);
+    client->conn = GwConn_Accept(&params, stream);
     if (client->conn == NULL) {
         g_free(client);
         return;
     }
-    g_queue_push_tail_link(&serve->clients, &client->link);
+    g_queue_push_tail_link(&listener->clients, &client->link);
 }
 
 GwServe *
 GwServe_Create(uv_loop_t *loop, const char *address, const GwServeOps *ops,
                void *owner)
 {
-    GwServe *serve = g_new0(GwServe, 1);
-
-    serve->loop = loop;
-    serve->ops = ops;
-    serve->owner = owner;
-    serve->listener = GwConn_Listen(loop, address, on_connection, serve);
-    if (serve->listener == NULL) {
-        g_free(serve);
+    GwServe *listener = g_new0(GwServe, 1);
+
+    listener->loop = loop;
+    listener->ops = ops;
+    listener->owner = owner;
+    listener->tcp = GwConn_Listen(loop, address, on_connection, listener);
+    if (listener->tcp == NULL) {
+        g_free(listener);
         return NULL;
     }
-    return serve;
+    return listener;
 }
 
 static void
@@ -109,19 +109,19 @@
 }
 
 void
-GwServe_Free(GwServe *serve)
+GwServe_Free(GwServe *listener)
 {
     GwClient *client;
 
-    if (serve == NULL) {
+    if (listener == NULL) {
         return;
     }
-    while ((client = g_queue_peek_head(&serve->clients)) != NULL) {
+    while ((client = g_queue_peek_head(&listener->clients)) != NULL) {
         GwConn_Close(client->conn);
-        g_queue_unlink(&serve->clients, &client->link);
+        g_queue_unlink(&listener->clients, &client->link);
         g_free(client);
     }
-    uv_close((uv_handle_t *)serve->listener, free_listener);
+    uv_close((uv_handle_t *)listener->tcp, free_listener);
 }
 
 static const char *
@@ -131,21 +131,21 @@
 }
 
 void
-GwClient_Answer(GwClient *client, const GwServeAnswer *answer)
+GwClient_Answer(GwClient *client, const GwServeAnswer *response)
 {
     size_t len =
-        answer->body_len > 0 ? answer->body_len : strlen(answer->body);
+        response->body_len > 0 ? response->body_len : strlen(response->body);
     GString *out = g_string_sized_new(len + 256);
 
     g_string_append_printf(
         out,
         "HTTP/1.1 %u %s\r\nContent-Type: %s\r\nContent-Length: %zu\r\n"
         "%s%s\r\n",
-        answer->status, reason_phrase(answer->status),
-        answer->type != NULL ? answer->type : "application/json", len,
-        answer->fields != NULL ? answer->fields : "",
-        answer->close ? "Connection: close\r\n" : "");
-    g_string_append_len(out, answer->body, (gssize)len);
+        response->status, reason_phrase(response->status),
+        response->type != NULL ? response->type : "application/json", len,
+        response->fields != NULL ? response->fields : "",
+        response->close ? "Connection: close\r\n" : "");
+    g_string_append_len(out, response->body, (gssize)len);
     GwConn_Write(client->conn, out);
     g_string_free(out, TRUE);
 }
--- a/lib/http/listener.h
+++ b/lib/http/listener.h
@@ -23,7 +23,7 @@
                         const GwServeOps *ops, void *owner);
 /* Closes the listener and all connections without calling `gone`. The memory
  * is released when the loop runs next. */
-void GwServe_Free(GwServe *serve);
+void GwServe_Free(GwServe *listener);
 
 typedef struct {
     uint16_t status;
@@ -35,7 +35,7 @@
     bool close;       /* sends `Connection: close` */
 } GwServeAnswer;
 
-void GwClient_Answer(GwClient *client, const GwServeAnswer *answer);
+void GwClient_Answer(GwClient *client, const GwServeAnswer *response);
 /* Closes the connection without a response and calls `gone`. */
 void GwClient_Drop(GwClient *client);
 /* A pointer for use by the owner, initially NULL. */
--- a/lib/http/message.h
+++ b/lib/http/message.h
@@ -64,9 +64,9 @@
 } GwHttpWrite;
 
 void GwHttpMessage_WriteRequest(const GwHttpMessage *msg,
-                                const GwHttpWrite *how, GString *out);
+                                const GwHttpWrite *options, GString *out);
 void GwHttpMessage_WriteAnswer(const GwHttpMessage *msg,
-                               const GwHttpWrite *how, GString *out);
+                               const GwHttpWrite *options, GString *out);
 
 typedef enum {
     GW_HTTP_OK = 0,
--- a/lib/store/outage.c
+++ b/lib/store/outage.c
@@ -4,10 +4,10 @@
 #define WAIT_OUTAGE_MS 800
 
 bool
-GwStoreSight_WasAway(const GwStoreSight *sight)
+GwStoreSight_WasAway(const GwStoreSight *health)
 {
-    return sight->failed && !sight->reads_well &&
-           sight->peers_reading_well == 0;
+    return health->failed && !health->reads_well &&
+           health->peers_reading_well == 0;
 }
 
 uint32_t
--- a/lib/store/outage.h
+++ b/lib/store/outage.h
@@ -19,13 +19,13 @@
  * temporary and are delayed. If any entry polled without failure, no row
  * expired: removals are final, and delaying them for 2 s would send requests
  * to servers that have stopped. */
-bool GwStoreSight_WasAway(const GwStoreSight *sight);
+bool GwStoreSight_WasAway(const GwStoreSight *health);
 
 /* Returns for how long the store may hold a poll without changes. A long wait
  * saves calls, which are billed. But a store process that accepts a poll and
  * never answers, on a running machine, is detected only after this wait plus
- * GW_POLL_ANSWER_MS. `is_unavailable`: the store has not answered since the last
- * failure and may keep accepting polls without answering, so the wait is
+ * GW_POLL_ANSWER_MS. `is_unavailable`: the store has not answered since the
+ * last failure and may keep accepting polls without answering, so the wait is
  * shorter. */
 uint32_t GwStorePoll_WaitMs(bool is_unavailable);
 /* A poll fails if the answer is later than the wait by this margin. */
--- a/lib/store/rows_wire.c
+++ b/lib/store/rows_wire.c
@@ -12,22 +12,22 @@
 #define ZSTD_LEVEL 3
 
 char *
-GwRowsAsk_WriteTarget(const GwRowsAsk *ask)
+GwRowsAsk_WriteTarget(const GwRowsAsk *req)
 {
     return g_strdup_printf(TARGET_PATH "?table=%s&after=%" PRIu64
                                        "&digest=%" PRIx64,
-                           ask->table, ask->after, ask->digest);
+                           req->table, req->after, req->digest);
 }
 
 bool
-GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *ask)
+GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *req)
 {
     int end = 0;
 
     return sscanf(target,
                   TARGET_PATH "?table=%63[^&]&after=%" SCNu64
                               "&digest=%" SCNx64 "%n",
-                  ask->table, &ask->after, &ask->digest, &end) == 3 &&
+                  req->table, &req->after, &req->digest, &end) == 3 &&
            target[end] == '\0';
 }
 
--- a/lib/store/rows_wire.h
+++ b/lib/store/rows_wire.h
@@ -11,9 +11,9 @@
 } GwRowsAsk;
 
 /* Returns the target of the GET request; to be freed by g_free. */
-char *GwRowsAsk_WriteTarget(const GwRowsAsk *ask);
+char *GwRowsAsk_WriteTarget(const GwRowsAsk *req);
 /* Returns false if the target is not a request for rows. */
-bool GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *ask);
+bool GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *req);
 
 /* Limit on the size of a set of rows before compression. */
 #define GW_ROWS_MAX_BYTES (8u << 20)
--- a/tests/unit/test_store_outage.c
+++ b/tests/unit/test_store_outage.c
@@ -12,8 +12,8 @@
 {
     static const struct {
         const char *what;
-        GwStoreSight sight;
-        bool away;
+        GwStoreSight health;
+        bool is_outage;
     } cases[] = {
         {"nothing failed", {.failed = false}, false},
         {"all polls failed", {.failed = true}, true},
@@ -29,8 +29,8 @@
     };
 
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-        cr_expect_eq(GwStoreSight_WasAway(&cases[i].sight), cases[i].away,
-                     "%s", cases[i].what);
+        cr_expect_eq(GwStoreSight_WasAway(&cases[i].health),
+                     cases[i].is_outage, "%s", cases[i].what);
     }
 }
 
