--- a/lib/http/conn.c
+++ b/lib/http/conn.c
@@ -81,7 +81,7 @@
 }
 
 static bool
-on_to_head(void *owner)
+is_next_head_response(void *owner)
 {
     GwConn *c = owner;
 
@@ -188,7 +188,7 @@
         .body_max = params->body_max,
         .budget = params->budget,
         .message = on_message,
-        .to_head = on_to_head,
+        .to_head = is_next_head_response,
         .owner = c,
     };
 
--- a/lib/http/conn.h
+++ b/lib/http/conn.h
@@ -27,8 +27,7 @@
 /* Callbacks are never made from within a call of this module. `ended`
  * is called at most once, and never after the owner closed the
  * connection. After GW_CONN_BAD the owner can still write and must
- * close the connection; after the other ends the connection is
- * released. */
+ * close the connection; after all other ends it is released. */
 typedef struct {
     void (*connected)(void *owner);
     void (*message)(void *owner, GwHttpMessage *msg); /* takes ownership */
--- a/lib/http/listener.h
+++ b/lib/http/listener.h
@@ -27,12 +27,11 @@
 
 typedef struct {
     uint16_t status;
-    const char *type; /* content type; NULL for JSON */
-    const char
-        *fields;      /* further header lines, each with CRLF; NULL for none */
-    const char *body; /* "" for none */
-    size_t body_len;  /* 0: length of the NUL-terminated `body` */
-    bool close;       /* sends `Connection: close` */
+    const char *type;   /* content type; NULL for JSON */
+    const char *fields; /* more header lines with CRLF; NULL for none */
+    const char *body;   /* "" for none */
+    size_t body_len;    /* 0: length of the NUL-terminated `body` */
+    bool close;         /* sends `Connection: close` */
 } GwServeAnswer;
 
 void GwClient_Answer(GwClient *client, const GwServeAnswer *response);
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -45,7 +45,7 @@
 typedef struct {
     char *name;
     uint32_t connections_max; /* per backend server, from all entries */
-    double cold_per_s;        /* requests per second to a cold server */
+    double cold_per_s;        /* limit on the rate to a cold server */
 } GwRouteService;
 
 /* Limits on the size and the pace of a caller's requests. */
--- a/lib/store/outage.h
+++ b/lib/store/outage.h
@@ -1,5 +1,5 @@
-/* Tells an outage of the store from a lost connection of one entry, and sets
- * the timing of polls. */
+/* Distinguishes an outage of the store from a lost connection of one entry,
+ * and sets the timing of polls. */
 #ifndef GW_STORE_OUTAGE_H
 #define GW_STORE_OUTAGE_H
 
--- a/tests/unit/test_http_message.c
+++ b/tests/unit/test_http_message.c
@@ -18,7 +18,7 @@
 }
 
 static bool
-on_to_head(void *owner)
+is_next_head_response(void *owner)
 {
     return ((Received *)owner)->head;
 }
@@ -31,7 +31,7 @@
         .head_max = 400,
         .body_max = 64,
         .message = on_message,
-        .to_head = on_to_head,
+        .to_head = is_next_head_response,
         .owner = received,
     };
 
