--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -1,7 +1,7 @@
 /* Rows of the store: a long poll for each table, and a read of the whole table
  * where the store no longer has the history. */
 #include "edge/feed_internal.h"
-#include "store/away.h"
+#include "store/outage.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/lib/store/rows_wire.c
+++ b/lib/store/rows_wire.c
@@ -8,26 +8,26 @@
 #include <zstd.h>
 
 #define TARGET_PATH "/rows"
-/* Rows of servers are alike; a higher level saves little more. */
+/* Rows are similar, so a higher level saves little more. */
 #define ZSTD_LEVEL 3
 
 char *
-GwRowsAsk_WriteTarget(const GwRowsAsk *ask)
+GwRowsAsk_WriteTarget(const GwRowsAsk *req)
 {
     return g_strdup_printf(TARGET_PATH "?table=%s&after=%" PRIu64
                                        "&digest=%" PRIx64,
-                           ask->table, ask->after, ask->digest);
+                           req->table, req->after, req->digest);
 }
 
 bool
-GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *ask)
+GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *req)
 {
     int end = 0;
 
     return sscanf(target,
                   TARGET_PATH "?table=%63[^&]&after=%" SCNu64
                               "&digest=%" SCNx64 "%n",
-                  ask->table, &ask->after, &ask->digest, &end) == 3 &&
+                  req->table, &req->after, &req->digest, &end) == 3 &&
            target[end] == '\0';
 }
 
@@ -81,7 +81,7 @@
 }
 
 static GwRowSet *
-read_set(const Gw__Peer__Rows *rows)
+unpack_set(const Gw__Peer__Rows *rows)
 {
     GwRowSet *set = GwRowSet_Create();
 
@@ -108,16 +108,18 @@
     unsigned long long size = ZSTD_getFrameContentSize(bytes, len);
     GwRowSet *set = NULL;
 
-    if (size > GW_ROWS_MAX_BYTES) { /* unknown and bad are above it too */
+    if (size > GW_ROWS_MAX_BYTES) { /* or zstd's unknown or error code */
         return NULL;
     }
     uint8_t *plain = g_malloc(size + 1);
-    size_t got = ZSTD_decompress(plain, size, bytes, len);
+    size_t plain_len = ZSTD_decompress(plain, size, bytes, len);
     Gw__Peer__Rows *rows =
-        ZSTD_isError(got) ? NULL : gw__peer__rows__unpack(NULL, got, plain);
+        ZSTD_isError(plain_len)
+            ? NULL
+            : gw__peer__rows__unpack(NULL, plain_len, plain);
     g_free(plain);
     if (rows != NULL) {
-        set = read_set(rows);
+        set = unpack_set(rows);
         gw__peer__rows__free_unpacked(rows, NULL);
     }
     return set;
