--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -33,13 +33,13 @@
         g_ptr_array_new_with_free_func((GDestroyNotify)GwHttpMessage_Free);
     GwHttpParser *p = parser(requests, again);
     GString *out = g_string_new(NULL);
-    GwHttpWrite how = {0};
+    GwHttpWriteOptions how = {0};
 
     if (requests) {
         GwHttpMessage_WriteRequest(msg, &how, out);
     }
     else {
-        GwHttpMessage_WriteAnswer(msg, &how, out);
+        GwHttpMessage_WriteResponse(msg, &how, out);
     }
     GwHttpParser_SetLimits(p, 100000, 100000);
     (void)GwHttpParser_Feed(p, out->str, out->len);
--- a/fuzz/fuzz_rows.c
+++ b/fuzz/fuzz_rows.c
@@ -27,10 +27,10 @@
 LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
     char *text = g_strndup((const char *)data, size);
-    GwRowsAsk ask;
+    GwRowsRequest ask;
 
     unpack((const char *)data, size);
-    (void)GwRowsAsk_ReadTarget(text, &ask);
+    (void)GwRowsRequest_ReadTarget(text, &ask);
     g_free(text);
     return 0;
 }
--- a/lib/edge/callers.c
+++ b/lib/edge/callers.c
@@ -251,7 +251,7 @@
     caller->is_flush_pending = false;
     while (!close && x != NULL && x->out != NULL) {
         bool last =
-            is_last_exchange(caller, x) && !GwConn_IsInside(caller->conn);
+            is_last_exchange(caller, x) && !GwConn_IsInMessage(caller->conn);
         close = last && caller->error_status == 0 &&
                 (edge->is_stopping || !x->msg->keep_alive);
         if (close) {
@@ -335,7 +335,7 @@
     GwCaller *caller = owner;
     GwEdge *edge = caller->edge;
 
-    if (end != GW_CONN_BAD) {
+    if (end != GW_CONN_MALFORMED) {
         GwEdge_CheckStopSignal(edge);
         GwCaller_Free(caller, GW_END_DISCONNECTED);
         GwEdge_RunActions(edge);
@@ -348,7 +348,7 @@
     case GW_HTTP_LONG_BODY:
         caller->error_status = 413;
         break;
-    case GW_HTTP_NO_ROOM:
+    case GW_HTTP_OVER_BUDGET:
         caller->error_status = 503; /* incomplete, so never run */
         break;
     default:
@@ -446,12 +446,12 @@
 void
 GwExchange_ForwardAnswer(GwExchange *x)
 {
-    GwHttpWrite how = {
-        .to_head = strcmp(x->msg->method, "HEAD") == 0,
+    GwHttpWriteOptions how = {
+        .is_head_response = strcmp(x->msg->method, "HEAD") == 0,
     };
 
     x->request = NULL;
     x->out = g_string_sized_new(x->answer->body->len + 512);
-    GwHttpMessage_WriteAnswer(x->answer, &how, x->out);
+    GwHttpMessage_WriteResponse(x->answer, &how, x->out);
     GwCaller_ScheduleFlush(x->caller);
 }
--- a/lib/edge/callers_idle.c
+++ b/lib/edge/callers_idle.c
@@ -48,7 +48,8 @@
 static bool
 is_idle(const GwCaller *caller)
 {
-    return caller->exchanges.head == NULL && !GwConn_IsInside(caller->conn) &&
+    return caller->exchanges.head == NULL &&
+           !GwConn_IsInMessage(caller->conn) &&
            !GwConn_HasUnread(caller->conn);
 }
 
@@ -102,8 +103,8 @@
     }
     uint32_t limit_ms =
         in_head ? limits->head_timeout_ms : limits->idle_timeout_ms;
-    int64_t since =
-        in_head ? caller->partial_since_us : GwConn_LastHeard(caller->conn);
+    int64_t since = in_head ? caller->partial_since_us
+                            : GwConn_LastReceivedUs(caller->conn);
     /* Unread data was sent in time; the process was stalled. */
     if (caller->error_status == 0 && is_overdue(since, limit_ms, now_us) &&
         !GwConn_HasUnread(caller->conn)) {
@@ -124,13 +125,13 @@
         return;
     }
     GwConn_SetLimits(caller->conn, limits->head_bytes, limits->body_bytes);
-    if (GwConn_IsInside(caller->conn)) {
+    if (GwConn_IsInMessage(caller->conn)) {
         check_partial_request(caller, limits, now_us);
         return;
     }
     /* The caller measures idle time from the arrival of the answer, which can
      * be long after the write on a slow link. */
-    if (caller->has_unacked_answer && GwConn_HasArrived(caller->conn)) {
+    if (caller->has_unacked_answer && GwConn_IsAllAcked(caller->conn)) {
         caller->has_unacked_answer = false;
         caller->idle_since_us = now_us;
     }
--- a/lib/edge/control.c
+++ b/lib/edge/control.c
@@ -8,9 +8,9 @@
 send_answer(GwClient *client, uint16_t status, const char *type,
             const char *body)
 {
-    GwServeAnswer answer = {.status = status, .type = type, .body = body};
+    GwHttpResponse answer = {.status = status, .type = type, .body = body};
 
-    GwClient_Answer(client, &answer);
+    GwClient_Respond(client, &answer);
 }
 
 /* Returns the decoded value of a query parameter, NULL when absent; the
@@ -43,9 +43,9 @@
     if (addresses->len > 0) {
         char *body =
             a->write_directory(addresses, edge->settings->lookup_ttl_ms);
-        GwServeAnswer answer = {
+        GwHttpResponse answer = {
             .status = 200, .body = body, .close = edge->is_stopping};
-        GwClient_Answer(client, &answer);
+        GwClient_Respond(client, &answer);
         g_free(body);
     }
     else {
@@ -71,11 +71,11 @@
 answer_rows(GwEdge *edge, GwClient *client, const char *target)
 {
     GwFeed *const feeds[] = {edge->operator_feed, edge->server_feed};
-    GwServeAnswer answer = {.status = 404, .body = "{}"};
+    GwHttpResponse answer = {.status = 404, .body = "{}"};
     GByteArray *rows = NULL;
-    GwRowsAsk ask;
+    GwRowsRequest ask;
 
-    if (GwRowsAsk_ReadTarget(target, &ask)) {
+    if (GwRowsRequest_ReadTarget(target, &ask)) {
         for (size_t i = 0; i < G_N_ELEMENTS(feeds) && answer.status == 404;
              i++) {
             rows = GwFeed_AnswerPeer(feeds[i], &ask, &answer.status);
@@ -86,11 +86,11 @@
         answer.body = (const char *)rows->data;
         answer.body_len = rows->len;
         edge->counts.row_bytes_out += rows->len;
-        GwClient_Answer(client, &answer);
+        GwClient_Respond(client, &answer);
         g_byte_array_free(rows, TRUE);
         return;
     }
-    GwClient_Answer(client, &answer);
+    GwClient_Respond(client, &answer);
 }
 
 static void
@@ -162,7 +162,7 @@
     GwHttpMessage_Free(msg);
 }
 
-static const GwServeOps control_ops = {.asked = on_request};
+static const GwHttpListenerOps control_ops = {.asked = on_request};
 
 void
 GwControl_CloseAll(GwEdge *edge)
@@ -183,8 +183,8 @@
         if (addresses[i][0] == '\0') {
             continue;
         }
-        GwServe *serve =
-            GwServe_Create(&edge->loop, addresses[i], &control_ops, edge);
+        GwHttpListener *serve = GwHttpListener_Create(
+            &edge->loop, addresses[i], &control_ops, edge);
         if (serve == NULL) {
             g_set_error(error, GW_ERROR, GW_RESULT_IO, "can't listen at %s",
                         addresses[i]);
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -361,7 +361,7 @@
     edge->cost_logged_us = edge->started_us;
     edge->armed_us = INT64_MAX;
     edge->controls =
-        g_ptr_array_new_with_free_func((GDestroyNotify)GwServe_Free);
+        g_ptr_array_new_with_free_func((GDestroyNotify)GwHttpListener_Free);
     edge->meters = GwMeters_Create();
     edge->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     edge->router = GwRouter_Create(&settings->router, GwEdge_Now());
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -60,7 +60,7 @@
     uv_check_t after_accept; /* runs after pending accepts */
     GwStopSignal stop_signal;
     uv_signal_t hangup;
-    GPtrArray *controls; /* GwServe */
+    GPtrArray *controls; /* GwHttpListener */
     uv_tcp_t *call_listener;
     GwHttpBudget bodies; /* shared by callers and servers */
     GwRouter *router;
@@ -167,7 +167,7 @@
 void GwFeed_Close(GwFeed *feed);
 /* `is_news` filters the changes that count as updates; NULL: all of them. */
 GwFeed *GwFeed_Create(GwEdge *edge, const char *table, GwRowChanged changed,
-                      GwRowIsNews is_news);
+                      GwRowIsUpdate is_news);
 void GwFeed_Free(GwFeed *feed);
 void GwFeed_Sweep(GwFeed *feed, int64_t now_us);
 /* Selects whether this entry reads the table from the store or relies on
@@ -199,13 +199,13 @@
 /* Answers a peer's read of this entry's copy: 200 with packed rows; 404 for
  * another table or one not read yet; 410 when the peer has to read the whole
  * table. */
-GByteArray *GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsAsk *ask,
+GByteArray *GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsRequest *ask,
                               uint16_t *status);
 
 /* router_rows.c */
 void GwRouterRows_OnOperatorRow(void *ctx, const GwStoreRow *row);
 void GwRouterRows_OnServerRow(void *ctx, const GwStoreRow *row);
-/* GwRowIsNews for rows of servers. */
+/* GwRowIsUpdate for rows of servers. */
 bool GwRouterRows_IsChange(void *ctx, const char *key, const char *old,
                            int64_t age_us, const char *value);
 
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -17,14 +17,14 @@
 
 GwFeed *
 GwFeed_Create(GwEdge *edge, const char *table, GwRowChanged changed,
-              GwRowIsNews is_news)
+              GwRowIsUpdate is_news)
 {
     GwFeed *feed = g_new0(GwFeed, 1);
 
     feed->edge = edge;
     feed->table = g_strdup(table);
     feed->cache = GwRowCache_Create(changed, edge);
-    GwRowCache_SetIsNews(feed->cache, is_news);
+    GwRowCache_SetIsUpdate(feed->cache, is_news);
     feed->phase = PHASE_READ;
     feed->retry_ms = GW_POLL_RETRY_MIN_MS;
     feed->answered_us = GwEdge_Now();
@@ -35,7 +35,7 @@
 static void
 close_store(GwFeed *feed)
 {
-    GwConn_CloseAt(&feed->conn);
+    GwConn_CloseAndClear(&feed->conn);
     feed->next_poll_us = 0;
     GwRowSet_Free(feed->pages);
     feed->pages = NULL;
@@ -45,7 +45,7 @@
 GwFeed_Close(GwFeed *feed)
 {
     close_store(feed);
-    GwConn_CloseAt(&feed->peer);
+    GwConn_CloseAndClear(&feed->peer);
 }
 
 void
@@ -126,15 +126,15 @@
  * could read the store all the time. */
 static bool
 set_grace_after_outage(GwFeed *feed, int64_t now_us, bool failed,
-                       bool reads_well)
+                       bool polls_succeed)
 {
-    GwStoreSight sight = {
+    GwStoreHealth sight = {
         .failed = failed,
-        .reads_well = reads_well,
-        .peers_reading_well = GwPeers_CountHealthyReaders(feed->edge->peers),
+        .polls_succeed = polls_succeed,
+        .healthy_peers = GwPeers_CountHealthyReaders(feed->edge->peers),
     };
 
-    if (!GwStoreSight_WasAway(&sight)) {
+    if (!GwStoreHealth_HadOutage(&sight)) {
         return false;
     }
     GwRowCache_SetGrace(feed->cache, now_us + grace_us(feed), grace_us(feed));
@@ -144,10 +144,10 @@
 void
 GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_away)
 {
-    bool reads_well =
+    bool polls_succeed =
         GwFeed_IsHealthy(feed) && !GwFeed_HadOutage(feed, now_us);
 
-    (void)set_grace_after_outage(feed, now_us, saw_away, reads_well);
+    (void)set_grace_after_outage(feed, now_us, saw_away, polls_succeed);
 }
 
 static void
@@ -262,7 +262,7 @@
 {
     GwFeed *feed = owner;
 
-    if (end != GW_CONN_BAD) {
+    if (end != GW_CONN_MALFORMED) {
         feed->conn = NULL;
     }
     back_off(feed);
@@ -285,7 +285,7 @@
         .owner = feed,
         .head_max = 64 << 10,
         .body_max = GW_ROWS_MAX_BYTES,
-        .user_timeout_ms = GW_POLL_ANSWER_MS,
+        .user_timeout_ms = GW_POLL_MARGIN_MS,
         .keepalive = true,
     };
 
@@ -328,9 +328,9 @@
 void
 GwFeed_Sweep(GwFeed *feed, int64_t now_us)
 {
-    int64_t limit_us = ((int64_t)feed->wait_ms + GW_POLL_ANSWER_MS) * 1000;
+    int64_t limit_us = ((int64_t)feed->wait_ms + GW_POLL_MARGIN_MS) * 1000;
 
-    GwRowCache_Tick(feed->cache, now_us);
+    GwRowCache_Expire(feed->cache, now_us);
     if (feed->next_poll_us != 0 && now_us >= feed->next_poll_us) {
         feed->next_poll_us = 0;
         send_poll(feed);
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -39,7 +39,7 @@
 static void
 request_rows(GwFeed *feed)
 {
-    GwRowsAsk ask = {.after = feed->peer_full ? 0 : GwFeed_Version(feed)};
+    GwRowsRequest ask = {.after = feed->peer_full ? 0 : GwFeed_Version(feed)};
 
     if (feed->peer_is_store) {
         request_from_store(feed);
@@ -49,7 +49,7 @@
         ask.digest = GwRowCache_Digest(feed->cache);
     }
     g_strlcpy(ask.table, feed->table, sizeof(ask.table));
-    char *target = GwRowsAsk_WriteTarget(&ask);
+    char *target = GwRowsRequest_WriteTarget(&ask);
     GwConn_WriteGet(feed->peer, target, "peer");
     g_free(target);
 }
@@ -129,7 +129,7 @@
                   : GwRowSet_Unpack(msg->body->str, msg->body->len);
     }
     GwHttpMessage_Free(msg);
-    GwConn_CloseAt(&feed->peer);
+    GwConn_CloseAndClear(&feed->peer);
     if (set == NULL || set->more) {
         note_store_failed(feed); /* a partial table can't be applied */
         GwRowSet_Free(set);
@@ -148,8 +148,8 @@
 {
     GwFeed *feed = owner;
 
-    if (end == GW_CONN_BAD) {
-        GwConn_CloseAt(&feed->peer);
+    if (end == GW_CONN_MALFORMED) {
+        GwConn_CloseAndClear(&feed->peer);
     }
     feed->peer = NULL;
     note_store_failed(feed);
@@ -211,13 +211,14 @@
  * is older: when many entries start together, tables are read at many
  * versions. */
 static bool
-has_same_rows(const GwFeed *feed, const GwRowsAsk *ask)
+has_same_rows(const GwFeed *feed, const GwRowsRequest *ask)
 {
     return ask->digest != 0 && ask->digest == GwRowCache_Digest(feed->cache);
 }
 
 GByteArray *
-GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsAsk *ask, uint16_t *status)
+GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsRequest *ask,
+                  uint16_t *status)
 {
     uint64_t after = ask->after;
 
@@ -225,7 +226,7 @@
     if (strcmp(ask->table, feed->table) != 0 || !feed->known) {
         return NULL;
     }
-    if (after != 0 && !GwRowCache_KnowsAllAfter(feed->cache, after)) {
+    if (after != 0 && !GwRowCache_HasRemovalsAfter(feed->cache, after)) {
         if (!has_same_rows(feed, ask)) {
             *status = 410;
             return NULL;
@@ -243,7 +244,7 @@
 is_timed_out(const GwFeed *feed, int64_t now_us)
 {
     int64_t received_us =
-        MAX(feed->peer_sent_us, GwConn_LastHeard(feed->peer));
+        MAX(feed->peer_sent_us, GwConn_LastReceivedUs(feed->peer));
 
     return now_us - received_us > PEER_ANSWER_MS * 1000 ||
            now_us - feed->peer_sent_us > PEER_TRANSFER_MS * 1000;
@@ -253,7 +254,7 @@
 GwFeed_SweepPeer(GwFeed *feed, int64_t now_us)
 {
     if (feed->peer != NULL && is_timed_out(feed, now_us)) {
-        GwConn_CloseAt(&feed->peer);
+        GwConn_CloseAndClear(&feed->peer);
         note_store_failed(feed);
     }
 }
--- a/lib/edge/join.c
+++ b/lib/edge/join.c
@@ -14,7 +14,7 @@
 static void
 retry_join(GwPeers *peers)
 {
-    GwConn_CloseAt(&peers->join);
+    GwConn_CloseAndClear(&peers->join);
     peers->next_join_us = GwEdge_Now() + JOIN_RETRY_US;
 }
 
@@ -124,7 +124,7 @@
         }
         else {
             peers->step = GW_JOIN_DONE;
-            GwConn_CloseAt(&peers->join);
+            GwConn_CloseAndClear(&peers->join);
         }
     }
     GwRowSet_Free(set);
@@ -135,7 +135,7 @@
 {
     GwPeers *peers = owner;
 
-    if (end != GW_CONN_BAD) {
+    if (end != GW_CONN_MALFORMED) {
         peers->join = NULL;
     }
     retry_join(peers);
--- a/lib/edge/peers.c
+++ b/lib/edge/peers.c
@@ -341,7 +341,7 @@
 void
 GwPeers_Close(GwPeers *peers)
 {
-    GwConn_CloseAt(&peers->join);
+    GwConn_CloseAndClear(&peers->join);
     uv_close((uv_handle_t *)&peers->udp, NULL);
     uv_close((uv_handle_t *)&peers->timer, NULL);
 }
--- a/lib/edge/quarantine_rows.c
+++ b/lib/edge/quarantine_rows.c
@@ -85,7 +85,7 @@
 static void
 retry(GwQuarantineRows *rows)
 {
-    GwConn_CloseAt(&rows->conn);
+    GwConn_CloseAndClear(&rows->conn);
     rows->at_us = GwEdge_Now() + RETRY_US;
 }
 
@@ -112,7 +112,7 @@
     const GwSuspect *next = g_queue_peek_head(&rows->waiting);
 
     if (rows->has_read && next == NULL) {
-        GwConn_CloseAt(&rows->conn);
+        GwConn_CloseAndClear(&rows->conn);
         return;
     }
     rows->edge->counts.store_calls++;
@@ -185,7 +185,7 @@
 {
     GwQuarantineRows *rows = owner;
 
-    if (end != GW_CONN_BAD) {
+    if (end != GW_CONN_MALFORMED) {
         rows->conn = NULL;
     }
     retry(rows);
@@ -243,7 +243,7 @@
 void
 GwQuarantineRows_Close(GwQuarantineRows *rows)
 {
-    GwConn_CloseAt(&rows->conn);
+    GwConn_CloseAndClear(&rows->conn);
 }
 
 void
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -153,7 +153,7 @@
     char *extra = g_strdup_printf("%s: %" G_GINT64_FORMAT "\r\n%s: %s\r\n",
                                   names->time_left, time_left_ms,
                                   names->expect_server, link->pool->id);
-    GwHttpWrite how = {.drop = drop, .extra = extra};
+    GwHttpWriteOptions how = {.drop = drop, .extra = extra};
     GString *out = g_string_sized_new(x->msg->body->len + 512);
 
     GwHttpMessage_WriteRequest(x->msg, &how, out);
@@ -443,7 +443,7 @@
     GwExchange *x = link->exchange;
     bool sent = GwConn_BytesOut(link->conn) > 0;
 
-    if (how != GW_CONN_BAD) {
+    if (how != GW_CONN_MALFORMED) {
         link->conn = NULL; /* closed by GwConn */
     }
     if (how == GW_CONN_REFUSED) {
@@ -456,7 +456,7 @@
     if (x != NULL) {
         GwAttemptEnd end = {.outcome =
                                 sent ? GW_ATTEMPT_LOST : GW_ATTEMPT_UNSENT};
-        end.closed = sent && how != GW_CONN_BAD;
+        end.closed = sent && how != GW_CONN_MALFORMED;
         report_attempt(x, &end);
     }
     GwEdge_RunActions(edge);
@@ -475,7 +475,7 @@
     .connected = on_connected,
     .message = on_message,
     .read = on_read,
-    .to_head = is_to_head,
+    .is_head_response = is_to_head,
     .ended = on_ended,
 };
 
--- a/lib/http/conn.c
+++ b/lib/http/conn.c
@@ -62,7 +62,7 @@
         return;
     }
     GwConn_Pause(c, true);
-    c->params.ops->ended(c->params.owner, GW_CONN_BAD);
+    c->params.ops->ended(c->params.owner, GW_CONN_MALFORMED);
 }
 
 static void
@@ -85,8 +85,8 @@
 {
     GwConn *c = owner;
 
-    return !c->is_closing && c->params.ops->to_head != NULL &&
-           c->params.ops->to_head(c->params.owner);
+    return !c->is_closing && c->params.ops->is_head_response != NULL &&
+           c->params.ops->is_head_response(c->params.owner);
 }
 
 /* Checks the socket itself, where only a read of zero bytes is an orderly end.
@@ -188,7 +188,7 @@
         .body_max = params->body_max,
         .budget = params->budget,
         .message = on_message,
-        .to_head = is_next_head_response,
+        .is_head_response = is_next_head_response,
         .owner = c,
     };
 
@@ -386,9 +386,9 @@
 }
 
 bool
-GwConn_IsInside(const GwConn *c)
+GwConn_IsInMessage(const GwConn *c)
 {
-    return GwHttpParser_IsInside(c->parser);
+    return GwHttpParser_IsInMessage(c->parser);
 }
 
 bool
@@ -404,7 +404,7 @@
 }
 
 int64_t
-GwConn_LastHeard(const GwConn *c)
+GwConn_LastReceivedUs(const GwConn *c)
 {
     return c->received_us;
 }
@@ -424,7 +424,7 @@
 }
 
 bool
-GwConn_HasArrived(const GwConn *c)
+GwConn_IsAllAcked(const GwConn *c)
 {
     int unacked = 0;
     int fd;
--- a/lib/http/conn.h
+++ b/lib/http/conn.h
@@ -10,10 +10,10 @@
 typedef struct GwConn_s GwConn;
 
 typedef enum {
-    GW_CONN_ENDED = 1,  /* orderly close by the peer */
-    GW_CONN_FAILED = 2, /* reset, time-out, or failed to connect */
-    GW_CONN_BAD = 3,    /* malformed message; see GwConn_Error */
-    GW_CONN_REFUSED = 4 /* connection refused: no listener at the address */
+    GW_CONN_ENDED = 1,     /* orderly close by the peer */
+    GW_CONN_FAILED = 2,    /* reset, time-out, or failed to connect */
+    GW_CONN_MALFORMED = 3, /* malformed message; see GwConn_Error */
+    GW_CONN_REFUSED = 4    /* connection refused: no listener at the address */
 } GwConnEnd;
 
 /* A request, possibly incomplete, that arrived while its connection was
@@ -26,7 +26,7 @@
 
 /* Callbacks are never made from within a call of this module. `ended`
  * is called at most once, and never after the owner closed the
- * connection. After GW_CONN_BAD the owner can still write and must
+ * connection. After GW_CONN_MALFORMED the owner can still write and must
  * close the connection; after all other ends it is released. */
 typedef struct {
     void (*connected)(void *owner);
@@ -35,7 +35,7 @@
      * NULL. */
     void (*read)(void *owner);
     /* Returns whether the next response is to a HEAD request; may be NULL. */
-    bool (*to_head)(void *owner);
+    bool (*is_head_response)(void *owner);
     void (*ended)(void *owner, GwConnEnd end);
     /* Called for requests that arrive after GwConn_FinishAndClose; may be
      * NULL. */
@@ -86,17 +86,17 @@
  * afterwards. */
 void GwConn_Close(GwConn *c);
 /* Closes the connection `*at`, if not NULL, and sets `*at` to NULL. */
-void GwConn_CloseAt(GwConn **at);
+void GwConn_CloseAndClear(GwConn **at);
 
 GwHttpError GwConn_Error(const GwConn *c);
 /* Whether a received message is incomplete. */
-bool GwConn_IsInside(const GwConn *c);
+bool GwConn_IsInMessage(const GwConn *c);
 /* Whether the head of a received message is incomplete. */
 bool GwConn_IsInHead(const GwConn *c);
 uint64_t GwConn_BytesOut(const GwConn *c);
 /* Time of the last received byte, or of the start of the connection, in us of
  * uv_hrtime. */
-int64_t GwConn_LastHeard(const GwConn *c);
+int64_t GwConn_LastReceivedUs(const GwConn *c);
 void GwConn_SetLimits(GwConn *c, uint64_t head_max, uint64_t body_max);
 /* Stops or resumes reading. A connection that reads requests also stops by
  * itself while its write queue is long. */
@@ -104,7 +104,7 @@
 bool GwConn_IsPaused(const GwConn *c);
 /* Whether the peer's kernel has acknowledged all sent bytes. Makes one system
  * call. */
-bool GwConn_HasArrived(const GwConn *c);
+bool GwConn_IsAllAcked(const GwConn *c);
 /* Whether unread bytes or an end of the stream are waiting: a request sent now
  * would receive a stray response or a reset. Makes one system call. */
 bool GwConn_HasUnread(const GwConn *c);
--- a/lib/http/conn_close.c
+++ b/lib/http/conn_close.c
@@ -63,8 +63,8 @@
 void
 GwConn_StopReporting(GwConn *c)
 {
-    if (c->reports_dropped && GwHttpParser_IsInside(c->parser)) {
-        GwConn_ReportDropped(c, GwHttpParser_Begun(c->parser));
+    if (c->reports_dropped && GwHttpParser_IsInMessage(c->parser)) {
+        GwConn_ReportDropped(c, GwHttpParser_Incomplete(c->parser));
     }
     c->reports_dropped = false;
 }
@@ -130,7 +130,7 @@
     c->finish_us = GwConn_NowUs();
     c->idle_ms = ms_between(MAX(c->received_us, c->sent_us), c->finish_us);
     c->reports_dropped = c->params.requests &&
-                         !GwHttpParser_IsInside(c->parser) &&
+                         !GwHttpParser_IsInMessage(c->parser) &&
                          GwHttpParser_Error(c->parser) == GW_HTTP_OK;
     GwHttpParser_SetLimits(c->parser, c->params.head_max, 0);
 }
@@ -164,7 +164,7 @@
 {
     GwConn *c = timer->data;
 
-    if (GwConn_HasArrived(c) || GwConn_NowUs() >= c->ack_deadline_us) {
+    if (GwConn_IsAllAcked(c) || GwConn_NowUs() >= c->ack_deadline_us) {
         GwConn_CloseHandle(c);
     }
 }
@@ -182,7 +182,7 @@
         return;
     }
     c->params.owner = NULL;
-    if (GwConn_HasArrived(c)) {
+    if (GwConn_IsAllAcked(c)) {
         GwConn_CloseHandle(c);
         return;
     }
@@ -204,7 +204,7 @@
 }
 
 void
-GwConn_CloseAt(GwConn **at)
+GwConn_CloseAndClear(GwConn **at)
 {
     if (*at != NULL) {
         GwConn_Close(*at);
--- a/lib/http/listener.c
+++ b/lib/http/listener.c
@@ -5,16 +5,16 @@
 #define HEAD_MAX_BYTES (64u << 10)
 #define BODY_MAX_BYTES (1u << 20)
 
-struct GwServe_s {
+struct GwHttpListener_s {
     uv_loop_t *loop;
     uv_tcp_t *tcp;
-    const GwServeOps *ops;
+    const GwHttpListenerOps *ops;
     void *owner;
     GQueue clients; /* GwClient */
 };
 
 struct GwClient_s {
-    GwServe *listener;
+    GwHttpListener *listener;
     GwConn *conn; /* NULL if closed */
     GList link;   /* in serve->clients */
     void *user;
@@ -23,7 +23,7 @@
 static void
 end_client(GwClient *client)
 {
-    GwServe *listener = client->listener;
+    GwHttpListener *listener = client->listener;
 
     g_queue_unlink(&listener->clients, &client->link);
     if (listener->ops->gone != NULL) {
@@ -36,7 +36,7 @@
 on_message(void *owner, GwHttpMessage *msg)
 {
     GwClient *client = owner;
-    GwServe *listener = client->listener;
+    GwHttpListener *listener = client->listener;
 
     listener->ops->asked(listener->owner, client, msg);
 }
@@ -46,7 +46,7 @@
 {
     GwClient *client = owner;
 
-    if (end == GW_CONN_BAD) {
+    if (end == GW_CONN_MALFORMED) {
         GwConn_Close(client->conn);
     }
     end_client(client);
@@ -60,7 +60,7 @@
 static void
 on_connection(uv_stream_t *stream, int status)
 {
-    GwServe *listener = stream->data;
+    GwHttpListener *listener = stream->data;
 
     if (status != 0) {
         return;
@@ -84,11 +84,11 @@
     g_queue_push_tail_link(&listener->clients, &client->link);
 }
 
-GwServe *
-GwServe_Create(uv_loop_t *loop, const char *address, const GwServeOps *ops,
-               void *owner)
+GwHttpListener *
+GwHttpListener_Create(uv_loop_t *loop, const char *address,
+                      const GwHttpListenerOps *ops, void *owner)
 {
-    GwServe *listener = g_new0(GwServe, 1);
+    GwHttpListener *listener = g_new0(GwHttpListener, 1);
 
     listener->loop = loop;
     listener->ops = ops;
@@ -104,12 +104,12 @@
 static void
 free_listener(uv_handle_t *handle)
 {
-    g_free(handle->data); /* the GwServe */
+    g_free(handle->data); /* the GwHttpListener */
     g_free(handle);
 }
 
 void
-GwServe_Free(GwServe *listener)
+GwHttpListener_Free(GwHttpListener *listener)
 {
     GwClient *client;
 
@@ -131,7 +131,7 @@
 }
 
 void
-GwClient_Answer(GwClient *client, const GwServeAnswer *response)
+GwClient_Respond(GwClient *client, const GwHttpResponse *response)
 {
     size_t len =
         response->body_len > 0 ? response->body_len : strlen(response->body);
@@ -158,7 +158,7 @@
 }
 
 void **
-GwClient_User(GwClient *client)
+GwClient_UserData(GwClient *client)
 {
     return &client->user;
 }
--- a/lib/http/listener.h
+++ b/lib/http/listener.h
@@ -6,7 +6,7 @@
 
 #include "http/conn.h"
 
-typedef struct GwServe_s GwServe;
+typedef struct GwHttpListener_s GwHttpListener;
 typedef struct GwClient_s GwClient; /* one connection of a client */
 
 typedef struct {
@@ -15,15 +15,16 @@
     /* The connection is closed, and `client` is freed after the call; may be
      * NULL. */
     void (*gone)(void *owner, GwClient *client);
-} GwServeOps;
+} GwHttpListenerOps;
 
 /* Listens at ip:port. Returns NULL if the address is invalid or can't be
  * bound. */
-GwServe *GwServe_Create(uv_loop_t *loop, const char *address,
-                        const GwServeOps *ops, void *owner);
+GwHttpListener *GwHttpListener_Create(uv_loop_t *loop, const char *address,
+                                      const GwHttpListenerOps *ops,
+                                      void *owner);
 /* Closes the listener and all connections without calling `gone`. The memory
  * is released when the loop runs next. */
-void GwServe_Free(GwServe *listener);
+void GwHttpListener_Free(GwHttpListener *listener);
 
 typedef struct {
     uint16_t status;
@@ -32,12 +33,12 @@
     const char *body;   /* "" for none */
     size_t body_len;    /* 0: length of the NUL-terminated `body` */
     bool close;         /* sends `Connection: close` */
-} GwServeAnswer;
+} GwHttpResponse;
 
-void GwClient_Answer(GwClient *client, const GwServeAnswer *response);
+void GwClient_Respond(GwClient *client, const GwHttpResponse *response);
 /* Closes the connection without a response and calls `gone`. */
 void GwClient_Drop(GwClient *client);
 /* A pointer for use by the owner, initially NULL. */
-void **GwClient_User(GwClient *client);
+void **GwClient_UserData(GwClient *client);
 
 #endif
--- a/lib/http/message.c
+++ b/lib/http/message.c
@@ -124,7 +124,7 @@
 }
 
 static void
-write_fields(const GwHttpMessage *msg, const GwHttpWrite *options,
+write_fields(const GwHttpMessage *msg, const GwHttpWriteOptions *options,
              GString *out)
 {
     for (guint i = 0; i < msg->fields->len; i++) {
@@ -147,7 +147,7 @@
 
 void
 GwHttpMessage_WriteRequest(const GwHttpMessage *msg,
-                           const GwHttpWrite *options, GString *out)
+                           const GwHttpWriteOptions *options, GString *out)
 {
     g_string_append_printf(out, "%s %s HTTP/1.1\r\n", msg->method,
                            msg->target->str);
@@ -162,13 +162,13 @@
 /* The response to a HEAD request gives the length of a body that is not sent,
  * so that length is forwarded instead of computed. */
 static void
-write_response_length(const GwHttpMessage *msg, const GwHttpWrite *options,
-                      GString *out)
+write_response_length(const GwHttpMessage *msg,
+                      const GwHttpWriteOptions *options, GString *out)
 {
     if (msg->status == 204 || msg->status == 304 || msg->status < 200) {
         return;
     }
-    if (options->to_head) {
+    if (options->is_head_response) {
         const char *length = GwHttpMessage_Get(msg, "content-length");
         if (length != NULL) {
             g_string_append_printf(out, "Content-Length: %s\r\n", length);
@@ -200,15 +200,15 @@
 }
 
 void
-GwHttpMessage_WriteAnswer(const GwHttpMessage *msg, const GwHttpWrite *options,
-                          GString *out)
+GwHttpMessage_WriteResponse(const GwHttpMessage *msg,
+                            const GwHttpWriteOptions *options, GString *out)
 {
     g_string_append_printf(out, "HTTP/1.1 %u %s\r\n", msg->status,
                            reason_phrase(msg->status));
     write_fields(msg, options, out);
     write_response_length(msg, options, out);
     g_string_append_len(out, "\r\n", 2);
-    if (!options->to_head) {
+    if (!options->is_head_response) {
         g_string_append_len(out, msg->body->str, (gssize)msg->body->len);
     }
 }
--- a/lib/http/message.h
+++ b/lib/http/message.h
@@ -59,21 +59,23 @@
 typedef struct {
     const char *const *drop;
     const char *extra;
-    bool close;   /* the connection closes after the message */
-    bool to_head; /* response to a HEAD: length, no body */
-} GwHttpWrite;
+    bool close;            /* the connection closes after the message */
+    bool is_head_response; /* response to a HEAD: length, no body */
+} GwHttpWriteOptions;
 
 void GwHttpMessage_WriteRequest(const GwHttpMessage *msg,
-                                const GwHttpWrite *options, GString *out);
-void GwHttpMessage_WriteAnswer(const GwHttpMessage *msg,
-                               const GwHttpWrite *options, GString *out);
+                                const GwHttpWriteOptions *options,
+                                GString *out);
+void GwHttpMessage_WriteResponse(const GwHttpMessage *msg,
+                                 const GwHttpWriteOptions *options,
+                                 GString *out);
 
 typedef enum {
     GW_HTTP_OK = 0,
-    GW_HTTP_BAD = 1,       /* not HTTP/1.1, or ambiguous */
-    GW_HTTP_LONG_HEAD = 2, /* above head_max */
-    GW_HTTP_LONG_BODY = 3, /* above body_max */
-    GW_HTTP_NO_ROOM = 4    /* the body exceeds the budget */
+    GW_HTTP_MALFORMED = 1,  /* not HTTP/1.1, or ambiguous */
+    GW_HTTP_LONG_HEAD = 2,  /* above head_max */
+    GW_HTTP_LONG_BODY = 3,  /* above body_max */
+    GW_HTTP_OVER_BUDGET = 4 /* the body exceeds the budget */
 } GwHttpError;
 
 typedef struct GwHttpParser_s GwHttpParser;
@@ -86,7 +88,7 @@
     /* Called for each complete message; takes ownership. */
     void (*message)(void *owner, GwHttpMessage *msg);
     /* Returns whether the next response is to a HEAD request; may be NULL. */
-    bool (*to_head)(void *owner);
+    bool (*is_head_response)(void *owner);
     void *owner;
 } GwHttpParserParams;
 
@@ -101,9 +103,9 @@
 GwHttpError GwHttpParser_End(GwHttpParser *p);
 GwHttpError GwHttpParser_Error(const GwHttpParser *p);
 /* Returns the incomplete message, valid until the next call, or NULL. */
-const GwHttpMessage *GwHttpParser_Begun(const GwHttpParser *p);
+const GwHttpMessage *GwHttpParser_Incomplete(const GwHttpParser *p);
 /* Whether a message is incomplete. */
-bool GwHttpParser_IsInside(const GwHttpParser *p);
+bool GwHttpParser_IsInMessage(const GwHttpParser *p);
 /* Whether the head of a message is incomplete. */
 bool GwHttpParser_IsInHead(const GwHttpParser *p);
 
--- a/lib/http/parser.c
+++ b/lib/http/parser.c
@@ -61,7 +61,7 @@
         g_string_truncate(p->value, p->value->len - 1);
     }
     if (!is_valid_text(p->name) || !is_valid_text(p->value)) {
-        return fail(p, GW_HTTP_BAD);
+        return fail(p, GW_HTTP_MALFORMED);
     }
     GwHttpMessage_Add(p->msg, p->name->str, p->value->str);
     return 0;
@@ -139,7 +139,7 @@
     }
     uint64_t more = len - msg->held;
     if (budget->held + more > budget->max) {
-        return fail(p, GW_HTTP_NO_ROOM);
+        return fail(p, GW_HTTP_OVER_BUDGET);
     }
     msg->budget = budget;
     msg->held = len;
@@ -169,7 +169,7 @@
     g_string_truncate(p->name, 0);
     p->head_done = true;
     if (has_unsupported_coding(msg)) {
-        return fail(p, GW_HTTP_BAD);
+        return fail(p, GW_HTTP_MALFORMED);
     }
     bool chunked = (parser->flags & F_CHUNKED) != 0;
     bool sized = (parser->flags & F_CONTENTLENGTH) != 0;
@@ -186,7 +186,7 @@
         const char *method = http_method_str(parser->method);
         (void)g_strlcpy(msg->method, method, sizeof(msg->method));
         if (parser->upgrade && strcasecmp(method, "CONNECT") == 0) {
-            return fail(p, GW_HTTP_BAD);
+            return fail(p, GW_HTTP_MALFORMED);
         }
     }
     else {
@@ -196,8 +196,8 @@
     msg->framed = msg->has_body;
     msg->head_len = (uint32_t)p->head_len;
     msg->keep_alive = http_should_keep_alive(parser) != 0;
-    if (!p->params.requests && p->params.to_head != NULL &&
-        p->params.to_head(p->params.owner)) {
+    if (!p->params.requests && p->params.is_head_response != NULL &&
+        p->params.is_head_response(p->params.owner)) {
         msg->framed = true;
         return 1; /* a response to HEAD has no body, even with a length */
     }
@@ -287,7 +287,7 @@
         (used != len || HTTP_PARSER_ERRNO(&p->parser) != HPE_OK)) {
         p->error = HTTP_PARSER_ERRNO(&p->parser) == HPE_HEADER_OVERFLOW
                        ? GW_HTTP_LONG_HEAD
-                       : GW_HTTP_BAD;
+                       : GW_HTTP_MALFORMED;
     }
     return p->error;
 }
@@ -300,7 +300,7 @@
     }
     (void)http_parser_execute(&p->parser, &settings, "", 0);
     if (p->error == GW_HTTP_OK && HTTP_PARSER_ERRNO(&p->parser) != HPE_OK) {
-        p->error = GW_HTTP_BAD;
+        p->error = GW_HTTP_MALFORMED;
     }
     return p->error;
 }
@@ -312,7 +312,7 @@
 }
 
 const GwHttpMessage *
-GwHttpParser_Begun(const GwHttpParser *p)
+GwHttpParser_Incomplete(const GwHttpParser *p)
 {
     return p->msg;
 }
@@ -321,7 +321,7 @@
  * start after another one in the same read: such a connection would be closed
  * as idle with half a request. Empty lines between messages start none. */
 bool
-GwHttpParser_IsInside(const GwHttpParser *p)
+GwHttpParser_IsInMessage(const GwHttpParser *p)
 {
     return p->msg != NULL;
 }
--- a/lib/route/route.c
+++ b/lib/route/route.c
@@ -239,7 +239,7 @@
 }
 
 const GwRouteService *
-GwRouting_Service(const GwRouting *r, const char *name)
+GwRouting_FindService(const GwRouting *r, const char *name)
 {
     for (uint32_t i = 0; i < r->service_count; i++) {
         if (strcmp(r->services[i].name, name) == 0) {
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -14,7 +14,7 @@
 typedef struct {
     char *service;
     uint32_t weight;
-} GwRoutePart;
+} GwRouteDestination;
 
 typedef struct {
     char *name;
@@ -22,13 +22,13 @@
     bool idempotent;
     /* Servers cache per key: a server that recently served a key answers
      * requests for that key faster. */
-    bool warm_keys;
+    bool has_key_affinity;
     uint32_t timeout_ms;   /* time limit of a request; 0: none */
     uint32_t objective_ms; /* latency objective */
     uint32_t priority;     /* 0 is the highest */
     uint32_t attempts_max; /* backend servers tried per request */
     uint32_t part_count;
-    GwRoutePart *parts;
+    GwRouteDestination *parts;
     uint32_t home_count; /* 0: all regions are allowed */
     char **homes;        /* regions that may receive the request */
 } GwRoute;
@@ -84,7 +84,8 @@
 const GwRoute *GwRouting_Match(const GwRouting *r, const char *host,
                                const char *path);
 /* Returns NULL if no service has this name. */
-const GwRouteService *GwRouting_Service(const GwRouting *r, const char *name);
+const GwRouteService *GwRouting_FindService(const GwRouting *r,
+                                            const char *name);
 /* Whether the region may receive requests of the route. */
 bool GwRoute_AllowsRegion(const GwRoute *route, const char *region);
 
--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -145,7 +145,7 @@
         GwRouter_FindOrAddService(r, next_service(route, req->state));
     req->deadline = GW_HEAP_OUT;
     set_deadlines(req, now_us, arrival->left_us);
-    if (arrival->key != NULL && route->warm_keys) {
+    if (arrival->key != NULL && route->has_key_affinity) {
         req->key = GwRouter_FindOrAddKey(r, now_us, route, req->service,
                                          arrival->key);
     }
--- a/lib/store/outage.c
+++ b/lib/store/outage.c
@@ -4,10 +4,10 @@
 #define WAIT_OUTAGE_MS 800
 
 bool
-GwStoreSight_WasAway(const GwStoreSight *health)
+GwStoreHealth_HadOutage(const GwStoreHealth *health)
 {
-    return health->failed && !health->reads_well &&
-           health->peers_reading_well == 0;
+    return health->failed && !health->polls_succeed &&
+           health->healthy_peers == 0;
 }
 
 uint32_t
--- a/lib/store/rows.c
+++ b/lib/store/rows.c
@@ -21,7 +21,7 @@
     int64_t grace_until_us;
     int64_t grace_us;
     GwRowChanged changed;
-    GwRowIsNews is_update; /* NULL: all changes are */
+    GwRowIsUpdate is_update; /* NULL: all changes are */
     void *ctx;
 };
 
@@ -102,7 +102,7 @@
 }
 
 void
-GwRowCache_SetIsNews(GwRowCache *cache, GwRowIsNews is_update)
+GwRowCache_SetIsUpdate(GwRowCache *cache, GwRowIsUpdate is_update)
 {
     cache->is_update = is_update;
 }
@@ -267,13 +267,13 @@
     }
     g_hash_table_destroy(present);
     GwRowCache_Apply(cache, now_us, set);
-    GwRowCache_Tick(cache, now_us);
+    GwRowCache_Expire(cache, now_us);
     /* Rows that were added and removed in the meantime have no tombstone. */
     cache->tombstones_since = MAX(cache->tombstones_since, set->version);
 }
 
 bool
-GwRowCache_KnowsAllAfter(const GwRowCache *cache, uint64_t version)
+GwRowCache_HasRemovalsAfter(const GwRowCache *cache, uint64_t version)
 {
     return version >= cache->tombstones_since;
 }
@@ -320,7 +320,7 @@
 }
 
 void
-GwRowCache_Tick(GwRowCache *cache, int64_t now_us)
+GwRowCache_Expire(GwRowCache *cache, int64_t now_us)
 {
     GArray *due = collect_due_removals(cache, now_us);
 
--- a/lib/store/rows.h
+++ b/lib/store/rows.h
@@ -18,7 +18,7 @@
     uint64_t version;
     bool removed;
     int64_t removed_us; /* when this entry learned of the removal */
-    /* The last change that is sent to peers (GwRowIsNews): its version, its
+    /* The last change that is sent to peers (GwRowIsUpdate): its version, its
      * time, and its value if `value` has changed since; else NULL. */
     uint64_t update_version;
     char *update_value;
@@ -51,11 +51,11 @@
 /* Returns whether a change must be sent to peers: the new value differs from
  * what the old value, `age_us` ago, predicts. A warming server counts down in
  * its row; without this filter each step would be sent to every entry. */
-typedef bool (*GwRowIsNews)(void *ctx, const char *key, const char *old,
-                            int64_t age_us, const char *value);
+typedef bool (*GwRowIsUpdate)(void *ctx, const char *key, const char *old,
+                              int64_t age_us, const char *value);
 
 GwRowCache *GwRowCache_Create(GwRowChanged changed, void *ctx);
-void GwRowCache_SetIsNews(GwRowCache *cache, GwRowIsNews is_update);
+void GwRowCache_SetIsUpdate(GwRowCache *cache, GwRowIsUpdate is_update);
 void GwRowCache_Free(GwRowCache *cache);
 /* The store version up to which the copy has all updates. */
 uint64_t GwRowCache_Version(const GwRowCache *cache);
@@ -71,7 +71,7 @@
 void GwRowCache_ApplyFull(GwRowCache *cache, int64_t now_us,
                           const GwRowSet *set);
 /* Removes rows whose grace period is over, and expired tombstones. */
-void GwRowCache_Tick(GwRowCache *cache, int64_t now_us);
+void GwRowCache_Expire(GwRowCache *cache, int64_t now_us);
 /* Delays removals that arrive before `until_us` by `grace_us`: after an outage
  * of the store, rows of live servers expire and are written again. */
 void GwRowCache_SetGrace(GwRowCache *cache, int64_t until_us,
@@ -79,7 +79,7 @@
 /* Returns whether the copy has all removals above the version. If not, a peer
  * at that version needs the whole table (GwRowCache_After with version 0, and
  * GwRowCache_ApplyFull). */
-bool GwRowCache_KnowsAllAfter(const GwRowCache *cache, uint64_t version);
+bool GwRowCache_HasRemovalsAfter(const GwRowCache *cache, uint64_t version);
 /* Hash of the live rows and the versions of their last updates. Copies with
  * equal rows have equal digests, even if their versions differ. */
 uint64_t GwRowCache_Digest(const GwRowCache *cache);
--- a/lib/store/rows_wire.c
+++ b/lib/store/rows_wire.c
@@ -12,7 +12,7 @@
 #define ZSTD_LEVEL 3
 
 char *
-GwRowsAsk_WriteTarget(const GwRowsAsk *req)
+GwRowsRequest_WriteTarget(const GwRowsRequest *req)
 {
     return g_strdup_printf(TARGET_PATH "?table=%s&after=%" PRIu64
                                        "&digest=%" PRIx64,
@@ -20,7 +20,7 @@
 }
 
 bool
-GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *req)
+GwRowsRequest_ReadTarget(const char *target, GwRowsRequest *req)
 {
     int end = 0;
 
--- a/lib/store/rows_wire.h
+++ b/lib/store/rows_wire.h
@@ -8,12 +8,12 @@
     char table[64];
     uint64_t after;  /* the requester has all updates up to this; 0: none */
     uint64_t digest; /* of the requester's rows (GwRowCache_Digest) */
-} GwRowsAsk;
+} GwRowsRequest;
 
 /* Returns the target of the GET request; to be freed by g_free. */
-char *GwRowsAsk_WriteTarget(const GwRowsAsk *req);
+char *GwRowsRequest_WriteTarget(const GwRowsRequest *req);
 /* Returns false if the target is not a request for rows. */
-bool GwRowsAsk_ReadTarget(const char *target, GwRowsAsk *req);
+bool GwRowsRequest_ReadTarget(const char *target, GwRowsRequest *req);
 
 /* Limit on the size of a set of rows before compression. */
 #define GW_ROWS_MAX_BYTES (8u << 20)
--- a/standins/site/caller.c
+++ b/standins/site/caller.c
@@ -304,7 +304,7 @@
 {
     SiteCaller *c = owner;
 
-    if (end == GW_CONN_BAD) {
+    if (end == GW_CONN_MALFORMED) {
         hang_up(c);
         SiteJournal_Stray(c->params.journal);
     }
--- a/standins/site/server.c
+++ b/standins/site/server.c
@@ -17,9 +17,9 @@
 
 struct SiteServer_s {
     SiteServerParams params;
-    GwServe *serve;     /* NULL between a crash and the restart */
-    uv_timer_t process; /* the next crash, or the restart after one */
-    GQueue links;       /* Link */
+    GwHttpListener *serve; /* NULL between a crash and the restart */
+    uv_timer_t process;    /* the next crash, or the restart after one */
+    GQueue links;          /* Link */
     uint32_t running;
     GQueue queued;          /* Link */
     GHashTable *remembered; /* object keys */
@@ -61,12 +61,12 @@
         link->server->running, link->server->queued.length,
         link->server->params.slots, text->str);
     g_string_free(text, TRUE);
-    GwServeAnswer answer = {.status = status,
-                            .type = "application/octet-stream",
-                            .fields = fields,
-                            .body = body};
+    GwHttpResponse answer = {.status = status,
+                             .type = "application/octet-stream",
+                             .fields = fields,
+                             .body = body};
 
-    GwClient_Answer(link->client, &answer);
+    GwClient_Respond(link->client, &answer);
     g_free(fields);
 }
 
@@ -125,7 +125,7 @@
 static void
 on_gone(void *owner, GwClient *client)
 {
-    Link *link = *GwClient_User(client);
+    Link *link = *GwClient_UserData(client);
 
     (void)owner;
     if (link != NULL) {
@@ -138,14 +138,15 @@
 
 /* ---- Crashes ------------------------------------------------------------- */
 
-static const GwServeOps ops;
+static const GwHttpListenerOps ops;
 
 static void
 on_restart(uv_timer_t *timer)
 {
     SiteServer *s = timer->data;
 
-    s->serve = GwServe_Create(s->params.loop, s->params.address, &ops, s);
+    s->serve =
+        GwHttpListener_Create(s->params.loop, s->params.address, &ops, s);
     g_assert_nonnull(s->serve);
     s->params.restarted(s->params.owner, s->params.number);
 }
@@ -157,7 +158,7 @@
     SiteServer *s = timer->data;
     GList *at;
 
-    GwServe_Free(s->serve);
+    GwHttpListener_Free(s->serve);
     s->serve = NULL;
     while ((at = g_queue_pop_head_link(&s->links)) != NULL) {
         Link *link = at->data;
@@ -275,7 +276,7 @@
 static Link *
 link_of(SiteServer *s, GwClient *client)
 {
-    Link *link = *GwClient_User(client);
+    Link *link = *GwClient_UserData(client);
 
     if (link == NULL) {
         link = g_new0(Link, 1);
@@ -285,7 +286,7 @@
         link->timer.data = link;
         link->node.data = link;
         g_queue_push_tail_link(&s->links, &link->node);
-        *GwClient_User(client) = link;
+        *GwClient_UserData(client) = link;
     }
     return link;
 }
@@ -347,7 +348,7 @@
     }
 }
 
-static const GwServeOps ops = {.asked = on_asked, .gone = on_gone};
+static const GwHttpListenerOps ops = {.asked = on_asked, .gone = on_gone};
 
 SiteServer *
 SiteServer_Create(const SiteServerParams *params)
@@ -357,7 +358,7 @@
     s->params = *params;
     s->remembered =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    s->serve = GwServe_Create(params->loop, params->address, &ops, s);
+    s->serve = GwHttpListener_Create(params->loop, params->address, &ops, s);
     if (s->serve == NULL) {
         g_hash_table_destroy(s->remembered);
         g_free(s);
--- a/standins/site/store.c
+++ b/standins/site/store.c
@@ -44,9 +44,9 @@
 static void
 answer(GwClient *client, uint16_t status, const char *body)
 {
-    GwServeAnswer out = {.status = status, .body = body};
+    GwHttpResponse out = {.status = status, .body = body};
 
-    GwClient_Answer(client, &out);
+    GwClient_Respond(client, &out);
 }
 
 /* The rows above a version, without removed ones for a full reading. */
@@ -82,7 +82,7 @@
 free_feed(Feed *feed)
 {
     g_queue_unlink(&feed->store->feeds, &feed->link);
-    *GwClient_User(feed->client) = NULL;
+    *GwClient_UserData(feed->client) = NULL;
     PlatformCall_Clear(&feed->call);
     g_free(feed);
 }
@@ -115,7 +115,7 @@
     };
     *call = (PlatformCall){0};
     feed->link.data = feed;
-    *GwClient_User(client) = feed;
+    *GwClient_UserData(client) = feed;
     g_queue_push_tail_link(&s->feeds, &feed->link);
     try_feed(feed);
 }
@@ -171,7 +171,7 @@
 static void
 on_gone(void *owner, GwClient *client)
 {
-    Feed *feed = *GwClient_User(client);
+    Feed *feed = *GwClient_UserData(client);
 
     (void)owner;
     if (feed != NULL) {
@@ -179,7 +179,7 @@
     }
 }
 
-static const GwServeOps ops = {.asked = on_asked, .gone = on_gone};
+static const GwHttpListenerOps ops = {.asked = on_asked, .gone = on_gone};
 
 SiteStore *
 SiteStore_Create(uv_loop_t *loop, const char *address,
@@ -191,7 +191,7 @@
     s->adapter = adapter;
     s->tables = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                       (GDestroyNotify)g_ptr_array_unref);
-    return GwServe_Create(loop, address, &ops, s) != NULL ? s : NULL;
+    return GwHttpListener_Create(loop, address, &ops, s) != NULL ? s : NULL;
 }
 
 void
--- a/tests/fakes/fleet_setup.c
+++ b/tests/fakes/fleet_setup.c
@@ -22,16 +22,16 @@
             .name = g_strdup(kind->name),
             .prefix = g_strdup(kind->name),
             .idempotent = kind->idempotent,
-            .warm_keys = true,
+            .has_key_affinity = true,
             .timeout_ms = (uint32_t)(Fleet_Us(f, kind->left_ms) / 1000),
             .objective_ms = (uint32_t)(Fleet_Us(f, kind->objective_ms) / 1000),
             .priority = kind->priority,
             .attempts_max = 2,
             .part_count = 1,
-            .parts = g_new0(GwRoutePart, 1),
+            .parts = g_new0(GwRouteDestination, 1),
         };
-        route->parts[0] =
-            (GwRoutePart){.service = g_strdup(kind->service), .weight = 1};
+        route->parts[0] = (GwRouteDestination){
+            .service = g_strdup(kind->service), .weight = 1};
     }
     GwRouting_Seal(routing);
     return routing;
--- a/tests/fakes/outages_entries.c
+++ b/tests/fakes/outages_entries.c
@@ -51,15 +51,16 @@
             .name = g_strdup(prefixes[i]),
             .prefix = g_strdup(prefixes[i]),
             .idempotent = i == 1,
-            .warm_keys = true,
+            .has_key_affinity = true,
             .timeout_ms = 2500,
             .objective_ms = 400,
             .priority = 1,
             .attempts_max = 3,
             .part_count = 1,
-            .parts = g_new0(GwRoutePart, 1),
+            .parts = g_new0(GwRouteDestination, 1),
         };
-        route->parts[0] = (GwRoutePart){.service = g_strdup("s"), .weight = 1};
+        route->parts[0] =
+            (GwRouteDestination){.service = g_strdup("s"), .weight = 1};
     }
     GwRouting_Seal(routing);
     return routing;
--- a/tests/fakes/steering.c
+++ b/tests/fakes/steering.c
@@ -59,15 +59,16 @@
         .name = g_strdup(prefix),
         .prefix = g_strdup(prefix),
         .idempotent = idempotent,
-        .warm_keys = true,
+        .has_key_affinity = true,
         .timeout_ms = ROUTE_TIMEOUT_MS,
         .objective_ms = 400,
         .priority = idempotent ? 2 : 1,
         .attempts_max = attempts_max,
         .part_count = 1,
-        .parts = g_new0(GwRoutePart, 1),
+        .parts = g_new0(GwRouteDestination, 1),
     };
-    route->parts[0] = (GwRoutePart){.service = g_strdup("s"), .weight = 1};
+    route->parts[0] =
+        (GwRouteDestination){.service = g_strdup("s"), .weight = 1};
 }
 
 GwRouting *
@@ -91,7 +92,7 @@
 FakeSteering_MoveRoutes(GwRouting *routing, const char *service)
 {
     for (uint32_t i = 0; i < routing->hosts[0].route_count; i++) {
-        GwRoutePart *part = &routing->hosts[0].routes[i].parts[0];
+        GwRouteDestination *part = &routing->hosts[0].routes[i].parts[0];
         g_free(part->service);
         part->service = g_strdup(service);
     }
--- a/tests/unit/test_http_conn.c
+++ b/tests/unit/test_http_conn.c
@@ -65,7 +65,7 @@
 
     pair->ends++;
     pair->end = end;
-    if (end == GW_CONN_BAD) {
+    if (end == GW_CONN_MALFORMED) {
         GwConn_Close(pair->conn);
     }
     uv_close((uv_handle_t *)pair->listener, on_peer_closed);
@@ -127,7 +127,7 @@
          GW_CONN_FAILED},
         {"sized, truncated", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
          false, 0, GW_CONN_FAILED},
-        {"garbage", "?!\r\n\r\n", false, 0, GW_CONN_BAD},
+        {"garbage", "?!\r\n\r\n", false, 0, GW_CONN_MALFORMED},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
--- a/tests/unit/test_http_message.c
+++ b/tests/unit/test_http_message.c
@@ -31,7 +31,7 @@
         .head_max = 400,
         .body_max = 64,
         .message = on_message,
-        .to_head = is_next_head_response,
+        .is_head_response = is_next_head_response,
         .owner = received,
     };
 
@@ -66,19 +66,19 @@
     {"length beside chunks",
      "PUT / HTTP/1.1\r\nContent-Length: 3\r\n"
      "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-     GW_HTTP_BAD, 0, NULL},
+     GW_HTTP_MALFORMED, 0, NULL},
     {"two lengths",
      "PUT / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
-     GW_HTTP_BAD, 0, NULL},
+     GW_HTTP_MALFORMED, 0, NULL},
     {"a coding before chunked",
      "PUT / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-     GW_HTTP_BAD, 0, NULL},
+     GW_HTTP_MALFORMED, 0, NULL},
     {"control character in a value",
      "GET / HTTP/1.1\r\nA: b\x01"
      "c\r\n\r\n",
-     GW_HTTP_BAD, 0, NULL},
-    {"CONNECT", "CONNECT a:1 HTTP/1.1\r\n\r\n", GW_HTTP_BAD, 0, NULL},
-    {"no method", "\x16\x03\x01", GW_HTTP_BAD, 0, NULL},
+     GW_HTTP_MALFORMED, 0, NULL},
+    {"CONNECT", "CONNECT a:1 HTTP/1.1\r\n\r\n", GW_HTTP_MALFORMED, 0, NULL},
+    {"no method", "\x16\x03\x01", GW_HTTP_MALFORMED, 0, NULL},
     {"upgrade is ignored",
      "GET / HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n"
      "GET /2 HTTP/1.1\r\n\r\n",
@@ -93,8 +93,8 @@
      "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n" LONG_50
      "aaaaaaaaaaaaaaa\r\n",
      GW_HTTP_LONG_BODY, 0, NULL},
-    {"good before bad", "GET /1 HTTP/1.1\r\n\r\nnonsense\r\n\r\n", GW_HTTP_BAD,
-     1, ""},
+    {"good before bad", "GET /1 HTTP/1.1\r\n\r\nnonsense\r\n\r\n",
+     GW_HTTP_MALFORMED, 1, ""},
 };
 
 /* Feeds each case in one piece and byte by byte: the result must not depend on
@@ -130,7 +130,7 @@
 static const struct {
     const char *what;
     const char *bytes;
-    bool to_head;
+    bool is_head_response;
     bool ends;
     GwHttpError error;
     guint count;
@@ -144,10 +144,10 @@
     {"without a length, not ended", "HTTP/1.1 200 OK\r\n\r\nab", false, false,
      GW_HTTP_OK, 0, NULL, false},
     {"sized, cut off", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false,
-     true, GW_HTTP_BAD, 0, NULL, false},
+     true, GW_HTTP_MALFORMED, 0, NULL, false},
     {"chunked, cut off",
      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false,
-     true, GW_HTTP_BAD, 0, NULL, false},
+     true, GW_HTTP_MALFORMED, 0, NULL, false},
     {"to a HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true, false,
      GW_HTTP_OK, 1, "", true},
     {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, false, GW_HTTP_OK,
@@ -157,15 +157,15 @@
      false, false, GW_HTTP_OK, 1, "", false},
     {"trailing bytes",
      "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naXYZ\r\n\r\n", false, false,
-     GW_HTTP_BAD, 1, "a", true},
-    {"not an answer", "garbage garbage\r\n\r\n", false, false, GW_HTTP_BAD, 0,
-     NULL, false},
+     GW_HTTP_MALFORMED, 1, "a", true},
+    {"not an answer", "garbage garbage\r\n\r\n", false, false,
+     GW_HTTP_MALFORMED, 0, NULL, false},
 };
 
 Test(http_message, only_complete_responses_are_delivered)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(responses); i++) {
-        Received received = {.head = responses[i].to_head};
+        Received received = {.head = responses[i].is_head_response};
         GwHttpParser *p = create_parser(&received, false);
         GwHttpError error = GwHttpParser_Feed(p, responses[i].bytes,
                                               strlen(responses[i].bytes));
@@ -211,7 +211,8 @@
         GwHttpParser *p = create_parser(&received, true);
         const char *bytes = cases[i].bytes;
         cr_assert_eq(GwHttpParser_Feed(p, bytes, strlen(bytes)), GW_HTTP_OK);
-        cr_expect_eq(GwHttpParser_IsInside(p), cases[i].inside, "%s", bytes);
+        cr_expect_eq(GwHttpParser_IsInMessage(p), cases[i].inside, "%s",
+                     bytes);
         cr_expect_eq(GwHttpParser_IsInHead(p), cases[i].in_head, "%s", bytes);
         g_ptr_array_free(received.messages, TRUE);
         GwHttpParser_Free(p);
@@ -248,11 +249,11 @@
         {"fits", "PUT / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcde",
          GW_HTTP_OK},
         {"sized, over the budget",
-         "PUT / HTTP/1.1\r\nContent-Length: 6\r\n\r\n", GW_HTTP_NO_ROOM},
+         "PUT / HTTP/1.1\r\nContent-Length: 6\r\n\r\n", GW_HTTP_OVER_BUDGET},
         {"chunked, over the budget",
          "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
          "3\r\nabc\r\n3\r\nabc\r\n",
-         GW_HTTP_NO_ROOM},
+         GW_HTTP_OVER_BUDGET},
         {"fits again", "PUT / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabcd",
          GW_HTTP_OK},
     };
@@ -287,7 +288,7 @@
     static const char *const drop[] = {"x-drop", NULL};
     Received received = {0};
     GwHttpParser *p = create_parser(&received, true);
-    GwHttpWrite options = {.drop = drop, .extra = "X-Own: 4\r\n"};
+    GwHttpWriteOptions options = {.drop = drop, .extra = "X-Own: 4\r\n"};
     GString *out = g_string_new(NULL);
 
     cr_assert_eq(GwHttpParser_Feed(p, bytes, strlen(bytes)), GW_HTTP_OK);
@@ -304,12 +305,12 @@
     static const char bytes[] = "HTTP/1.1 500 Odd\r\nX-A: b\r\n\r\nxyz";
     Received received = {0};
     GwHttpParser *p = create_parser(&received, false);
-    GwHttpWrite options = {0};
+    GwHttpWriteOptions options = {0};
     GString *out = g_string_new(NULL);
 
     cr_assert_eq(GwHttpParser_Feed(p, bytes, strlen(bytes)), GW_HTTP_OK);
     cr_assert_eq(GwHttpParser_End(p), GW_HTTP_OK);
-    GwHttpMessage_WriteAnswer(received.messages->pdata[0], &options, out);
+    GwHttpMessage_WriteResponse(received.messages->pdata[0], &options, out);
     cr_expect_str_eq(out->str,
                      "HTTP/1.1 500 Internal Server Error\r\nX-A: b\r\n"
                      "Content-Length: 3\r\n\r\nxyz");
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -210,9 +210,9 @@
     g_free(route->parts[0].service);
     g_free(route->parts);
     route->part_count = 2;
-    route->parts = g_new0(GwRoutePart, 2);
-    route->parts[0] = (GwRoutePart){g_strdup("s"), 9};
-    route->parts[1] = (GwRoutePart){g_strdup("t"), 1};
+    route->parts = g_new0(GwRouteDestination, 2);
+    route->parts[0] = (GwRouteDestination){g_strdup("s"), 9};
+    route->parts[1] = (GwRouteDestination){g_strdup("t"), 1};
     (void)GwRouter_SetRouting(f->router, routing);
     GwRouting_Unref(routing);
     FakeSteering_Put(f, "a", "r1", "d1", 100);
--- a/tests/unit/test_rows_wire.c
+++ b/tests/unit/test_rows_wire.c
@@ -75,14 +75,14 @@
         {"/rows", false},
         {"/other", false},
     };
-    GwRowsAsk request = {.table = "servers", .after = 42, .digest = 0x1f};
-    char *target = GwRowsAsk_WriteTarget(&request);
+    GwRowsRequest request = {.table = "servers", .after = 42, .digest = 0x1f};
+    char *target = GwRowsRequest_WriteTarget(&request);
 
     cr_expect_str_eq(target, cases[0].target);
     g_free(target);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        GwRowsAsk got = {.after = 0};
-        cr_expect_eq(GwRowsAsk_ReadTarget(cases[i].target, &got),
+        GwRowsRequest got = {.after = 0};
+        cr_expect_eq(GwRowsRequest_ReadTarget(cases[i].target, &got),
                      cases[i].read, "%s", cases[i].target);
         if (cases[i].read) {
             cr_expect_str_eq(got.table, "servers");
--- a/tests/unit/test_store_outage.c
+++ b/tests/unit/test_store_outage.c
@@ -12,24 +12,24 @@
 {
     static const struct {
         const char *what;
-        GwStoreSight health;
+        GwStoreHealth health;
         bool is_outage;
     } cases[] = {
         {"nothing failed", {.failed = false}, false},
         {"all polls failed", {.failed = true}, true},
         {"only this entry was disconnected",
-         {.failed = true, .peers_reading_well = 2},
+         {.failed = true, .healthy_peers = 2},
          false},
         {"a peer was disconnected, this entry polls",
-         {.failed = true, .reads_well = true},
+         {.failed = true, .polls_succeed = true},
          false},
         {"a peer was disconnected, other peers poll",
-         {.failed = true, .peers_reading_well = 1},
+         {.failed = true, .healthy_peers = 1},
          false},
     };
 
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-        cr_expect_eq(GwStoreSight_WasAway(&cases[i].health),
+        cr_expect_eq(GwStoreHealth_HadOutage(&cases[i].health),
                      cases[i].is_outage, "%s", cases[i].what);
     }
 }
@@ -46,7 +46,7 @@
 {
     uint32_t outage_end_ms = outage_at_ms + for_ms;
     uint32_t retry_ms = GW_POLL_RETRY_MIN_MS;
-    uint32_t poll_at_ms = GwStorePoll_WaitMs(false) + GW_POLL_ANSWER_MS;
+    uint32_t poll_at_ms = GwStorePoll_WaitMs(false) + GW_POLL_MARGIN_MS;
 
     for (;;) {
         poll_at_ms += retry_ms;
@@ -55,7 +55,7 @@
         if (poll_at_ms >= outage_end_ms) {
             return poll_at_ms - outage_end_ms;
         }
-        poll_at_ms += GwStorePoll_WaitMs(true) + GW_POLL_ANSWER_MS;
+        poll_at_ms += GwStorePoll_WaitMs(true) + GW_POLL_MARGIN_MS;
     }
 }
 
--- a/tests/unit/test_store_rows.c
+++ b/tests/unit/test_store_rows.c
@@ -130,7 +130,7 @@
                 break;
             case WAIT:
                 now_us += (int64_t)cases[i].steps[j].version;
-                GwRowCache_Tick(cache, now_us);
+                GwRowCache_Expire(cache, now_us);
                 break;
             case GRACE:
                 GwRowCache_SetGrace(cache, now_us + 2 * SEC, 2 * SEC);
@@ -187,8 +187,8 @@
 
     GwRowCache_Apply(stale, SEC, first);
     GwRowCache_ApplyFull(fresh, SEC, later);
-    cr_expect_not(GwRowCache_KnowsAllAfter(fresh, 2));
-    cr_expect(GwRowCache_KnowsAllAfter(fresh, 5));
+    cr_expect_not(GwRowCache_HasRemovalsAfter(fresh, 2));
+    cr_expect(GwRowCache_HasRemovalsAfter(fresh, 5));
     GwRowSet *whole = GwRowCache_After(fresh, 0);
     GwRowCache_ApplyFull(stale, SEC, whole);
     cr_expect_str_eq(stale_log.log->str, "+a=x +b=y +c=z -a ");
@@ -245,7 +245,7 @@
     GwRowSet *same = parse_set("a3=x", 3);
     GwRowSet *update = parse_set("a4=y", 4);
 
-    GwRowCache_SetIsNews(cache, is_not_countdown);
+    GwRowCache_SetIsUpdate(cache, is_not_countdown);
     GwRowCache_ApplyChanges(cache, SEC, set);
     GwRowCache_ApplyChanges(cache, SEC, step);
     GwRowCache_ApplyChanges(cache, SEC, same);
