--- a/lib/runtime/answer.c
+++ b/lib/runtime/answer.c
@@ -2,23 +2,23 @@
 
 #include <glib.h>
 
-#define ANSWER_OVERHEAD 256 /* bytes, of one entry besides its body */
+#define ANSWER_OVERHEAD_BYTES 256 /* bookkeeping of a kept answer */
 
 typedef struct {
     uint64_t call;
     uint64_t attempt;
-} Key;
+} AnswerKey;
 
 typedef struct {
-    Key key;
+    AnswerKey key;
     int64_t until_us;
     uint64_t bytes;
-} Kept;
+} KeptAnswer;
 
 struct GwAnswers_s {
-    GHashTable *by_key; /* Key * to GwAnswer * */
-    GQueue kept;        /* Kept *, by time; each has its answer in by_key */
-    uint64_t bytes;     /* of what is kept */
+    GHashTable *by_key; /* AnswerKey * to GwAnswer * */
+    GQueue by_expiry;   /* KeptAnswer *; each has its answer in by_key */
+    uint64_t bytes;     /* of all kept answers */
     uint64_t max_bytes;
 };
 
@@ -55,15 +55,15 @@
 static guint
 key_hash(gconstpointer p)
 {
-    const Key *key = p;
+    const AnswerKey *key = p;
     return (guint)(key->call * 31 + key->attempt);
 }
 
 static gboolean
 key_equal(gconstpointer a, gconstpointer b)
 {
-    const Key *x = a;
-    const Key *y = b;
+    const AnswerKey *x = a;
+    const AnswerKey *y = b;
     return x->call == y->call && x->attempt == y->attempt;
 }
 
@@ -73,7 +73,7 @@
     GwAnswers *answers = g_new0(GwAnswers, 1);
     answers->by_key = g_hash_table_new_full(key_hash, key_equal, g_free,
                                             (GDestroyNotify)GwAnswer_Unref);
-    g_queue_init(&answers->kept);
+    g_queue_init(&answers->by_expiry);
     answers->max_bytes = max_bytes;
     return answers;
 }
@@ -81,40 +81,40 @@
 void
 GwAnswers_Free(GwAnswers *answers)
 {
-    g_queue_clear_full(&answers->kept, g_free);
+    g_queue_clear_full(&answers->by_expiry, g_free);
     g_hash_table_destroy(answers->by_key);
     g_free(answers);
 }
 
 static void
-drop_oldest(GwAnswers *answers)
+evict_oldest(GwAnswers *answers)
 {
-    Kept *kept = g_queue_pop_head(&answers->kept);
+    KeptAnswer *kept = g_queue_pop_head(&answers->by_expiry);
     answers->bytes -= kept->bytes;
     g_hash_table_remove(answers->by_key, &kept->key);
     g_free(kept);
 }
 
-/* An answer once kept stays as it is: a second one of the same attempt
- * would be another request's. */
+/* A kept answer is never replaced: a second answer for the same attempt
+ * would belong to another request. */
 bool
 GwAnswers_Keep(GwAnswers *answers, uint64_t call, uint32_t attempt,
                GwAnswer *answer, int64_t until_us)
 {
-    Key key = {.call = call, .attempt = attempt};
-    uint64_t bytes = (uint64_t)answer->body_len + ANSWER_OVERHEAD;
+    AnswerKey key = {.call = call, .attempt = attempt};
+    uint64_t bytes = (uint64_t)answer->body_len + ANSWER_OVERHEAD_BYTES;
 
     if (bytes > answers->max_bytes ||
         g_hash_table_contains(answers->by_key, &key)) {
         return false;
     }
-    /* The oldest go first: a resend follows its first sending by seconds. */
+    /* Evict the oldest: a resend follows the first request within seconds. */
     while (answers->bytes + bytes > answers->max_bytes) {
-        drop_oldest(answers);
+        evict_oldest(answers);
     }
-    Kept *kept = g_new(Kept, 1);
-    *kept = (Kept){.key = key, .until_us = until_us, .bytes = bytes};
-    g_queue_push_tail(&answers->kept, kept);
+    KeptAnswer *kept = g_new(KeptAnswer, 1);
+    *kept = (KeptAnswer){.key = key, .until_us = until_us, .bytes = bytes};
+    g_queue_push_tail(&answers->by_expiry, kept);
     g_hash_table_insert(answers->by_key, g_memdup2(&key, sizeof(key)),
                         GwAnswer_Ref(answer));
     answers->bytes += bytes;
@@ -124,7 +124,7 @@
 GwAnswer *
 GwAnswers_Get(const GwAnswers *answers, uint64_t call, uint32_t attempt)
 {
-    Key key = {.call = call, .attempt = attempt};
+    AnswerKey key = {.call = call, .attempt = attempt};
     GwAnswer *answer = g_hash_table_lookup(answers->by_key, &key);
     return answer != NULL ? GwAnswer_Ref(answer) : NULL;
 }
@@ -132,10 +132,10 @@
 void
 GwAnswers_Expire(GwAnswers *answers, int64_t now_us)
 {
-    const Kept *kept;
-    while ((kept = g_queue_peek_head(&answers->kept)) != NULL &&
+    const KeptAnswer *kept;
+    while ((kept = g_queue_peek_head(&answers->by_expiry)) != NULL &&
            kept->until_us <= now_us) {
-        drop_oldest(answers);
+        evict_oldest(answers);
     }
 }
 
--- a/lib/runtime/answer.h
+++ b/lib/runtime/answer.h
@@ -1,11 +1,11 @@
-/* The whole answer of a backend server, and the store that keeps answers
- * while a call may still be told to send one. */
+/* The complete answer of a backend server, and a bounded store of answers
+ * for callers that resend a ticket. */
 #ifndef GW_RUNTIME_ANSWER_H
 #define GW_RUNTIME_ANSWER_H
 
 #include "wire/codec.h"
 
-/* Immutable and counted; shared between threads. */
+/* Immutable, reference counted, shared between threads. */
 typedef struct {
     int refs;
     uint32_t status;
@@ -14,28 +14,29 @@
     uint8_t *body;
 } GwAnswer;
 
-/* Takes the body over. */
+/* Takes ownership of the body. */
 GwAnswer *GwAnswer_Create(uint32_t status, const char *content_type,
                           uint8_t *body, uint32_t body_len);
 GwAnswer *GwAnswer_Ref(GwAnswer *answer);
 void GwAnswer_Unref(GwAnswer *answer);
 
-/* Answers by call and attempt. Not locked: the call table lock guards it. */
+/* Answers by call and attempt. Has no lock of its own: the caller
+ * serializes access. */
 typedef struct GwAnswers_s GwAnswers;
 
-/* max_bytes bounds what is kept, bodies and bookkeeping. */
+/* max_bytes bounds the kept bodies plus a fixed overhead per answer. */
 GwAnswers *GwAnswers_Create(uint64_t max_bytes);
 void GwAnswers_Free(GwAnswers *answers);
-/* Keeps the answer, with a reference of its own, until then or until newer
- * ones need the room. False when it can't be kept. Times must not fall from
- * one Keep to the next. */
+/* Keeps the answer, with its own reference, until until_us or until newer
+ * answers evict it. Returns false when the answer exceeds max_bytes or the
+ * attempt already has one. until_us must not decrease between calls. */
 bool GwAnswers_Keep(GwAnswers *answers, uint64_t call, uint32_t attempt,
                     GwAnswer *answer, int64_t until_us);
-/* A new reference, or NULL: then a resend of that call's ticket gets
- * "unknown", which is true, if less than could be. */
+/* Returns a new reference, or NULL when the answer is not kept: a resend of
+ * that call's ticket then gets "unknown", which is correct but weaker. */
 GwAnswer *GwAnswers_Get(const GwAnswers *answers, uint64_t call,
                         uint32_t attempt);
-/* Drops kept answers whose time is over. */
+/* Drops answers whose until_us has been reached. */
 void GwAnswers_Expire(GwAnswers *answers, int64_t now_us);
 uint32_t GwAnswers_Count(const GwAnswers *answers);
 uint64_t GwAnswers_Bytes(const GwAnswers *answers);
--- a/lib/runtime/call.c
+++ b/lib/runtime/call.c
@@ -123,10 +123,10 @@
     Runtime_Step(rt, &event);
 }
 
-static GwDispatchAsk
+static GwDispatchRequest
 make_ask(const OpenCall *call, const GwDispatchAction *action)
 {
-    return (GwDispatchAsk){
+    return (GwDispatchRequest){
         .address = action->address,
         .method = call->request.method,
         .target = call->request.target,
@@ -146,8 +146,8 @@
 static void
 run_attempt(GwRuntime *rt, OpenCall *call, const GwDispatchAction *action)
 {
-    GwDispatchAsk ask = make_ask(call, action);
-    GwDispatchEnd end;
+    GwDispatchRequest ask = make_ask(call, action);
+    GwDispatchResult end;
     int64_t begin_us = GwNet_NowUs();
 
     pthread_mutex_lock(&call->mutex);
--- a/lib/runtime/dispatch.c
+++ b/lib/runtime/dispatch.c
@@ -1,10 +1,10 @@
-/* One attempt at a backend server, and what its end proves. */
+/* One attempt at a backend server, and its outcome. */
 #include "runtime/dispatch_internal.h"
 #include "runtime/net_internal.h"
 
 #include <string.h>
 
-#define WAIT_MAX_MS 1000
+#define POLL_MAX_MS 1000
 
 GwAbort *
 GwAbort_Create(void)
@@ -42,7 +42,7 @@
     pthread_mutex_unlock(&abort->mutex);
 }
 
-/* Names the multi handle that Trigger has to wake, or none. */
+/* Sets the multi handle that GwAbort_Trigger wakes; NULL for none. */
 static void
 set_multi(GwAbort *abort, CURLM *multi)
 {
@@ -60,36 +60,36 @@
     return triggered;
 }
 
-/* What came back so far. */
+/* The part of the response received so far. */
 typedef struct {
     GString *body;
-    bool too_large;
-    bool head_whole; /* the empty line after the headers was seen */
-    bool framed;     /* the end of the body can be told from a cut */
-    bool refused;
+    bool is_too_large;
+    bool is_head_complete; /* the empty line after the headers arrived */
+    bool has_framing;      /* a truncated body can be detected */
+    bool is_refusal;
     bool draining;
     bool has_load;
     uint32_t load;
     uint32_t retry_after_ms;
     char content_type[GW_TYPE_MAX];
-} Received;
+} Response;
 
 static size_t
-take_body(char *bytes, size_t size, size_t count, void *arg)
+append_body(char *bytes, size_t size, size_t count, void *arg)
 {
-    Received *got = arg;
+    Response *response = arg;
     size_t len = size * count;
-    if (got->body->len + len > GW_BODY_MAX) {
-        got->too_large = true;
+    if (response->body->len + len > GW_BODY_MAX) {
+        response->is_too_large = true;
         return 0;
     }
-    g_string_append_len(got->body, bytes, (gssize)len);
+    g_string_append_len(response->body, bytes, (gssize)len);
     return len;
 }
 
-/* The value when the line is that header, else NULL. */
+/* Returns the value if the line is the named header, else NULL. */
 static const char *
-value_of(const char *line, const char *name)
+header_value(const char *line, const char *name)
 {
     size_t len = strlen(name);
     if (g_ascii_strncasecmp(line, name, len) != 0 || line[len] != ':') {
@@ -100,73 +100,74 @@
 }
 
 static void
-take_header_line(Received *got, const char *line)
+parse_header_line(Response *response, const char *line)
 {
     const char *value;
 
-    if (value_of(line, "Content-Length") != NULL) {
-        got->framed = true;
+    if (header_value(line, "Content-Length") != NULL) {
+        response->has_framing = true;
     }
-    else if ((value = value_of(line, "Transfer-Encoding")) != NULL) {
-        got->framed |= g_ascii_strncasecmp(value, "chunked", 7) == 0;
+    else if ((value = header_value(line, "Transfer-Encoding")) != NULL) {
+        response->has_framing |= g_ascii_strncasecmp(value, "chunked", 7) == 0;
     }
-    else if ((value = value_of(line, "Content-Type")) != NULL) {
-        g_strlcpy(got->content_type, value, GW_TYPE_MAX);
+    else if ((value = header_value(line, "Content-Type")) != NULL) {
+        g_strlcpy(response->content_type, value, GW_TYPE_MAX);
     }
-    else if ((value = value_of(line, "GW-Refused")) != NULL) {
-        got->refused = strcmp(value, "not-run") == 0;
+    else if ((value = header_value(line, "GW-Refused")) != NULL) {
+        response->is_refusal = strcmp(value, "not-run") == 0;
     }
-    else if ((value = value_of(line, "GW-Draining")) != NULL) {
-        got->draining = strcmp(value, "1") == 0;
+    else if ((value = header_value(line, "GW-Draining")) != NULL) {
+        response->draining = strcmp(value, "1") == 0;
     }
-    else if ((value = value_of(line, "GW-Load")) != NULL) {
+    else if ((value = header_value(line, "GW-Load")) != NULL) {
         uint64_t load = g_ascii_strtoull(value, NULL, 10);
-        got->has_load = g_ascii_isdigit(value[0]);
-        got->load = (uint32_t)MIN(load, UINT32_MAX);
+        response->has_load = g_ascii_isdigit(value[0]);
+        response->load = (uint32_t)MIN(load, UINT32_MAX);
     }
-    else if ((value = value_of(line, "GW-Retry-After-Ms")) != NULL) {
+    else if ((value = header_value(line, "GW-Retry-After-Ms")) != NULL) {
         uint64_t ms = g_ascii_strtoull(value, NULL, 10);
-        got->retry_after_ms = (uint32_t)MIN(ms, GW_DEADLINE_CAP);
+        response->retry_after_ms = (uint32_t)MIN(ms, GW_DEADLINE_CAP);
     }
 }
 
-/* A new status line starts afresh: headers of a 100 response say nothing
- * about the answer. */
+/* A status line discards earlier headers: those of a 100 response do not
+ * belong to the final answer. */
 static size_t
-take_header(char *bytes, size_t size, size_t count, void *arg)
+on_header(char *bytes, size_t size, size_t count, void *arg)
 {
-    Received *got = arg;
+    Response *response = arg;
     size_t len = size * count;
     char line[512];
 
     if (len >= 5 && memcmp(bytes, "HTTP/", 5) == 0) {
-        GString *body = got->body;
-        *got = (Received){.body = body};
+        GString *body = response->body;
+        *response = (Response){.body = body};
         return len;
     }
     if (len <= 2 && (bytes[0] == '\r' || bytes[0] == '\n')) {
-        got->head_whole = true;
+        response->is_head_complete = true;
         return len;
     }
     size_t copy = MIN(len, sizeof(line) - 1);
     memcpy(line, bytes, copy);
     line[copy] = '\0';
     g_strchomp(line);
-    take_header_line(got, line);
+    parse_header_line(response, line);
     return len;
 }
 
 static struct curl_slist *
-request_headers(const GwDispatchAsk *ask, int64_t now_us)
+create_request_headers(const GwDispatchRequest *request, int64_t now_us)
 {
     struct curl_slist *headers = NULL;
-    int64_t left_ms = MAX((ask->deadline_us - now_us) / 1000, 1);
+    int64_t left_ms = MAX((request->deadline_us - now_us) / 1000, 1);
     char line[GW_TYPE_MAX + 64];
 
     headers = curl_slist_append(headers, "Expect:");
     headers = curl_slist_append(headers, "Accept:");
-    if (ask->content_type != NULL && ask->content_type[0] != '\0') {
-        g_snprintf(line, sizeof(line), "Content-Type: %s", ask->content_type);
+    if (request->content_type != NULL && request->content_type[0] != '\0') {
+        g_snprintf(line, sizeof(line), "Content-Type: %s",
+                   request->content_type);
     }
     else {
         g_strlcpy(line, "Content-Type:", sizeof(line));
@@ -175,15 +176,16 @@
     g_snprintf(line, sizeof(line), "GW-Deadline-Ms: %" G_GINT64_FORMAT,
                left_ms);
     headers = curl_slist_append(headers, line);
-    g_snprintf(line, sizeof(line), "GW-Request-Id: %s", ask->request_id);
+    g_snprintf(line, sizeof(line), "GW-Request-Id: %s", request->request_id);
     return curl_slist_append(headers, line);
 }
 
 static void
-set_method(CURL *easy, const GwDispatchAsk *ask)
+set_method(CURL *easy, const GwDispatchRequest *request)
 {
-    bool plain_get = strcmp(ask->method, "GET") == 0 && ask->body_len == 0;
-    bool head = strcmp(ask->method, "HEAD") == 0;
+    bool plain_get =
+        strcmp(request->method, "GET") == 0 && request->body_len == 0;
+    bool head = strcmp(request->method, "HEAD") == 0;
 
     curl_easy_setopt(easy, CURLOPT_HTTPGET, 1L);
     curl_easy_setopt(easy, CURLOPT_NOBODY, head ? 1L : 0L);
@@ -193,37 +195,38 @@
     }
     curl_easy_setopt(easy, CURLOPT_POST, 1L);
     curl_easy_setopt(easy, CURLOPT_POSTFIELDS,
-                     ask->body_len > 0 ? (const char *)ask->body : "");
-    curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, (long)ask->body_len);
-    curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, ask->method);
+                     request->body_len > 0 ? (const char *)request->body : "");
+    curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, (long)request->body_len);
+    curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
 static void
-set_options(Slot *slot, const GwDispatchAsk *ask, Received *got,
-            int64_t now_us)
+set_options(PoolConnection *connection, const GwDispatchRequest *request,
+            Response *response, int64_t now_us)
 {
-    CURL *easy = slot->easy;
-    int64_t left_ms = MAX((ask->give_up_us - now_us + 999) / 1000, 1);
+    CURL *easy = connection->easy;
+    int64_t left_ms = MAX((request->give_up_us - now_us + 999) / 1000, 1);
 
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(easy, CURLOPT_FOLLOWLOCATION, 0L);
-    curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, ask->target);
+    curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, request->target);
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)left_ms);
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)left_ms);
-    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, slot->reused ? 0L : 1L);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, take_body);
-    curl_easy_setopt(easy, CURLOPT_WRITEDATA, got);
-    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, take_header);
-    curl_easy_setopt(easy, CURLOPT_HEADERDATA, got);
-    set_method(easy, ask);
+    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT,
+                     connection->reused ? 0L : 1L);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
+    curl_easy_setopt(easy, CURLOPT_WRITEDATA, response);
+    curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, on_header);
+    curl_easy_setopt(easy, CURLOPT_HEADERDATA, response);
+    set_method(easy, request);
 }
 
-/* Drives the transfer until it ends or is aborted. */
+/* Runs the transfer until it ends or is aborted. */
 static CURLcode
-perform(Slot *slot, GwAbort *abort, bool *aborted)
+run_transfer(PoolConnection *connection, GwAbort *abort, bool *aborted)
 {
     int running = 1;
 
@@ -232,141 +235,148 @@
             *aborted = true;
             return CURLE_ABORTED_BY_CALLBACK;
         }
-        if (curl_multi_perform(slot->multi, &running) != CURLM_OK) {
+        if (curl_multi_perform(connection->multi, &running) != CURLM_OK) {
             return CURLE_FAILED_INIT;
         }
         if (running > 0) {
-            curl_multi_poll(slot->multi, NULL, 0, WAIT_MAX_MS, NULL);
+            curl_multi_poll(connection->multi, NULL, 0, POLL_MAX_MS, NULL);
         }
     }
     int left = 0;
-    const CURLMsg *msg = curl_multi_info_read(slot->multi, &left);
+    const CURLMsg *msg = curl_multi_info_read(connection->multi, &left);
     return msg != NULL && msg->msg == CURLMSG_DONE ? msg->data.result
                                                    : CURLE_FAILED_INIT;
 }
 
-/* Proof that no byte of the request left: libcurl counts what it wrote, on
- * every connection of the transfer. A socket refused on a reused connection
- * means that libcurl had begun to send the request again; then nothing is
- * proven, whatever the count says. */
+/* True when no byte of the request was sent: libcurl counts the bytes written
+ * on all connections of the transfer. A socket refused on a reused connection
+ * means that libcurl started to resend the request; the count then proves
+ * nothing. */
 static bool
-nothing_written(const Slot *slot)
+is_nothing_sent(const PoolConnection *connection)
 {
     long written = -1;
-    if (slot->socket_refused) {
+    if (connection->socket_refused) {
         return false;
     }
-    curl_easy_getinfo(slot->easy, CURLINFO_REQUEST_SIZE, &written);
+    curl_easy_getinfo(connection->easy, CURLINFO_REQUEST_SIZE, &written);
     return written == 0;
 }
 
-/* A body that ends with the connection can't be told from one cut short;
- * such an answer does not count as whole. */
+/* A body delimited only by the end of the connection may be truncated, so it
+ * does not count as complete. */
 static bool
-is_whole(const Slot *slot, const GwDispatchAsk *ask, const Received *got)
+is_complete(const PoolConnection *connection, const GwDispatchRequest *request,
+            const Response *response)
 {
     long status = 0;
-    curl_easy_getinfo(slot->easy, CURLINFO_RESPONSE_CODE, &status);
-    if (!got->head_whole || got->too_large || status < 200) {
+    curl_easy_getinfo(connection->easy, CURLINFO_RESPONSE_CODE, &status);
+    if (!response->is_head_complete || response->is_too_large ||
+        status < 200) {
         return false;
     }
-    return got->framed || status == 204 || status == 304 ||
-           strcmp(ask->method, "HEAD") == 0;
+    return response->has_framing || status == 204 || status == 304 ||
+           strcmp(request->method, "HEAD") == 0;
 }
 
 static void
-end_whole(const Slot *slot, Received *got, GwDispatchEnd *end)
+set_complete_result(const PoolConnection *connection, Response *response,
+                    GwDispatchResult *result)
 {
     long status = 0;
-    curl_easy_getinfo(slot->easy, CURLINFO_RESPONSE_CODE, &status);
-    end->draining = got->draining;
-    end->has_load = got->has_load;
-    end->reported_load = got->load;
-    if (status == 503 && got->refused) {
-        end->outcome = GW_OUTCOME_NOT_RUN;
-        end->reason = got->draining ? GW_REASON_DRAINING : GW_REASON_SHED;
-        end->retry_after_ms = got->retry_after_ms;
+    curl_easy_getinfo(connection->easy, CURLINFO_RESPONSE_CODE, &status);
+    result->draining = response->draining;
+    result->has_load = response->has_load;
+    result->reported_load = response->load;
+    if (status == 503 && response->is_refusal) {
+        result->outcome = GW_OUTCOME_NOT_RUN;
+        result->reason =
+            response->draining ? GW_REASON_DRAINING : GW_REASON_SHED;
+        result->retry_after_ms = response->retry_after_ms;
         return;
     }
-    end->outcome = GW_OUTCOME_ANSWERED;
-    end->reason = GW_REASON_NONE;
-    end->answer = GwAnswer_Create((uint32_t)status, got->content_type,
-                                  g_memdup2(got->body->str, got->body->len),
-                                  (uint32_t)got->body->len);
+    result->outcome = GW_OUTCOME_ANSWERED;
+    result->reason = GW_REASON_NONE;
+    result->answer =
+        GwAnswer_Create((uint32_t)status, response->content_type,
+                        g_memdup2(response->body->str, response->body->len),
+                        (uint32_t)response->body->len);
 }
 
-/* An answer above GW_BODY_MAX came from a server that ran the request, but
- * the caller can't be given it whole: unknown. */
+/* Also for an answer above GW_BODY_MAX: the server ran the request, but the
+ * answer can't be delivered, so the outcome is unknown. */
 static void
-end_broken(const Slot *slot, CURLcode rc, GwDispatchEnd *end)
+set_failed_result(const PoolConnection *connection, CURLcode rc,
+                  GwDispatchResult *result)
 {
-    if (nothing_written(slot)) {
-        end->outcome = GW_OUTCOME_NOT_RUN;
-        end->reason = GW_REASON_CONNECT;
+    if (is_nothing_sent(connection)) {
+        result->outcome = GW_OUTCOME_NOT_RUN;
+        result->reason = GW_REASON_CONNECT;
         return;
     }
-    end->outcome = GW_OUTCOME_UNKNOWN;
-    end->reason =
+    result->outcome = GW_OUTCOME_UNKNOWN;
+    result->reason =
         rc == CURLE_OPERATION_TIMEDOUT ? GW_REASON_SILENT : GW_REASON_BROKEN;
 }
 
 static void
-run_on_slot(Slot *slot, const GwDispatchAsk *ask, GwAbort *abort,
-            GwDispatchEnd *end)
+run_on_connection(PoolConnection *connection, const GwDispatchRequest *request,
+                  GwAbort *abort, GwDispatchResult *result)
 {
     int64_t now_us = GwNet_NowUs();
-    Received got = {.body = g_string_new(NULL)};
-    struct curl_slist *headers = request_headers(ask, now_us);
-    char *url = g_strconcat("http://", ask->address, "/", NULL);
+    Response response = {.body = g_string_new(NULL)};
+    struct curl_slist *headers = create_request_headers(request, now_us);
+    char *url = g_strconcat("http://", request->address, "/", NULL);
     bool aborted = false;
 
-    set_options(slot, ask, &got, now_us);
-    curl_easy_setopt(slot->easy, CURLOPT_URL, url);
-    curl_easy_setopt(slot->easy, CURLOPT_HTTPHEADER, headers);
-    curl_multi_add_handle(slot->multi, slot->easy);
-    set_multi(abort, slot->multi);
-    CURLcode rc = perform(slot, abort, &aborted);
+    set_options(connection, request, &response, now_us);
+    curl_easy_setopt(connection->easy, CURLOPT_URL, url);
+    curl_easy_setopt(connection->easy, CURLOPT_HTTPHEADER, headers);
+    curl_multi_add_handle(connection->multi, connection->easy);
+    set_multi(abort, connection->multi);
+    CURLcode rc = run_transfer(connection, abort, &aborted);
     set_multi(abort, NULL);
-    if (rc == CURLE_OK && is_whole(slot, ask, &got)) {
-        end_whole(slot, &got, end);
+    if (rc == CURLE_OK && is_complete(connection, request, &response)) {
+        set_complete_result(connection, &response, result);
     }
     else {
-        end_broken(slot, rc, end);
+        set_failed_result(connection, rc, result);
     }
-    curl_multi_remove_handle(slot->multi, slot->easy);
-    curl_easy_setopt(slot->easy, CURLOPT_HTTPHEADER, NULL);
+    curl_multi_remove_handle(connection->multi, connection->easy);
+    curl_easy_setopt(connection->easy, CURLOPT_HTTPHEADER, NULL);
     curl_slist_free_all(headers);
     g_free(url);
-    g_string_free(got.body, TRUE);
+    g_string_free(response.body, TRUE);
 }
 
-/* A connection is kept only after a whole answer: one whose answer is late,
- * cut or cancelled would give that answer to the next request. */
+/* The connection is kept only after a complete answer. After a late,
+ * truncated or cancelled answer, the next request could receive it. */
 void
-GwDispatch_Run(GwDispatcher *d, const GwDispatchAsk *ask, GwAbort *abort,
-               GwDispatchEnd *end)
+GwDispatch_Run(GwDispatcher *d, const GwDispatchRequest *request,
+               GwAbort *abort, GwDispatchResult *result)
 {
-    *end = (GwDispatchEnd){
+    *result = (GwDispatchResult){
         .outcome = GW_OUTCOME_NOT_RUN,
         .reason = GW_REASON_DEADLINE,
     };
     int64_t now_us = GwNet_NowUs();
-    if (now_us >= ask->give_up_us || is_aborted(abort)) {
+    if (now_us >= request->give_up_us || is_aborted(abort)) {
         return;
     }
-    Slot *slot = GwPool_Take(d, ask, now_us);
-    run_on_slot(slot, ask, abort, end);
-    if (slot->socket_refused) {
+    PoolConnection *connection = GwPool_Acquire(d, request, now_us);
+    run_on_connection(connection, request, abort, result);
+    if (connection->socket_refused) {
         atomic_fetch_add(&d->resends_stopped, 1);
     }
-    bool reused = slot->reused;
-    bool whole = end->answer != NULL || end->reason == GW_REASON_SHED ||
-                 end->reason == GW_REASON_DRAINING;
-    slot->last_answer_us = GwNet_NowUs();
-    GwPool_Give(d, ask->address, slot, whole);
-    /* One reused connection fell silent: whatever lost track of it may have
-     * lost the others too, and new ones are cheap. */
-    if (reused && end->reason == GW_REASON_SILENT) {
-        GwPool_Flush(d, ask->address);
+    bool reused = connection->reused;
+    bool is_complete_answer = result->answer != NULL ||
+                              result->reason == GW_REASON_SHED ||
+                              result->reason == GW_REASON_DRAINING;
+    connection->last_answer_us = GwNet_NowUs();
+    GwPool_Release(d, request->address, connection, is_complete_answer);
+    /* A reused connection timed out: a middlebox may have dropped its state
+     * for the other idle connections too, and new ones are cheap. */
+    if (reused && result->reason == GW_REASON_SILENT) {
+        GwPool_CloseIdle(d, request->address);
     }
 }
--- a/lib/runtime/dispatch_internal.h
+++ b/lib/runtime/dispatch_internal.h
@@ -1,4 +1,4 @@
-/* Shared by dispatch.c (one attempt) and pool.c (connections). */
+/* Shared by dispatch.c (attempts) and pool.c (connections). */
 #ifndef GW_RUNTIME_DISPATCH_INTERNAL_H
 #define GW_RUNTIME_DISPATCH_INTERNAL_H
 
@@ -9,23 +9,23 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-/* One connection to one backend server: a curl handle inside a multi handle
- * of its own, so that it has its own connection cache and can be woken. */
+/* One connection to a backend server: an easy handle in its own multi handle,
+ * which gives it a separate connection cache and allows waking it. */
 typedef struct {
     CURLM *multi;
     CURL *easy;
     int fd; /* of the open connection, or -1 */
     int64_t last_answer_us;
-    /* Of the attempt that runs: */
-    uint32_t sockets_left; /* connections that libcurl may still open */
-    bool socket_refused;   /* it wanted one more */
+    /* Of the running attempt: */
+    uint32_t sockets_left; /* sockets that libcurl may still open */
+    bool socket_refused;   /* libcurl requested one more */
     bool reused;
-} Slot;
+} PoolConnection;
 
 struct GwDispatcher_s {
-    pthread_mutex_t mutex; /* no other lock is taken under it */
-    GHashTable *idle;      /* address to GQueue of Slot *, freshest first */
-    GHashTable *idle_max;  /* address to its bound; NULL before the first */
+    pthread_mutex_t mutex; /* no other lock is taken while it is held */
+    GHashTable *idle; /* address to GQueue of PoolConnection *, newest first */
+    GHashTable *idle_max; /* address to bound; NULL before the first Trim */
     atomic_uint_fast64_t opened;
     atomic_uint_fast64_t reused;
     atomic_uint_fast64_t resends_stopped;
@@ -35,15 +35,20 @@
     int refs;
     pthread_mutex_t mutex;
     bool triggered;
-    CURLM *multi; /* of the attempt that runs, or NULL */
+    CURLM *multi; /* of the running attempt, or NULL */
 };
 
-/* A slot for the attempt, with the open connection it may use or none. */
-Slot *GwPool_Take(GwDispatcher *d, const GwDispatchAsk *ask, int64_t now_us);
-/* keep: its connection carried a whole answer and nothing else. */
-void GwPool_Give(GwDispatcher *d, const char *address, Slot *slot, bool keep);
-/* Closes the idle connections of one server. */
-void GwPool_Flush(GwDispatcher *d, const char *address);
-void Slot_Free(Slot *slot);
+/* Returns an idle connection that the attempt may reuse, or a new one that
+ * is not connected yet. */
+PoolConnection *GwPool_Acquire(GwDispatcher *d,
+                               const GwDispatchRequest *request,
+                               int64_t now_us);
+/* Returns a connection to the pool. keep: it carried one complete answer
+ * and nothing else; otherwise it is closed. */
+void GwPool_Release(GwDispatcher *d, const char *address,
+                    PoolConnection *connection, bool keep);
+/* Closes all idle connections to one server. */
+void GwPool_CloseIdle(GwDispatcher *d, const char *address);
+void PoolConnection_Free(PoolConnection *connection);
 
 #endif
--- a/lib/runtime/pool.c
+++ b/lib/runtime/pool.c
@@ -1,4 +1,4 @@
-/* The pool of connections to backend servers. */
+/* Pool of connections to backend servers. */
 #include "runtime/dispatch_internal.h"
 #include "runtime/net_internal.h"
 
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define IDLE_MAX_UNLISTED 1 /* a server, while no list is known */
+#define IDLE_MAX_WITHOUT_LIST 1 /* per server, before the first list */
 
 GwDispatcher *
 GwDispatcher_Create(void)
@@ -19,35 +19,35 @@
 }
 
 void
-Slot_Free(Slot *slot)
+PoolConnection_Free(PoolConnection *connection)
 {
-    curl_easy_cleanup(slot->easy);
-    curl_multi_cleanup(slot->multi);
-    g_free(slot);
+    curl_easy_cleanup(connection->easy);
+    curl_multi_cleanup(connection->multi);
+    g_free(connection);
 }
 
 static void
-free_slots(GQueue *slots)
+free_connections(GQueue *connections)
 {
-    Slot *slot;
-    while ((slot = g_queue_pop_head(slots)) != NULL) {
-        Slot_Free(slot);
+    PoolConnection *connection;
+    while ((connection = g_queue_pop_head(connections)) != NULL) {
+        PoolConnection_Free(connection);
     }
-    g_queue_free(slots);
+    g_queue_free(connections);
 }
 
 void
 GwDispatcher_Free(GwDispatcher *d)
 {
     GHashTableIter iter;
-    gpointer slots;
+    gpointer connections;
 
     if (d == NULL) {
         return;
     }
     g_hash_table_iter_init(&iter, d->idle);
-    while (g_hash_table_iter_next(&iter, NULL, &slots)) {
-        free_slots(slots);
+    while (g_hash_table_iter_next(&iter, NULL, &connections)) {
+        free_connections(connections);
     }
     g_hash_table_destroy(d->idle);
     if (d->idle_max != NULL) {
@@ -57,186 +57,193 @@
     g_free(d);
 }
 
-/* The only way for libcurl to get a socket.
+/* Opens every socket that libcurl uses, to prevent its automatic resend.
  *
- * libcurl silently sends a request again on a new connection when a reused
- * one turns out closed before any answer. The first copy may have been run:
- * a booking would be made twice, and the caller would see one answer. An
- * attempt on a reused connection may open none, and one on a new connection
- * just that one, so the second copy has nowhere to go. */
+ * When a reused connection closes before any answer, libcurl resends the
+ * request on a new connection without reporting it. The server may have run
+ * the first copy, so the request would run twice while the caller sees one
+ * answer. An attempt may therefore open no socket on a reused connection, and
+ * exactly one on a new connection. */
 static curl_socket_t
 open_socket(void *arg, curlsocktype purpose, struct curl_sockaddr *address)
 {
-    Slot *slot = arg;
+    PoolConnection *connection = arg;
     int one = 1;
 
-    if (slot->sockets_left == 0) {
-        slot->socket_refused = true;
+    if (connection->sockets_left == 0) {
+        connection->socket_refused = true;
         return CURL_SOCKET_BAD;
     }
-    slot->sockets_left--;
+    connection->sockets_left--;
     int fd = socket(address->family, address->socktype | SOCK_CLOEXEC,
                     address->protocol);
     if (fd < 0) {
         return CURL_SOCKET_BAD;
     }
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-    slot->fd = fd;
+    connection->fd = fd;
     return fd;
 }
 
 static int
 close_socket(void *arg, curl_socket_t fd)
 {
-    Slot *slot = arg;
-    if (slot->fd == fd) {
-        slot->fd = -1;
+    PoolConnection *connection = arg;
+    if (connection->fd == fd) {
+        connection->fd = -1;
     }
     return close(fd);
 }
 
-static Slot *
-create_slot(void)
+static PoolConnection *
+create_connection(void)
 {
-    Slot *slot = g_new0(Slot, 1);
-    slot->fd = -1;
-    slot->multi = curl_multi_init();
-    slot->easy = curl_easy_init();
-    if (slot->multi == NULL || slot->easy == NULL) {
+    PoolConnection *connection = g_new0(PoolConnection, 1);
+    connection->fd = -1;
+    connection->multi = curl_multi_init();
+    connection->easy = curl_easy_init();
+    if (connection->multi == NULL || connection->easy == NULL) {
         g_error("out of memory");
     }
-    curl_multi_setopt(slot->multi, CURLMOPT_MAXCONNECTS, 1L);
-    curl_easy_setopt(slot->easy, CURLOPT_OPENSOCKETFUNCTION, open_socket);
-    curl_easy_setopt(slot->easy, CURLOPT_OPENSOCKETDATA, slot);
-    curl_easy_setopt(slot->easy, CURLOPT_CLOSESOCKETFUNCTION, close_socket);
-    curl_easy_setopt(slot->easy, CURLOPT_CLOSESOCKETDATA, slot);
-    return slot;
+    curl_multi_setopt(connection->multi, CURLMOPT_MAXCONNECTS, 1L);
+    curl_easy_setopt(connection->easy, CURLOPT_OPENSOCKETFUNCTION,
+                     open_socket);
+    curl_easy_setopt(connection->easy, CURLOPT_OPENSOCKETDATA, connection);
+    curl_easy_setopt(connection->easy, CURLOPT_CLOSESOCKETFUNCTION,
+                     close_socket);
+    curl_easy_setopt(connection->easy, CURLOPT_CLOSESOCKETDATA, connection);
+    return connection;
 }
 
-/* Open, with nothing to read: bytes or an end that arrived while it was idle
- * belong to no request of ours. */
+/* True when the connection is open with nothing to read. Bytes or an end of
+ * stream that arrived while it was idle answer no request. */
 static bool
-is_quiet(const Slot *slot)
+is_open_and_quiet(const PoolConnection *connection)
 {
     char byte;
-    if (slot->fd < 0) {
+    if (connection->fd < 0) {
         return false;
     }
-    ssize_t n = recv(slot->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    ssize_t n = recv(connection->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 static bool
-may_use(const Slot *slot, const GwDispatchAsk *ask, int64_t now_us)
+may_reuse(const PoolConnection *connection, const GwDispatchRequest *request,
+          int64_t now_us)
 {
-    if (ask->new_connection) {
+    if (request->new_connection) {
         return false;
     }
-    return ask->idempotent || now_us - slot->last_answer_us < GW_FRESH_US;
+    return request->idempotent ||
+           now_us - connection->last_answer_us < GW_REUSE_MAX_US;
 }
 
-/* The freshest idle slot lies on top: if that may not be used, none may. */
-static Slot *
-pop_idle(GwDispatcher *d, const GwDispatchAsk *ask, int64_t now_us)
+/* The head is the last used connection: if it may not be reused, none may. */
+static PoolConnection *
+pop_idle(GwDispatcher *d, const GwDispatchRequest *request, int64_t now_us)
 {
-    Slot *slot = NULL;
+    PoolConnection *connection = NULL;
     pthread_mutex_lock(&d->mutex);
-    GQueue *slots = g_hash_table_lookup(d->idle, ask->address);
-    if (slots != NULL && slots->head != NULL &&
-        may_use(slots->head->data, ask, now_us)) {
-        slot = g_queue_pop_head(slots);
+    GQueue *connections = g_hash_table_lookup(d->idle, request->address);
+    if (connections != NULL && connections->head != NULL &&
+        may_reuse(connections->head->data, request, now_us)) {
+        connection = g_queue_pop_head(connections);
     }
     pthread_mutex_unlock(&d->mutex);
-    return slot;
+    return connection;
 }
 
-Slot *
-GwPool_Take(GwDispatcher *d, const GwDispatchAsk *ask, int64_t now_us)
+PoolConnection *
+GwPool_Acquire(GwDispatcher *d, const GwDispatchRequest *request,
+               int64_t now_us)
 {
-    Slot *slot;
+    PoolConnection *connection;
 
-    while ((slot = pop_idle(d, ask, now_us)) != NULL) {
-        if (is_quiet(slot)) {
-            slot->reused = true;
-            slot->sockets_left = 0;
-            slot->socket_refused = false;
+    while ((connection = pop_idle(d, request, now_us)) != NULL) {
+        if (is_open_and_quiet(connection)) {
+            connection->reused = true;
+            connection->sockets_left = 0;
+            connection->socket_refused = false;
             atomic_fetch_add(&d->reused, 1);
-            return slot;
+            return connection;
         }
-        Slot_Free(slot);
+        PoolConnection_Free(connection);
     }
-    slot = create_slot();
-    slot->sockets_left = 1;
+    connection = create_connection();
+    connection->sockets_left = 1;
     atomic_fetch_add(&d->opened, 1);
-    return slot;
+    return connection;
 }
 
-/* Called with the mutex. */
+/* Requires d->mutex. */
 static uint32_t
 idle_max_of(const GwDispatcher *d, const char *address)
 {
     if (d->idle_max == NULL) {
-        return IDLE_MAX_UNLISTED;
+        return IDLE_MAX_WITHOUT_LIST;
     }
     return GPOINTER_TO_UINT(g_hash_table_lookup(d->idle_max, address));
 }
 
-/* Called with the mutex. */
+/* Requires d->mutex. Creates the queue if there is none. */
 static GQueue *
-idle_of(GwDispatcher *d, const char *address)
+idle_queue(GwDispatcher *d, const char *address)
 {
-    GQueue *slots = g_hash_table_lookup(d->idle, address);
-    if (slots == NULL) {
-        slots = g_queue_new();
-        g_hash_table_insert(d->idle, g_strdup(address), slots);
+    GQueue *connections = g_hash_table_lookup(d->idle, address);
+    if (connections == NULL) {
+        connections = g_queue_new();
+        g_hash_table_insert(d->idle, g_strdup(address), connections);
     }
-    return slots;
+    return connections;
 }
 
-/* A server's connections are shared by all entries of its region, and
- * non-idempotent calls leave stale ones lying below the fresh ones. Without
- * the bound each entry would come to hold its busiest moment for ever, until
- * the server refuses connections. */
+/* All entries of a region share the connection limit of a server, and
+ * non-idempotent calls leave stale connections behind. Without idle_max each
+ * entry would keep as many connections as at its peak load, until the server
+ * refuses new ones. */
 void
-GwPool_Give(GwDispatcher *d, const char *address, Slot *slot, bool keep)
+GwPool_Release(GwDispatcher *d, const char *address,
+               PoolConnection *connection, bool keep)
 {
-    Slot *surplus = slot;
+    PoolConnection *surplus = connection;
 
-    if (keep && slot->fd >= 0) {
+    if (keep && connection->fd >= 0) {
         pthread_mutex_lock(&d->mutex);
         uint32_t idle_max = idle_max_of(d, address);
         if (idle_max > 0) {
-            GQueue *slots = idle_of(d, address);
-            g_queue_push_head(slots, slot);
-            surplus =
-                slots->length > idle_max ? g_queue_pop_tail(slots) : NULL;
+            GQueue *connections = idle_queue(d, address);
+            g_queue_push_head(connections, connection);
+            surplus = connections->length > idle_max
+                          ? g_queue_pop_tail(connections)
+                          : NULL;
         }
         pthread_mutex_unlock(&d->mutex);
     }
     if (surplus != NULL) {
-        Slot_Free(surplus);
+        PoolConnection_Free(surplus);
     }
 }
 
-/* Called with the mutex; moves what has to be closed to `out`. The stalest
- * slot lies at the bottom. */
+/* Requires d->mutex. Moves connections that must be closed to `out`. The
+ * tail is the least recently used one. */
 static void
-take_surplus(const GwDispatcher *d, const char *address, GQueue *slots,
-             int64_t now_us, GQueue *out)
+collect_surplus(const GwDispatcher *d, const char *address,
+                GQueue *connections, int64_t now_us, GQueue *out)
 {
     uint32_t idle_max = idle_max_of(d, address);
-    while (slots->length > 0) {
-        const Slot *stalest = g_queue_peek_tail(slots);
-        if (slots->length <= idle_max &&
-            now_us - stalest->last_answer_us < GW_IDLE_US) {
+    while (connections->length > 0) {
+        const PoolConnection *oldest = g_queue_peek_tail(connections);
+        if (connections->length <= idle_max &&
+            now_us - oldest->last_answer_us < GW_IDLE_TIMEOUT_US) {
             return;
         }
-        g_queue_push_tail(out, g_queue_pop_tail(slots));
+        g_queue_push_tail(out, g_queue_pop_tail(connections));
     }
 }
 
 static GHashTable *
-bounds_of(const GwDispatchServer *servers, uint32_t count)
+create_bounds(const GwDispatchServer *servers, uint32_t count)
 {
     GHashTable *bounds =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -247,47 +254,47 @@
     return bounds;
 }
 
-/* Closing is done without the mutex: it is a system call a connection. */
+/* Closes without the mutex: each connection costs a system call. */
 void
 GwDispatcher_Trim(GwDispatcher *d, const GwDispatchServer *servers,
                   uint32_t count, int64_t now_us)
 {
-    GHashTable *bounds = bounds_of(servers, count);
+    GHashTable *bounds = create_bounds(servers, count);
     GQueue *closing = g_queue_new();
     GHashTableIter iter;
     gpointer address;
-    gpointer slots;
+    gpointer connections;
 
     pthread_mutex_lock(&d->mutex);
     GHashTable *old = d->idle_max;
     d->idle_max = bounds;
     g_hash_table_iter_init(&iter, d->idle);
-    while (g_hash_table_iter_next(&iter, &address, &slots)) {
-        take_surplus(d, address, slots, now_us, closing);
-        if (((GQueue *)slots)->length == 0) {
-            g_queue_free(slots);
+    while (g_hash_table_iter_next(&iter, &address, &connections)) {
+        collect_surplus(d, address, connections, now_us, closing);
+        if (((GQueue *)connections)->length == 0) {
+            g_queue_free(connections);
             g_hash_table_iter_remove(&iter);
         }
     }
     pthread_mutex_unlock(&d->mutex);
-    free_slots(closing);
+    free_connections(closing);
     if (old != NULL) {
         g_hash_table_destroy(old);
     }
 }
 
 void
-GwPool_Flush(GwDispatcher *d, const char *address)
+GwPool_CloseIdle(GwDispatcher *d, const char *address)
 {
     gpointer key = NULL;
-    gpointer slots = NULL;
+    gpointer connections = NULL;
 
     pthread_mutex_lock(&d->mutex);
-    g_hash_table_steal_extended(d->idle, address, &key, &slots);
+    g_hash_table_steal_extended(d->idle, address, &key, &connections);
     pthread_mutex_unlock(&d->mutex);
     g_free(key);
-    if (slots != NULL) {
-        free_slots(slots);
+    if (connections != NULL) {
+        free_connections(connections);
     }
 }
 
@@ -296,12 +303,12 @@
 {
     uint64_t count = 0;
     GHashTableIter iter;
-    gpointer slots;
+    gpointer connections;
 
     pthread_mutex_lock(&d->mutex);
     g_hash_table_iter_init(&iter, d->idle);
-    while (g_hash_table_iter_next(&iter, NULL, &slots)) {
-        count += ((GQueue *)slots)->length;
+    while (g_hash_table_iter_next(&iter, NULL, &connections)) {
+        count += ((GQueue *)connections)->length;
     }
     pthread_mutex_unlock(&d->mutex);
     return count;
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -1,12 +1,12 @@
-/* Answers kept for resends. A clerk whose connection broke sends a booking
- * again with its ticket and must be given the answer of the first sending or
- * "unknown"; never that of another booking. */
+/* Store of answers for resends. A caller that resends a ticket after losing
+ * its connection must get the answer of the first request or "unknown", never
+ * the answer of another call. */
 #include "runtime/answer.h"
 
 #include <criterion/criterion.h>
 #include <glib.h>
 
-/* The body says which call it is of. */
+/* The first byte of the body identifies the call. */
 static GwAnswer *
 make(uint64_t call, uint32_t body_len)
 {
@@ -24,7 +24,7 @@
     return kept;
 }
 
-/* Whether the answer is there; one that is must be its own. */
+/* True if the answer is kept; it must belong to the call. */
 static bool
 has(const GwAnswers *answers, uint64_t call, uint32_t attempt)
 {
@@ -37,8 +37,9 @@
     return true;
 }
 
-/* The oldest make room; what is kept never exceeds the bound, and the count
- * of bytes returns to zero, so that the store does not shrink by and by. */
+/* The oldest answers are evicted, the kept bytes never exceed the bound, and
+ * the byte count returns to zero: a leak in it would shrink the store over
+ * time. */
 Test(answer, bytes_are_bounded)
 {
     enum { MAX = 4096 };
@@ -59,7 +60,7 @@
     }
 }
 
-/* One answer larger than all room is not kept and pushes nothing out. */
+/* An answer above the bound is not kept and evicts nothing. */
 Test(answer, too_large_is_not_kept)
 {
     GwAnswers *answers = GwAnswers_Create(2048);
@@ -70,7 +71,7 @@
     GwAnswers_Free(answers);
 }
 
-Test(answer, expires)
+Test(answer, expires_at_its_time)
 {
     GwAnswers *answers = GwAnswers_Create(1 << 20);
     cr_expect(keep(answers, 1, 8, 10));
@@ -84,8 +85,8 @@
     GwAnswers_Free(answers);
 }
 
-/* The same attempt kept twice is counted once and stays what it was. */
-Test(answer, kept_once)
+/* A second answer for the same attempt is neither counted nor stored. */
+Test(answer, kept_answer_is_not_replaced)
 {
     GwAnswers *answers = GwAnswers_Create(1 << 20);
     cr_expect(keep(answers, 1, 8, 10));
@@ -98,8 +99,8 @@
     GwAnswers_Free(answers);
 }
 
-/* A booking's answer is asked for again after others have filled the room.
- * It is either still the very same answer or none: never another call's. */
+/* After eviction or expiry, a look-up returns the same answer object or NULL,
+ * never the answer of another call. */
 Test(answer, kept_within_bounds_and_time)
 {
     GwAnswers *answers = GwAnswers_Create(2000);
@@ -109,7 +110,7 @@
         cr_expect(GwAnswers_Keep(answers, call, 1, made[call],
                                  1000 * (int64_t)call));
     }
-    cr_expect_null(GwAnswers_Get(answers, 1, 1), "the oldest made room");
+    cr_expect_null(GwAnswers_Get(answers, 1, 1), "the oldest is evicted");
     cr_expect_null(GwAnswers_Get(answers, 3, 2));
     cr_expect_eq(GwAnswers_Count(answers), 2);
     for (uint64_t call = 2; call <= 3; call++) {
--- a/tests/unit/test_dispatch.c
+++ b/tests/unit/test_dispatch.c
@@ -1,9 +1,9 @@
-/* What the end of one attempt proves about a backend server.
+/* Outcome of one attempt at a backend server.
  *
- * A caller who reads "not run" books again: if the first booking was made
- * after all, it is doubled. So each way an attempt can end is played by a
- * raw server, and the outcome must be NOT_RUN only where nothing can have
- * run, and the server must never see one attempt's request twice. */
+ * A caller that gets "not run" repeats the call; if the request did run, it
+ * runs twice. A raw server ends attempts in every way: the outcome must be
+ * NOT_RUN only where the request can't have run, and the server must never
+ * receive the request of one attempt twice. */
 #include "fakes/raw_server.h"
 #include "runtime/dispatch.h"
 #include "runtime/net_internal.h"
@@ -16,15 +16,16 @@
     "HTTP/1.1 503 No\r\nGW-Refused: not-run\r\nGW-Load: 7\r\n"                \
     "Content-Length: 0\r\n\r\n"
 
-/* Silence is waited for; everything else ends by itself, long before. */
-#define SILENCE_US  400000
-#define PATIENCE_US 30000000
+/* Cases of silence wait for SILENCE_TIMEOUT_US; all others end well before
+ * LONG_TIMEOUT_US. */
+#define SILENCE_TIMEOUT_US 400000
+#define LONG_TIMEOUT_US    30000000
 
-static GwDispatchEnd
+static GwDispatchResult
 run_until(GwDispatcher *d, const char *address, bool idempotent,
           GwAbort *abort, int64_t give_up_us)
 {
-    GwDispatchAsk ask = {
+    GwDispatchRequest request = {
         .address = address,
         .method = idempotent ? "GET" : "POST",
         .target = "/book?x=1",
@@ -32,30 +33,30 @@
         .body_len = idempotent ? 0 : 2,
         .request_id = "1-1-1-1",
         .idempotent = idempotent,
-        .deadline_us = GwNet_NowUs() + PATIENCE_US,
+        .deadline_us = GwNet_NowUs() + LONG_TIMEOUT_US,
         .give_up_us = GwNet_NowUs() + give_up_us,
     };
-    GwDispatchEnd end;
+    GwDispatchResult result;
     GwAbort *own = abort == NULL ? GwAbort_Create() : GwAbort_Ref(abort);
-    GwDispatch_Run(d, &ask, own, &end);
+    GwDispatch_Run(d, &request, own, &result);
     GwAbort_Unref(own);
-    return end;
+    return result;
 }
 
-static GwDispatchEnd
+static GwDispatchResult
 run(GwDispatcher *d, const char *address, bool idempotent, GwAbort *abort)
 {
-    return run_until(d, address, idempotent, abort, PATIENCE_US);
+    return run_until(d, address, idempotent, abort, LONG_TIMEOUT_US);
 }
 
 typedef struct {
-    const char *what;
+    const char *name;
     RawStep step;
     GwOutcome outcome;
     GwReason reason;
 } Case;
 
-static const Case first_cases[] = {
+static const Case new_connection_cases[] = {
     {"whole answer",
      {RAW_ANSWER, OK("hi")},
      GW_OUTCOME_ANSWERED,
@@ -117,11 +118,11 @@
                "9\r\nhalf"},
      GW_OUTCOME_UNKNOWN,
      GW_REASON_BROKEN},
-    {"a body that only the close ends may have been cut",
+    {"body delimited only by the close may be truncated",
      {RAW_CUT, "HTTP/1.1 200 OK\r\n\r\nhalf?"},
      GW_OUTCOME_UNKNOWN,
      GW_REASON_BROKEN},
-    {"no HTTP",
+    {"not HTTP",
      {RAW_CUT, "hello\r\n\r\n"},
      GW_OUTCOME_UNKNOWN,
      GW_REASON_BROKEN},
@@ -132,35 +133,37 @@
      GW_REASON_SILENT},
 };
 
-/* Every way for a request on a new connection to end; in particular each
- * half-answer leaves the caller with "unknown", never with "not run". */
-Test(dispatch, first_request)
+/* Outcomes of a request on a new connection. A truncated answer is always
+ * "unknown", never "not run". */
+Test(dispatch, request_on_a_new_connection)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(first_cases); i++) {
-        const Case *c = &first_cases[i];
+    for (size_t i = 0; i < G_N_ELEMENTS(new_connection_cases); i++) {
+        const Case *c = &new_connection_cases[i];
         RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {{c->step}};
         RawServer *server = RawServer_Start(plan);
         GwDispatcher *d = GwDispatcher_Create();
-        GwDispatchEnd end = run_until(
-            d, RawServer_Address(server), false, NULL,
-            c->reason == GW_REASON_SILENT ? SILENCE_US : PATIENCE_US);
-        cr_expect_eq(end.outcome, c->outcome, "%s: %d", c->what, end.outcome);
-        cr_expect_eq(end.reason, c->reason, "%s: %s", c->what,
-                     GwReason_Name(end.reason));
-        cr_expect_eq(end.answer != NULL, c->outcome == GW_OUTCOME_ANSWERED,
-                     "%s", c->what);
-        cr_expect_leq(RawServer_Requests(server), 1, "%s", c->what);
-        cr_expect_eq(RawServer_Connections(server), 1, "%s", c->what);
-        GwAnswer_Unref(end.answer);
+        GwDispatchResult result =
+            run_until(d, RawServer_Address(server), false, NULL,
+                      c->reason == GW_REASON_SILENT ? SILENCE_TIMEOUT_US
+                                                    : LONG_TIMEOUT_US);
+        cr_expect_eq(result.outcome, c->outcome, "%s: %d", c->name,
+                     result.outcome);
+        cr_expect_eq(result.reason, c->reason, "%s: %s", c->name,
+                     GwReason_Name(result.reason));
+        cr_expect_eq(result.answer != NULL, c->outcome == GW_OUTCOME_ANSWERED,
+                     "%s", c->name);
+        cr_expect_leq(RawServer_Requests(server), 1, "%s", c->name);
+        cr_expect_eq(RawServer_Connections(server), 1, "%s", c->name);
+        GwAnswer_Unref(result.answer);
         GwDispatcher_Free(d);
         RawServer_Stop(server);
     }
 }
 
-/* The caller books right after another booking. The connection is reused;
- * the server reads the request, runs it and closes without a word. libcurl
- * takes the connection for a stale one and would send the booking again on a
- * new one: the caller would see one answer and have two bookings. */
+/* The server reads a request on a reused connection, runs it and closes the
+ * connection without an answer. libcurl takes the connection for a stale one
+ * and would resend on a new one: the request would run twice with one
+ * answer. */
 Test(dispatch, reused_connection_closed_after_the_request)
 {
     RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {
@@ -171,25 +174,24 @@
     GwDispatcher *d = GwDispatcher_Create();
     GwDispatchStats stats;
 
-    GwDispatchEnd end = run(d, RawServer_Address(server), false, NULL);
-    cr_assert_eq(end.outcome, GW_OUTCOME_ANSWERED);
-    GwAnswer_Unref(end.answer);
-    end = run(d, RawServer_Address(server), false, NULL);
+    GwDispatchResult result = run(d, RawServer_Address(server), false, NULL);
+    cr_assert_eq(result.outcome, GW_OUTCOME_ANSWERED);
+    GwAnswer_Unref(result.answer);
+    result = run(d, RawServer_Address(server), false, NULL);
     GwDispatcher_Stats(d, &stats);
     cr_expect_eq(stats.reused, 1);
     cr_expect_eq(stats.resends_stopped, 1, "libcurl did not try: %u",
                  (unsigned)stats.resends_stopped);
-    cr_expect_eq(end.outcome, GW_OUTCOME_UNKNOWN);
+    cr_expect_eq(result.outcome, GW_OUTCOME_UNKNOWN);
     cr_expect_eq(RawServer_Requests(server), 2);
     cr_expect_eq(RawServer_Connections(server), 1);
-    GwAnswer_Unref(end.answer);
+    GwAnswer_Unref(result.answer);
     GwDispatcher_Free(d);
     RawServer_Stop(server);
 }
 
-/* The server closes the idle connection between two bookings. Nothing of the
- * second was sent on it, so a new connection is used and the booking is made
- * once; the caller notices nothing. */
+/* The server closes an idle connection between two requests. Nothing of the
+ * second was sent on it, so it runs once, on a new connection. */
 Test(dispatch, idle_connection_closed_before_the_request)
 {
     RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {
@@ -199,11 +201,11 @@
     RawServer *server = RawServer_Start(plan);
     GwDispatcher *d = GwDispatcher_Create();
 
-    GwDispatchEnd end = run(d, RawServer_Address(server), false, NULL);
-    cr_assert_eq(end.outcome, GW_OUTCOME_ANSWERED);
-    GwAnswer_Unref(end.answer);
-    /* Wait until the close has arrived, whenever that is. */
-    GwDispatchEnd again = {0};
+    GwDispatchResult result = run(d, RawServer_Address(server), false, NULL);
+    cr_assert_eq(result.outcome, GW_OUTCOME_ANSWERED);
+    GwAnswer_Unref(result.answer);
+    /* Repeat until the close has arrived. */
+    GwDispatchResult again = {0};
     while (RawServer_Connections(server) < 2) {
         again = run(d, RawServer_Address(server), true, NULL);
         if (again.outcome != GW_OUTCOME_ANSWERED) {
@@ -217,8 +219,8 @@
     RawServer_Stop(server);
 }
 
-/* Two answers arrive on one connection, the second unasked. The next caller
- * must not be given it as the answer to its own request. */
+/* A server sends two answers to one request. The next call must not receive
+ * the second as its own answer. */
 Test(dispatch, surplus_answer_never_reaches_the_next_call)
 {
     RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {
@@ -228,19 +230,19 @@
     RawServer *server = RawServer_Start(plan);
     GwDispatcher *d = GwDispatcher_Create();
 
-    GwDispatchEnd end = run(d, RawServer_Address(server), false, NULL);
-    GwAnswer_Unref(end.answer);
-    end = run(d, RawServer_Address(server), false, NULL);
-    if (end.outcome == GW_OUTCOME_ANSWERED) {
-        cr_expect_arr_eq(end.answer->body, "ho", 2);
+    GwDispatchResult result = run(d, RawServer_Address(server), false, NULL);
+    GwAnswer_Unref(result.answer);
+    result = run(d, RawServer_Address(server), false, NULL);
+    if (result.outcome == GW_OUTCOME_ANSWERED) {
+        cr_expect_arr_eq(result.answer->body, "ho", 2);
     }
-    GwAnswer_Unref(end.answer);
+    GwAnswer_Unref(result.answer);
     GwDispatcher_Free(d);
     RawServer_Stop(server);
 }
 
-/* Nobody listens: the one failure to connect that proves "not run". */
-Test(dispatch, connection_refused)
+/* No process listens at the address: the failed connect proves "not run". */
+Test(dispatch, connection_refused_is_not_run)
 {
     RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {0};
     RawServer *server = RawServer_Start(plan);
@@ -248,23 +250,23 @@
     g_strlcpy(address, RawServer_Address(server), sizeof(address));
     RawServer_Stop(server);
     GwDispatcher *d = GwDispatcher_Create();
-    GwDispatchEnd end = run(d, address, false, NULL);
-    cr_expect_eq(end.outcome, GW_OUTCOME_NOT_RUN);
-    cr_expect_eq(end.reason, GW_REASON_CONNECT);
+    GwDispatchResult result = run(d, address, false, NULL);
+    cr_expect_eq(result.outcome, GW_OUTCOME_NOT_RUN);
+    cr_expect_eq(result.reason, GW_REASON_CONNECT);
     GwDispatcher_Free(d);
 }
 
-/* The load report of a refusal is heard too. */
-Test(dispatch, reports_load)
+/* A refusal reports the load of the server too. */
+Test(dispatch, refusal_reports_load)
 {
     RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {
         {{RAW_ANSWER, REFUSAL}},
     };
     RawServer *server = RawServer_Start(plan);
     GwDispatcher *d = GwDispatcher_Create();
-    GwDispatchEnd end = run(d, RawServer_Address(server), true, NULL);
-    cr_expect(end.has_load);
-    cr_expect_eq(end.reported_load, 7);
+    GwDispatchResult result = run(d, RawServer_Address(server), true, NULL);
+    cr_expect(result.has_load);
+    cr_expect_eq(result.reported_load, 7);
     GwDispatcher_Free(d);
     RawServer_Stop(server);
 }
@@ -280,10 +282,10 @@
     return NULL;
 }
 
-/* The call's deadline passes while its attempt waits for an answer. The
- * attempt is cut off and its connection closed; since the server has the
- * request, the end is "unknown". */
-Test(dispatch, aborted_while_waiting)
+/* An attempt is aborted while it waits for an answer, as when the deadline of
+ * its call passes. The server has the request, so the outcome is
+ * "unknown". */
+Test(dispatch, abort_while_waiting_is_unknown)
 {
     RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {{{RAW_STALL, NULL}}};
     RawServer *server = RawServer_Start(plan);
@@ -293,10 +295,10 @@
     pthread_t thread;
 
     pthread_create(&thread, NULL, trigger_when_read, args);
-    GwDispatchEnd end = run(d, RawServer_Address(server), false, abort);
+    GwDispatchResult result = run(d, RawServer_Address(server), false, abort);
     pthread_join(thread, NULL);
-    cr_expect_eq(end.outcome, GW_OUTCOME_UNKNOWN);
-    cr_expect_eq(end.reason, GW_REASON_BROKEN);
+    cr_expect_eq(result.outcome, GW_OUTCOME_UNKNOWN);
+    cr_expect_eq(result.reason, GW_REASON_BROKEN);
     GwAbort_Unref(abort);
     GwDispatcher_Free(d);
     RawServer_Stop(server);
--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -1,9 +1,9 @@
-/* How many connections to one backend server lie idle.
+/* Bounds on the idle connections to one backend server.
  *
- * Each booking that finds no fresh connection opens a new one and leaves it
- * behind. Three entries once held 61 connections at one server of 3 slots; a
- * server at its limit closes new connections unread, and callers of every
- * entry then see "unknown". */
+ * Each non-idempotent call without a recently used connection opens a new one
+ * and leaves it idle. Unbounded, three entries held 61 connections to a server
+ * of 3 slots; a server at its limit closes new connections unread, and callers
+ * of every entry get "unknown". */
 #include "fakes/raw_server.h"
 #include "runtime/dispatch.h"
 #include "runtime/net_internal.h"
@@ -12,12 +12,12 @@
 
 #define OK "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-/* Leaves `count` connections behind, each made new. */
+/* Runs `count` attempts, each on a new connection. */
 static void
-run_apart(GwDispatcher *d, const char *address, uint32_t count)
+run_on_new_connections(GwDispatcher *d, const char *address, uint32_t count)
 {
     for (uint32_t i = 0; i < count; i++) {
-        GwDispatchAsk ask = {
+        GwDispatchRequest request = {
             .address = address,
             .method = "GET",
             .target = "/x",
@@ -28,10 +28,10 @@
             .give_up_us = GwNet_NowUs() + 10000000,
         };
         GwAbort *abort = GwAbort_Create();
-        GwDispatchEnd end;
-        GwDispatch_Run(d, &ask, abort, &end);
-        cr_expect_eq(end.outcome, GW_OUTCOME_ANSWERED);
-        GwAnswer_Unref(end.answer);
+        GwDispatchResult result;
+        GwDispatch_Run(d, &request, abort, &result);
+        cr_expect_eq(result.outcome, GW_OUTCOME_ANSWERED);
+        GwAnswer_Unref(result.answer);
         GwAbort_Unref(abort);
     }
 }
@@ -45,17 +45,17 @@
 }
 
 typedef struct {
-    const char *what;
-    bool listed;       /* the configuration names the server */
-    uint32_t idle_max; /* then */
-    uint32_t apart;    /* connections opened afterwards */
-    uint64_t left;
+    const char *name;
+    bool listed;       /* the server is in the configuration */
+    uint32_t idle_max; /* of a listed server */
+    uint32_t attempts; /* attempts on new connections */
+    uint64_t idle_after;
 } Case;
 
 static const Case cases[] = {
     {"below the bound", true, 3, 2, 2},
     {"above the bound", true, 2, 4, 2},
-    {"a server that left the configuration", false, 0, 2, 0},
+    {"a server removed from the configuration", false, 0, 2, 0},
 };
 
 Test(pool, idle_connections_are_bounded, .timeout = 30)
@@ -75,17 +75,19 @@
             .idle_max = c->idle_max,
         };
         GwDispatcher_Trim(d, &listed, 1, GwNet_NowUs());
-        run_apart(d, RawServer_Address(server), c->apart);
-        cr_expect_eq(RawServer_Connections(server), c->apart, "%s", c->what);
-        cr_expect_eq(idle(d), c->left, "%s: %u", c->what, (unsigned)idle(d));
+        run_on_new_connections(d, RawServer_Address(server), c->attempts);
+        cr_expect_eq(RawServer_Connections(server), c->attempts, "%s",
+                     c->name);
+        cr_expect_eq(idle(d), c->idle_after, "%s: %u", c->name,
+                     (unsigned)idle(d));
         GwDispatcher_Free(d);
         RawServer_Stop(server);
     }
 }
 
-/* A busy moment passes: what it left idle is closed, and so is what was
- * open to a server that an operator takes out. */
-Test(pool, idle_connections_end, .timeout = 30)
+/* Trim closes connections that are idle for too long, and those to a server
+ * that was removed from the configuration. */
+Test(pool, trim_closes_idle_connections, .timeout = 30)
 {
     static const RawStep plan[RAW_CONNECTIONS_MAX][RAW_STEPS_MAX] = {
         {{RAW_ANSWER, OK}},
@@ -96,13 +98,13 @@
     GwDispatchServer listed = {RawServer_Address(server), 4};
 
     GwDispatcher_Trim(d, &listed, 1, GwNet_NowUs());
-    run_apart(d, listed.address, 1);
+    run_on_new_connections(d, listed.address, 1);
     int64_t now_us = GwNet_NowUs();
     GwDispatcher_Trim(d, &listed, 1, now_us);
     cr_expect_eq(idle(d), 1);
-    GwDispatcher_Trim(d, &listed, 1, now_us + GW_IDLE_US);
+    GwDispatcher_Trim(d, &listed, 1, now_us + GW_IDLE_TIMEOUT_US);
     cr_expect_eq(idle(d), 0);
-    run_apart(d, listed.address, 1);
+    run_on_new_connections(d, listed.address, 1);
     cr_expect_eq(idle(d), 1);
     GwDispatcher_Trim(d, NULL, 0, GwNet_NowUs());
     cr_expect_eq(idle(d), 0);
