--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -1,5 +1,5 @@
-/* One connection of the inner protocol: socket, handshake, reading, writing.
- * Runs on the network thread only. */
+/* One peer connection: socket, handshake, reading, writing. Runs on the
+ * network thread only. */
 #include "runtime/net_internal.h"
 
 #include <errno.h>
@@ -57,14 +57,14 @@
     }
     drop_frames(&link->queue);
     drop_frames(&link->urgent);
-    Frame_Free(link->current);
+    Frame_Free(link->writing);
     GwFrame_Free(&link->in);
     g_hash_table_destroy(link->calls);
     g_free(link);
 }
 
-/* Calls that were written may have run; those still queued, or written in
- * part, have not: a peer acts on whole frames only. */
+/* Reports calls without a reply. Fully written calls may have run; queued or
+ * partly written ones have not, since a peer processes whole frames only. */
 static void
 report_lost(GwNet *net, Link *link, GQueue *unsent)
 {
@@ -77,8 +77,8 @@
         net->host.call_lost(net->host.ctx, *(uint64_t *)id, true);
     }
     g_hash_table_remove_all(link->calls);
-    if (link->current != NULL && link->current->call != 0) {
-        net->host.call_lost(net->host.ctx, link->current->call, false);
+    if (link->writing != NULL && link->writing->call != 0) {
+        net->host.call_lost(net->host.ctx, link->writing->call, false);
     }
     while ((frame = g_queue_pop_head(unsent)) != NULL) {
         if (frame->call != 0) {
@@ -105,17 +105,17 @@
     link->queue_bytes = 0;
     pthread_mutex_unlock(&net->peer_lock);
     report_lost(net, link, &unsent);
-    Frame_Free(link->current);
-    link->current = NULL;
+    Frame_Free(link->writing);
+    link->writing = NULL;
     drop_frames(&link->urgent);
     GwFrame_Free(&link->in);
     link->state = LINK_IDLE;
-    link->ping_us = 0;
-    link->want_write = false;
+    link->ping_sent_us = 0;
+    link->wants_write = false;
 }
 
-/* A path that swallows packets for good must not hold the connection: data
- * that stays unacknowledged closes it. */
+/* Unacknowledged data closes the connection after USER_TIMEOUT_MS, so that it
+ * does not stay open on a path that drops all packets. */
 static void
 set_options(int fd)
 {
@@ -139,17 +139,17 @@
 watch(GwNet *net, Link *link, int op)
 {
     struct epoll_event event = {
-        .events = EPOLLIN | (link->want_write ? (uint32_t)EPOLLOUT : 0),
+        .events = EPOLLIN | (link->wants_write ? (uint32_t)EPOLLOUT : 0),
         .data.ptr = link,
     };
     epoll_ctl(net->epoll_fd, op, link->fd, &event);
 }
 
 static void
-want_write(GwNet *net, Link *link, bool want)
+set_wants_write(GwNet *net, Link *link, bool want)
 {
-    if (link->want_write != want) {
-        link->want_write = want;
+    if (link->wants_write != want) {
+        link->wants_write = want;
         watch(net, link, EPOLL_CTL_MOD);
     }
 }
@@ -166,20 +166,20 @@
 push_hello(GwNet *net, Link *link)
 {
     GwEnvelope envelope = {.kind = GW_ENVELOPE_HELLO};
-    link->own = (GwHello){
+    link->local_hello = (GwHello){
         .from = net->params.id,
         .region = net->params.region,
         .domain = net->params.domain,
     };
-    if (getrandom(link->own.nonce, GW_NONCE_LEN, 0) != GW_NONCE_LEN) {
-        g_error("no random numbers");
+    if (getrandom(link->local_hello.nonce, GW_NONCE_LEN, 0) != GW_NONCE_LEN) {
+        g_error("getrandom returned too few bytes");
     }
-    envelope.u.hello = link->own;
+    envelope.u.hello = link->local_hello;
     push_urgent(link, &envelope);
 }
 
-/* Does nothing when the address is bad: the queue is dropped with the
- * connect timeout. */
+/* With an invalid address no socket is opened; the connect timeout then drops
+ * the queue. */
 void
 Link_Connect(GwNet *net, Link *link, int64_t now_us)
 {
@@ -205,7 +205,7 @@
         return;
     }
     push_hello(net, link);
-    link->want_write = true;
+    link->wants_write = true;
     watch(net, link, EPOLL_CTL_ADD);
 }
 
@@ -217,17 +217,17 @@
     link->deadline_us = now_us + HANDSHAKE_TIMEOUT_US;
     set_options(fd);
     push_hello(net, link);
-    link->want_write = true;
+    link->wants_write = true;
     watch(net, link, EPOLL_CTL_ADD);
 }
 
-/* The delay of the test hook towards the node that was met. */
+/* Returns the test delay for frames to the connected peer, in us. */
 static int64_t
-delay_towards(const GwNet *net, const GwHello *remote)
+peer_delay_us(const GwNet *net, const GwHello *remote_hello)
 {
-    uint32_t region = remote->region;
+    uint32_t region = remote_hello->region;
     if (region == net->params.region) {
-        if (remote->domain == net->params.domain) {
+        if (remote_hello->domain == net->params.domain) {
             return 0;
         }
         region = 0;
@@ -246,13 +246,13 @@
     GwEnvelope proof = {.kind = GW_ENVELOPE_PROOF};
     GwKey key = {.bytes = net->key, .len = net->params.key_len};
 
-    link->remote = *hello;
+    link->remote_hello = *hello;
     if (link->accepted) {
-        GwHandshake_Prove(key, GW_ROLE_ACCEPTOR, hello, &link->own,
+        GwHandshake_Prove(key, GW_ROLE_ACCEPTOR, hello, &link->local_hello,
                           proof.u.proof);
     }
     else {
-        GwHandshake_Prove(key, GW_ROLE_CONNECTOR, &link->own, hello,
+        GwHandshake_Prove(key, GW_ROLE_CONNECTOR, &link->local_hello, hello,
                           proof.u.proof);
     }
     push_urgent(link, &proof);
@@ -264,21 +264,22 @@
 on_proof(GwNet *net, Link *link, const uint8_t *mac)
 {
     GwKey key = {.bytes = net->key, .len = net->params.key_len};
-    bool good;
+    bool is_valid;
 
     if (link->accepted) {
-        good = GwHandshake_Check(key, GW_ROLE_CONNECTOR, &link->remote,
-                                 &link->own, mac);
+        is_valid =
+            GwHandshake_Check(key, GW_ROLE_CONNECTOR, &link->remote_hello,
+                              &link->local_hello, mac);
     }
     else {
-        good = GwHandshake_Check(key, GW_ROLE_ACCEPTOR, &link->own,
-                                 &link->remote, mac);
+        is_valid = GwHandshake_Check(key, GW_ROLE_ACCEPTOR, &link->local_hello,
+                                     &link->remote_hello, mac);
     }
-    if (!good) {
+    if (!is_valid) {
         atomic_fetch_add(&net->refused, 1);
         return false;
     }
-    link->delay_us = delay_towards(net, &link->remote);
+    link->delay_us = peer_delay_us(net, &link->remote_hello);
     link->state = LINK_READY;
     return true;
 }
@@ -301,7 +302,7 @@
         host->control(host->ctx, envelope->u.control);
         return true;
     case GW_ENVELOPE_CALL:
-        host->call(host->ctx, link->serial, link->remote.from,
+        host->call(host->ctx, link->serial, link->remote_hello.from,
                    &envelope->u.call);
         return link->accepted;
     case GW_ENVELOPE_REPLY:
@@ -322,8 +323,8 @@
     return false;
 }
 
-/* Until both sides have proved the key, only the next step of the handshake
- * is heard; anything else closes the connection. */
+/* Until both sides have proved knowledge of the key, only the next handshake
+ * message is accepted; anything else closes the connection. */
 static bool
 on_envelope(GwNet *net, Link *link, GwEnvelope *envelope)
 {
@@ -344,7 +345,7 @@
 }
 
 static bool
-take_frames(GwNet *net, Link *link)
+process_frames(GwNet *net, Link *link)
 {
     const uint8_t *payload;
     uint32_t len;
@@ -352,7 +353,7 @@
 
     while ((r = GwFrame_Next(&link->in, &payload, &len)) == 1) {
         GwEnvelope envelope;
-        if (link->state != LINK_READY && len > EARLY_FRAME_MAX) {
+        if (link->state != LINK_READY && len > EARLY_FRAME_MAX_BYTES) {
             return false;
         }
         if (GwResult_IsError(GwCodec_Parse(payload, len, &envelope))) {
@@ -371,30 +372,29 @@
 bool
 Link_OnReadable(GwNet *net, Link *link, int64_t now_us)
 {
-    ssize_t n = recv(link->fd, net->chunk, READ_CHUNK, 0);
+    ssize_t n = recv(link->fd, net->receive_buffer, RECEIVE_CHUNK_BYTES, 0);
     if (n < 0) {
         return errno == EAGAIN || errno == EINTR;
     }
     if (n == 0) {
         return false;
     }
-    link->ping_us = 0;
+    link->ping_sent_us = 0;
     atomic_fetch_add_explicit(&net->bytes_in, (uint64_t)n,
                               memory_order_relaxed);
-    GwFrame_Feed(&link->in, net->chunk, (size_t)n);
-    if (!take_frames(net, link)) {
+    GwFrame_Feed(&link->in, net->receive_buffer, (size_t)n);
+    if (!process_frames(net, link)) {
         return false;
     }
-    /* A stranger must not make this process buffer a large frame. */
+    /* An unauthenticated peer must not cause a large frame to be buffered. */
     if (link->state != LINK_READY &&
-        link->in.len - link->in.start > EARLY_FRAME_MAX) {
+        link->in.len - link->in.start > EARLY_FRAME_MAX_BYTES) {
         return false;
     }
     return Link_Flush(net, link, now_us);
 }
 
-/* The next queued frame whose delay is over. A call meant for an earlier
- * start of the peer is not sent to this one. */
+/* Pops the next queued frame whose test delay has passed, or NULL. */
 static Frame *
 next_queued(GwNet *net, Link *link, int64_t now_us)
 {
@@ -402,8 +402,9 @@
 
     pthread_mutex_lock(&net->peer_lock);
     Frame *head = g_queue_peek_head(&link->queue);
-    /* now_us may lie before queued_us: the frame can come in after the clock
-     * was read. Without a delay nothing would ask again. */
+    /* now_us may precede queued_us, as the frame may be queued after the
+     * clock was read. Without a delay there would be no later attempt, so the
+     * times are not compared then. */
     if (head != NULL &&
         (link->delay_us == 0 || head->queued_us + link->delay_us <= now_us)) {
         frame = g_queue_pop_head(&link->queue);
@@ -413,6 +414,8 @@
     return frame;
 }
 
+/* Returns the next frame to write, or NULL. A call addressed to an earlier
+ * start of the peer is not sent but reported as lost. */
 static Frame *
 next_frame(GwNet *net, Link *link, int64_t now_us)
 {
@@ -424,7 +427,8 @@
         if (frame == NULL) {
             return NULL;
         }
-        if (frame->call == 0 || GwNodeId_Equal(frame->to, link->remote.from)) {
+        if (frame->call == 0 ||
+            GwNodeId_Equal(frame->to, link->remote_hello.from)) {
             link->ping_due = !link->accepted;
             return frame;
         }
@@ -435,9 +439,9 @@
 }
 
 static void
-written_whole(GwNet *net, Link *link)
+finish_frame(GwNet *net, Link *link)
 {
-    Frame *frame = link->current;
+    Frame *frame = link->writing;
     if (frame->call != 0) {
         uint64_t *id = g_new(uint64_t, 1);
         *id = frame->call;
@@ -447,30 +451,31 @@
     atomic_fetch_add_explicit(&net->bytes_out, frame->len,
                               memory_order_relaxed);
     Frame_Free(frame);
-    link->current = NULL;
+    link->writing = NULL;
 }
 
-/* A ping follows what was sent, so that a connection something in between
- * has lost track of is found out and replaced although the kernel still
- * thinks it well. */
+/* Queues a ping after other frames were sent. The missing answer reveals a
+ * connection whose state a middlebox dropped, which the kernel still reports
+ * as established. */
 static void
 ping_if_due(Link *link, int64_t now_us)
 {
-    if (!link->ping_due || link->ping_us != 0 ||
-        now_us - link->last_ping_us < PING_EVERY_US) {
+    if (!link->ping_due || link->ping_sent_us != 0 ||
+        now_us - link->last_ping_us < PING_INTERVAL_US) {
         return;
     }
     push_urgent(link, &(GwEnvelope){.kind = GW_ENVELOPE_PING});
     link->ping_due = false;
-    link->ping_us = now_us;
+    link->ping_sent_us = now_us;
     link->last_ping_us = now_us;
 }
 
-/* 1: written, 0: the socket is full, -1: broken. */
+/* Returns 1 when the frame is written, 0 when the socket buffer is full, -1
+ * on a connection error. */
 static int
 write_current(Link *link)
 {
-    Frame *frame = link->current;
+    Frame *frame = link->writing;
     while (frame->written < frame->len) {
         ssize_t n = send(link->fd, frame->bytes + frame->written,
                          frame->len - frame->written, MSG_NOSIGNAL);
@@ -489,13 +494,13 @@
         return true;
     }
     for (;;) {
-        if (link->current == NULL) {
-            link->current = next_frame(net, link, now_us);
+        if (link->writing == NULL) {
+            link->writing = next_frame(net, link, now_us);
         }
-        if (link->current == NULL) {
+        if (link->writing == NULL) {
             ping_if_due(link, now_us);
             if (link->urgent.length == 0) {
-                want_write(net, link, false);
+                set_wants_write(net, link, false);
                 return true;
             }
             continue;
@@ -505,10 +510,10 @@
             return false;
         }
         if (rc == 0) {
-            want_write(net, link, true);
+            set_wants_write(net, link, true);
             return true;
         }
-        written_whole(net, link);
+        finish_frame(net, link);
     }
 }
 
@@ -531,8 +536,8 @@
 bool
 Link_IsSilent(const Link *link, int64_t now_us)
 {
-    return link->state == LINK_READY && link->ping_us != 0 &&
-           now_us - link->ping_us > SILENT_US;
+    return link->state == LINK_READY && link->ping_sent_us != 0 &&
+           now_us - link->ping_sent_us > PONG_TIMEOUT_US;
 }
 
 bool
--- a/lib/runtime/net.c
+++ b/lib/runtime/net.c
@@ -1,3 +1,4 @@
+/* The network thread, the connection table and the send queues. */
 #include "runtime/net_internal.h"
 
 #include "wire/codec.h"
@@ -53,7 +54,7 @@
 }
 
 static int
-listen_at(const char *address, GError **error)
+open_listener(const char *address, GError **error)
 {
     struct sockaddr_storage at;
     socklen_t len;
@@ -90,7 +91,7 @@
 GwNet *
 GwNet_Create(const GwNetParams *params, const GwNetHost *host, GError **error)
 {
-    int listen_fd = listen_at(params->listen_address, error);
+    int listen_fd = open_listener(params->listen_address, error);
     if (listen_fd < 0) {
         return NULL;
     }
@@ -105,14 +106,15 @@
     pthread_mutex_init(&net->peer_lock, NULL);
     net->by_address = g_hash_table_new(g_str_hash, g_str_equal);
     net->by_serial = g_hash_table_new(g_int64_hash, g_int64_equal);
-    g_queue_init(&net->flagged);
+    g_queue_init(&net->pending);
     watch_fd(net, &net->listen_fd);
     watch_fd(net, &net->event_fd);
     return net;
 }
 
-/* Removes an accepted link for good; an outgoing one only once it is unused,
- * so that the table does not keep every address ever met. */
+/* Frees an accepted link, or an outgoing one with an empty queue, so that the
+ * table does not grow with every address ever used. Reconnects an outgoing
+ * link that has frames to send. */
 static void
 close_link(GwNet *net, Link *link)
 {
@@ -158,7 +160,7 @@
 }
 
 static void
-serve_flagged(GwNet *net, int64_t now_us)
+serve_pending(GwNet *net, int64_t now_us)
 {
     uint64_t drain;
     uint64_t *serial;
@@ -166,15 +168,15 @@
     (void)!read(net->event_fd, &drain, sizeof(drain));
     for (;;) {
         Link *link = NULL;
-        bool overflow = false;
+        bool has_overflow = false;
         pthread_mutex_lock(&net->peer_lock);
-        serial = g_queue_pop_head(&net->flagged);
+        serial = g_queue_pop_head(&net->pending);
         if (serial != NULL) {
             link = g_hash_table_lookup(net->by_serial, serial);
         }
         if (link != NULL) {
-            link->flagged = false;
-            overflow = link->overflow;
+            link->is_pending = false;
+            has_overflow = link->has_overflow;
         }
         pthread_mutex_unlock(&net->peer_lock);
         g_free(serial);
@@ -187,7 +189,7 @@
         if (link->state == LINK_IDLE) {
             Link_Connect(net, link, now_us);
         }
-        else if (overflow || !Link_Flush(net, link, now_us)) {
+        else if (has_overflow || !Link_Flush(net, link, now_us)) {
             close_link(net, link);
         }
     }
@@ -225,9 +227,9 @@
     return links;
 }
 
-/* Flushing sends the ping that became due after the last frame: a call that
- * was sent just after a ping would else wait for its whole deadline on a link
- * that fell silent and has nothing more to send. */
+/* Flushing sends a ping that became due after the last frame. Otherwise a
+ * call sent just after a ping would wait until its deadline on a link that
+ * went silent and has nothing more to send. */
 static void
 check_links(GwNet *net, int64_t now_us)
 {
@@ -238,8 +240,8 @@
         if (Link_IsOverdue(link, now_us) || !Link_Flush(net, link, now_us)) {
             close_link(net, link);
         }
-        /* Counted when its queue has been given up: who sees the count knows
-         * that what is sent from now on goes out on a new connection. */
+        /* Counted only after the queue is dropped: frames queued after the
+         * count rises go out on a new connection. */
         if (silent) {
             atomic_fetch_add(&net->closed_silent, 1);
         }
@@ -247,7 +249,8 @@
     g_ptr_array_free(links, TRUE);
 }
 
-/* Frames held back by the delay hook. Returns when the next one is due. */
+/* Sends frames whose test delay has passed. Returns the time at which the
+ * next one is due. */
 static int64_t
 flush_delayed(GwNet *net, int64_t now_us)
 {
@@ -292,7 +295,7 @@
             on_link_event(net, events[i].data.ptr, events[i].events, now_us);
         }
     }
-    serve_flagged(net, now_us);
+    serve_pending(net, now_us);
 }
 
 static void *
@@ -352,7 +355,7 @@
         Link_Free(g_ptr_array_index(links, i));
     }
     g_ptr_array_free(links, TRUE);
-    g_queue_clear_full(&net->flagged, g_free);
+    g_queue_clear_full(&net->pending, g_free);
     g_hash_table_destroy(net->by_address);
     g_hash_table_destroy(net->by_serial);
     pthread_mutex_destroy(&net->peer_lock);
@@ -363,10 +366,11 @@
     g_free(net);
 }
 
-/* Drops the oldest control frame: the newest heartbeat says more than an old
- * one, and a relayed call must not vanish unreported. */
+/* Drops the oldest control frames until `len` bytes fit, since newer control
+ * messages supersede older ones. Never drops a relayed call, whose loss must
+ * be reported. Returns false when only calls and replies are left. */
 static bool
-make_room(GwNet *net, Link *link, size_t len)
+make_queue_space(GwNet *net, Link *link, size_t len)
 {
     while (link->queue.length >= QUEUE_FRAMES_MAX ||
            link->queue_bytes + len > QUEUE_BYTES_MAX) {
@@ -385,37 +389,37 @@
     return true;
 }
 
-/* Called with the peer lock: the network thread looks at the link soon. */
+/* Requires peer_lock. Schedules the link for the network thread. */
 static void
-flag(GwNet *net, Link *link)
+mark_pending(GwNet *net, Link *link)
 {
-    if (!link->flagged) {
-        link->flagged = true;
-        g_queue_push_tail(&net->flagged,
+    if (!link->is_pending) {
+        link->is_pending = true;
+        g_queue_push_tail(&net->pending,
                           g_memdup2(&link->serial, sizeof(link->serial)));
     }
 }
 
-/* Called with the peer lock; takes the frame over when it returns true. */
+/* Requires peer_lock. Takes ownership of the frame when it returns true. */
 static bool
 push_frame(GwNet *net, Link *link, Frame *frame)
 {
-    if (!make_room(net, link, frame->len)) {
-        /* A reply that vanished would leave the peer's call waiting for its
-         * whole deadline. Closing tells the peer at once: unknown. */
-        link->overflow = link->accepted;
-        flag(net, link);
+    if (!make_queue_space(net, link, frame->len)) {
+        /* If a reply were dropped, the peer's call would wait until its
+         * deadline. Closing the link ends it at once as unknown. */
+        link->has_overflow = link->accepted;
+        mark_pending(net, link);
         return false;
     }
     frame->queued_us = GwNet_NowUs();
     g_queue_push_tail(&link->queue, frame);
     link->queue_bytes += frame->len;
-    flag(net, link);
+    mark_pending(net, link);
     return true;
 }
 
 static Link *
-outgoing(GwNet *net, const char *address)
+get_outgoing(GwNet *net, const char *address)
 {
     Link *link = g_hash_table_lookup(net->by_address, address);
     if (link == NULL && g_hash_table_size(net->by_serial) < LINKS_MAX) {
@@ -434,9 +438,9 @@
 
     pthread_mutex_lock(&net->peer_lock);
     Link *link = find(net, arg);
-    bool done = link != NULL && push_frame(net, link, frame);
+    bool is_queued = link != NULL && push_frame(net, link, frame);
     pthread_mutex_unlock(&net->peer_lock);
-    if (!done) {
+    if (!is_queued) {
         atomic_fetch_add(&net->dropped, 1);
         Frame_Free(frame);
         return false;
@@ -448,7 +452,7 @@
 static Link *
 find_outgoing(GwNet *net, const void *address)
 {
-    return outgoing(net, address);
+    return get_outgoing(net, address);
 }
 
 static Link *
--- a/lib/runtime/net.h
+++ b/lib/runtime/net.h
@@ -1,8 +1,8 @@
-/* The network thread: connections of the inner protocol, and the tick.
+/* The network thread: peer connections and the periodic tick.
  *
- * One outgoing connection a peer address carries this node's messages and
- * relayed calls; their replies come back on it. Connections that peers open
- * to us are the mirror image. */
+ * One outgoing connection per peer address carries control messages and
+ * relayed calls of this process, and receives the replies to those calls.
+ * Accepted connections carry the same in the other direction. */
 #ifndef GW_RUNTIME_NET_H
 #define GW_RUNTIME_NET_H
 
@@ -11,23 +11,24 @@
 
 typedef struct GwNet_s GwNet;
 
-/* Called on the network thread, without a lock. */
+/* Callbacks, run on the network thread with no lock held. */
 typedef struct {
     void *ctx;
     void (*tick)(void *ctx); /* every GW_TICK_US */
     void (*control)(void *ctx, const GwMessage *message);
-    /* A peer's call; `link` names its connection. May take call->body. */
+    /* A call from a peer on connection `link`. The callback may take
+     * ownership of call->body by setting it to NULL. */
     void (*call)(void *ctx, uint64_t link, GwNodeId from, GwCallRequest *call);
     void (*reply)(void *ctx, GwCallReply *reply);
     void (*cancel)(void *ctx, uint64_t link, uint64_t id);
-    /* A call handed to GwNet_Call gets no reply any more. sent: the whole
-     * frame was written, so the peer may have run it. */
+    /* A call queued by GwNet_Call will get no reply. sent: the whole frame
+     * was written, so the peer may have run the call. */
     void (*call_lost)(void *ctx, uint64_t id, bool sent);
 } GwNetHost;
 
-/* Test hook: frames to nodes of that region wait so long. */
+/* Test hook: delays frames to peers of a region. */
 typedef struct {
-    uint32_t region; /* hash; 0: other failure domains of our own region */
+    uint32_t region; /* name hash; 0: other failure domains of this region */
     uint32_t one_way_us;
 } GwNetDelay;
 
@@ -42,23 +43,26 @@
     GwNetDelay delays[GW_MAX_REGIONS];
 } GwNetParams;
 
-/* Binds and listens; no thread yet. */
+/* Binds and listens; starts no thread. NULL with *error set if the address
+ * is invalid (GW_RESULT_INVALID) or can't be bound (GW_RESULT_IO). */
 GwNet *GwNet_Create(const GwNetParams *params, const GwNetHost *host,
                     GError **error);
 void GwNet_Start(GwNet *net);
-/* Ends the thread; no callback runs afterwards. Sending is still allowed
- * and does nothing. */
+/* Joins the thread; no callback runs afterwards. Frames may still be queued
+ * but are never sent. */
 void GwNet_Stop(GwNet *net);
 void GwNet_Free(GwNet *net);
 
-/* Queues a frame for the peer at the address; takes it over. Best effort:
- * dropped when the peer can't be reached or its queue is full. */
+/* Queues a control frame for the peer at the address and takes ownership of
+ * the frame. Best effort: dropped when the peer is unreachable or its queue
+ * is full. */
 void GwNet_Send(GwNet *net, const char *address, uint8_t *frame, size_t len);
-/* Queues a relayed call, id not 0, for the process `to` alone. False when the
- * queue is full, and then call_lost is not called. */
+/* Queues a relayed call for the process `to`; no other process at the address
+ * receives it. id must not be 0. Returns false, without calling call_lost,
+ * when the queue or the connection table is full. */
 bool GwNet_Call(GwNet *net, const char *address, GwNodeId to, uint64_t id,
                 uint8_t *frame, size_t len);
-/* Answers on the connection the call came on, if it still stands. */
+/* Queues a reply on the connection of the call; dropped if that is closed. */
 void GwNet_Reply(GwNet *net, uint64_t link, uint8_t *frame, size_t len);
 
 typedef struct {
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -1,5 +1,5 @@
-/* Two network threads in one process, talking over loopback. Every wait is
- * for an event, not for a time. */
+/* Peer connections between two network threads over loopback. Tests wait for
+ * events, not for fixed times. */
 #include "fakes/free_port.h"
 #include "runtime/net.h"
 #include "wire/frame.h"
@@ -27,10 +27,10 @@
     uint32_t replies;
     uint32_t lost_sent;
     uint32_t lost_unsent;
-} Node;
+} TestNode;
 
 static void
-bump(Node *n, uint32_t *counter)
+increment(TestNode *n, uint32_t *counter)
 {
     pthread_mutex_lock(&n->mutex);
     (*counter)++;
@@ -39,7 +39,7 @@
 }
 
 static void
-wait_for(Node *n, const uint32_t *counter, uint32_t value)
+wait_for(TestNode *n, const uint32_t *counter, uint32_t value)
 {
     pthread_mutex_lock(&n->mutex);
     while (*counter < value) {
@@ -56,44 +56,44 @@
 static void
 on_control(void *ctx, const GwMessage *message)
 {
-    Node *n = ctx;
-    bump(n, &n->controls);
+    TestNode *n = ctx;
+    increment(n, &n->controls);
 }
 
 static void
 on_call(void *ctx, uint64_t link, GwNodeId from, GwCallRequest *call)
 {
-    Node *n = ctx;
+    TestNode *n = ctx;
     n->call_link = link;
     n->call_id = call->id;
-    bump(n, &n->calls);
+    increment(n, &n->calls);
 }
 
 static void
 on_reply(void *ctx, GwCallReply *reply)
 {
-    Node *n = ctx;
-    bump(n, &n->replies);
+    TestNode *n = ctx;
+    increment(n, &n->replies);
 }
 
 static void
 on_cancel(void *ctx, uint64_t link, uint64_t id)
 {
-    Node *n = ctx;
-    bump(n, &n->cancels);
+    TestNode *n = ctx;
+    increment(n, &n->cancels);
 }
 
 static void
 on_lost(void *ctx, uint64_t id, bool sent)
 {
-    Node *n = ctx;
-    bump(n, sent ? &n->lost_sent : &n->lost_unsent);
+    TestNode *n = ctx;
+    increment(n, sent ? &n->lost_sent : &n->lost_unsent);
 }
 
-static Node *
+static TestNode *
 start_node(uint64_t id, const char *key, uint32_t delay_us)
 {
-    Node *n = g_new0(Node, 1);
+    TestNode *n = g_new0(TestNode, 1);
     GError *error = NULL;
     pthread_mutex_init(&n->mutex, NULL);
     pthread_cond_init(&n->changed, NULL);
@@ -117,7 +117,7 @@
 }
 
 static void
-stop_node(Node *n)
+stop_node(TestNode *n)
 {
     GwNet_Free(n->net);
     pthread_mutex_destroy(&n->mutex);
@@ -126,7 +126,7 @@
 }
 
 static void
-send_probe(Node *from, const Node *to)
+send_control(TestNode *from, const TestNode *to)
 {
     GwMessage *msg = GwMessage_Create(GW_MSG_PROBE, from->id);
     GwEnvelope envelope = {.kind = GW_ENVELOPE_CONTROL, .u.control = msg};
@@ -137,7 +137,7 @@
 }
 
 static void
-send_call(Node *from, const Node *to, GwNodeId id, uint64_t call)
+send_call(TestNode *from, const TestNode *to, GwNodeId id, uint64_t call)
 {
     GwEnvelope envelope = {
         .kind = GW_ENVELOPE_CALL,
@@ -152,7 +152,7 @@
 }
 
 static void
-send_reply(Node *from)
+send_reply(TestNode *from)
 {
     GwEnvelope envelope = {
         .kind = GW_ENVELOPE_REPLY,
@@ -169,10 +169,10 @@
 {
     static const uint32_t delays_us[] = {0, 3000};
     for (size_t i = 0; i < G_N_ELEMENTS(delays_us); i++) {
-        Node *a = start_node(1, KEY, delays_us[i]);
-        Node *b = start_node(2, KEY, delays_us[i]);
-        send_probe(a, b);
-        send_probe(b, a);
+        TestNode *a = start_node(1, KEY, delays_us[i]);
+        TestNode *b = start_node(2, KEY, delays_us[i]);
+        send_control(a, b);
+        send_control(b, a);
         wait_for(b, &b->controls, 1);
         wait_for(a, &a->controls, 1);
         send_call(a, b, b->id, 77);
@@ -185,12 +185,12 @@
     }
 }
 
-/* The relaying entry's peer dies with the call on board: the peer may have
- * run it, so the caller must not be told "not run". */
-Test(net, call_lost_after_it_was_sent, .timeout = 30)
+/* The peer stops after it received a relayed call. It may have run the call,
+ * so the loss must not be reported as unsent. */
+Test(net, sent_call_is_reported_lost_as_sent, .timeout = 30)
 {
-    Node *a = start_node(1, KEY, 0);
-    Node *b = start_node(2, KEY, 0);
+    TestNode *a = start_node(1, KEY, 0);
+    TestNode *b = start_node(2, KEY, 0);
     send_call(a, b, b->id, 77);
     wait_for(b, &b->calls, 1);
     stop_node(b);
@@ -199,15 +199,15 @@
     stop_node(a);
 }
 
-/* The peer was replaced under the same address. A ticket of its earlier
- * start must not run at the new one; nothing of the call is sent. */
+/* A call addressed to an earlier start of the process at the address is
+ * reported as unsent, and the new process does not receive it. */
 Test(net, call_for_an_earlier_start_is_not_sent, .timeout = 30)
 {
-    Node *a = start_node(1, KEY, 0);
-    Node *b = start_node(2, KEY, 0);
+    TestNode *a = start_node(1, KEY, 0);
+    TestNode *b = start_node(2, KEY, 0);
     send_call(a, b, (GwNodeId){2, 0}, 77);
     wait_for(a, &a->lost_unsent, 1);
-    send_probe(a, b);
+    send_control(a, b);
     wait_for(b, &b->controls, 1);
     cr_expect_eq(b->calls, 0);
     cr_expect_eq(a->lost_sent, 0);
@@ -215,14 +215,14 @@
     stop_node(b);
 }
 
-/* A process without the cluster's key connects: nothing it says is heard,
- * and its calls come back to it as never sent. */
-Test(net, wrong_key_is_not_heard, .timeout = 30)
+/* Messages of a process with another cluster key are not processed, and its
+ * calls are reported as unsent. */
+Test(net, peer_with_wrong_key_is_ignored, .timeout = 30)
 {
-    Node *a = start_node(1, KEY, 0);
-    Node *b = start_node(2, KEY "x", 0);
+    TestNode *a = start_node(1, KEY, 0);
+    TestNode *b = start_node(2, KEY "x", 0);
     GwNetStats stats;
-    send_probe(a, b);
+    send_control(a, b);
     send_call(a, b, b->id, 77);
     wait_for(a, &a->lost_unsent, 1);
     cr_expect_eq(b->controls, 0);
@@ -232,10 +232,10 @@
     stop_node(b);
 }
 
-/* A stranger skips the handshake and speaks at once. */
-Test(net, no_message_before_the_proof, .timeout = 30)
+/* A control message before the handshake closes the connection unprocessed. */
+Test(net, message_before_handshake_is_ignored, .timeout = 30)
 {
-    Node *b = start_node(2, KEY, 0);
+    TestNode *b = start_node(2, KEY, 0);
     GwMessage *msg = GwMessage_Create(GW_MSG_CONFIG_ASK, (GwNodeId){1, 1});
     GwEnvelope envelope = {.kind = GW_ENVELOPE_CONTROL, .u.control = msg};
     struct sockaddr_in to = {
@@ -259,20 +259,20 @@
     stop_node(b);
 }
 
-/* Nobody listens at the peer's address: the call was surely not run. */
-Test(net, unreachable_peer, .timeout = 30)
+/* No process listens at the peer's address: the call is reported as unsent. */
+Test(net, call_to_unreachable_peer_is_unsent, .timeout = 30)
 {
-    Node *a = start_node(1, KEY, 0);
-    Node nobody = {.id = {3, 1}};
-    FreePort_Address(nobody.address);
-    send_call(a, &nobody, nobody.id, 77);
+    TestNode *a = start_node(1, KEY, 0);
+    TestNode unreachable = {.id = {3, 1}};
+    FreePort_Address(unreachable.address);
+    send_call(a, &unreachable, unreachable.id, 77);
     wait_for(a, &a->lost_unsent, 1);
     stop_node(a);
 }
 
-/* Something between two entries that can lose track of open connections:
- * from then on it takes their bytes and passes none on, and closes nothing.
- * New connections pass. */
+/* A middlebox between two entries that can drop the state of open
+ * connections: it then reads their bytes, forwards none and closes nothing.
+ * It forwards new connections. */
 typedef struct {
     int listen_fd;
     char address[GW_ADDR_MAX];
@@ -282,8 +282,8 @@
     bool stop;
     uint32_t count;
     struct pollfd fds[32]; /* pairs: accepted, connected */
-    bool lost[32];
-} Middle;
+    bool is_dropped[32];
+} Middlebox;
 
 static struct sockaddr_in
 loopback(const char *address)
@@ -296,7 +296,7 @@
 }
 
 static void
-accept_pair(Middle *m)
+accept_pair(Middlebox *m)
 {
     int in = accept(m->listen_fd, NULL, NULL);
     int out = socket(AF_INET, SOCK_STREAM, 0);
@@ -312,23 +312,23 @@
 }
 
 static void
-pass_on(Middle *m, uint32_t i)
+forward(Middlebox *m, uint32_t i)
 {
     char bytes[4096];
     ssize_t n = recv(m->fds[i].fd, bytes, sizeof(bytes), 0);
     if (n <= 0) {
         m->fds[i].events = 0;
-        shutdown(m->fds[i ^ 1].fd, m->lost[i] ? 0 : SHUT_WR);
+        shutdown(m->fds[i ^ 1].fd, m->is_dropped[i] ? 0 : SHUT_WR);
     }
-    else if (!m->lost[i]) {
+    else if (!m->is_dropped[i]) {
         send(m->fds[i ^ 1].fd, bytes, (size_t)n, MSG_NOSIGNAL);
     }
 }
 
 static void *
-run_middle(void *arg)
+run_middlebox(void *arg)
 {
-    Middle *m = arg;
+    Middlebox *m = arg;
     bool stop = false;
 
     while (!stop) {
@@ -340,7 +340,7 @@
         poll(m->fds, m->count, 0);
         for (uint32_t i = 0; i < m->count; i++) {
             if ((m->fds[i].revents & m->fds[i].events) != 0) {
-                pass_on(m, i);
+                forward(m, i);
             }
         }
         stop = m->stop;
@@ -353,10 +353,10 @@
     return NULL;
 }
 
-static Middle *
-start_middle(const Node *to)
+static Middlebox *
+start_middlebox(const TestNode *to)
 {
-    Middle *m = g_new0(Middle, 1);
+    Middlebox *m = g_new0(Middlebox, 1);
     struct sockaddr_in at;
 
     pthread_mutex_init(&m->mutex, NULL);
@@ -366,23 +366,23 @@
     m->listen_fd = socket(AF_INET, SOCK_STREAM, 0);
     cr_assert_eq(bind(m->listen_fd, (struct sockaddr *)&at, sizeof(at)), 0);
     cr_assert_eq(listen(m->listen_fd, 16), 0);
-    pthread_create(&m->thread, NULL, run_middle, m);
+    pthread_create(&m->thread, NULL, run_middlebox, m);
     return m;
 }
 
-/* Loses track of every connection that is open now. */
+/* Stops forwarding on every open connection. */
 static void
-lose_track(Middle *m)
+drop_state(Middlebox *m)
 {
     pthread_mutex_lock(&m->mutex);
     for (uint32_t i = 0; i < m->count; i++) {
-        m->lost[i] = true;
+        m->is_dropped[i] = true;
     }
     pthread_mutex_unlock(&m->mutex);
 }
 
 static void
-stop_middle(Middle *m)
+stop_middlebox(Middlebox *m)
 {
     pthread_mutex_lock(&m->mutex);
     m->stop = true;
@@ -391,63 +391,63 @@
     g_free(m);
 }
 
-/* A node that is reached through the middle. */
-static Node
-behind(const Node *node, const Middle *m)
+/* The node with the address of the middlebox. */
+static TestNode
+reached_through(const TestNode *node, const Middlebox *m)
 {
-    Node seen = {.id = node->id};
+    TestNode seen = {.id = node->id};
     g_strlcpy(seen.address, m->address, GW_ADDR_MAX);
     return seen;
 }
 
-/* Messages to a peer vanish, while a new connection to it would work. The
- * silent one is closed, and messages arrive again. */
+/* A middlebox drops the frames of an open connection. The connection is
+ * closed as silent, and messages arrive on a new one. */
 Test(net, silent_link_is_replaced, .timeout = 30)
 {
-    Node *a = start_node(1, KEY, 0);
-    Node *b = start_node(2, KEY, 0);
-    Middle *m = start_middle(b);
-    Node seen = behind(b, m);
+    TestNode *a = start_node(1, KEY, 0);
+    TestNode *b = start_node(2, KEY, 0);
+    Middlebox *m = start_middlebox(b);
+    TestNode seen = reached_through(b, m);
     GwNetStats stats;
 
-    send_probe(a, &seen);
+    send_control(a, &seen);
     wait_for(b, &b->controls, 1);
-    lose_track(m);
+    drop_state(m);
     do {
-        send_probe(a, &seen);
+        send_control(a, &seen);
         g_usleep(20000);
         GwNet_Stats(a->net, &stats);
     } while (stats.closed_silent == 0);
     uint32_t before = b->controls;
-    send_probe(a, &seen);
+    send_control(a, &seen);
     wait_for(b, &b->controls, before + 1);
     stop_node(a);
     stop_node(b);
-    stop_middle(m);
+    stop_middlebox(m);
 }
 
-/* A call is relayed right after the link was found well, then the link falls
- * silent, and nothing else is to be sent. The caller must not wait for its
- * whole deadline: the link is asked again by itself, and closed. */
+/* A call is sent right after a pong arrived, the link goes silent, and nothing
+ * else is to be sent. A later ping must still be sent and the link closed, or
+ * the call would wait until its deadline. */
 Test(net, call_on_a_silent_link_is_reported, .timeout = 30)
 {
-    Node *a = start_node(1, KEY, 0);
-    Node *b = start_node(2, KEY, 0);
-    Middle *m = start_middle(b);
-    Node seen = behind(b, m);
+    TestNode *a = start_node(1, KEY, 0);
+    TestNode *b = start_node(2, KEY, 0);
+    Middlebox *m = start_middlebox(b);
+    TestNode seen = reached_through(b, m);
     GwNetStats stats;
 
-    send_probe(a, &seen);
-    do { /* the hello, the proof and the pong have come */
+    send_control(a, &seen);
+    do { /* until the hello, the proof and the pong have arrived */
         g_usleep(1000);
         GwNet_Stats(a->net, &stats);
     } while (stats.frames_in < 3);
-    lose_track(m);
+    drop_state(m);
     send_call(a, &seen, b->id, 77);
     wait_for(a, &a->lost_sent, 1);
     cr_expect_eq(a->lost_unsent, 0);
     cr_expect_eq(b->calls, 0);
     stop_node(a);
     stop_node(b);
-    stop_middle(m);
+    stop_middlebox(m);
 }
