--- a/lib/runtime/call.c
+++ b/lib/runtime/call.c
@@ -1,4 +1,4 @@
-/* Open calls: mailbox, attempts, and the thread that drives each one. */
+/* Open calls: mailbox, attempts, and the thread that drives each call. */
 #include "runtime/runtime_internal.h"
 
 #include <errno.h>
@@ -16,7 +16,7 @@
 }
 
 static void
-name_request(const GwRuntime *rt, OpenCall *call)
+set_request_id(const GwRuntime *rt, OpenCall *call)
 {
     if (call->request.ticket.seq != 0) {
         GwTicket_Format(&call->request.ticket, call->request_id);
@@ -27,7 +27,7 @@
                rt->params.id.start, call->handle);
 }
 
-/* Takes the body of the request over. Close it after driving. */
+/* Takes ownership of the request's body. Pair with Call_Close. */
 OpenCall *
 Call_Open(GwRuntime *rt, GwCallRequest *request, int64_t deadline_us)
 {
@@ -46,7 +46,7 @@
     call->handle = ++rt->next_handle;
     g_hash_table_insert(rt->open, &call->handle, call);
     pthread_mutex_unlock(&rt->call_lock);
-    name_request(rt, call);
+    set_request_id(rt, call);
     return call;
 }
 
@@ -84,10 +84,11 @@
     return GUINT_TO_POINTER(attempt);
 }
 
-/* The abort handle of an attempt, made on first mention: a CANCEL may be
- * carried out before the DISPATCH it is about, by another thread. */
+/* Returns the abort handle of an attempt, created on first use: another thread
+ * may execute the CANCEL of an attempt before its DISPATCH. Requires
+ * call->mutex. */
 static GwAbort *
-abort_of(OpenCall *call, uint32_t attempt)
+get_abort(OpenCall *call, uint32_t attempt)
 {
     GwAbort *abort = g_hash_table_lookup(call->aborts, attempt_key(attempt));
     if (abort == NULL) {
@@ -97,7 +98,7 @@
     return abort;
 }
 
-/* Takes the reference over. */
+/* Takes ownership of the reference. */
 void
 Call_PutAnswer(OpenCall *call, uint32_t attempt, GwAnswer *answer)
 {
@@ -124,7 +125,7 @@
 }
 
 static GwDispatchRequest
-make_ask(const OpenCall *call, const GwDispatchAction *action)
+make_dispatch_request(const OpenCall *call, const GwDispatchAction *action)
 {
     return (GwDispatchRequest){
         .address = action->address,
@@ -141,22 +142,22 @@
     };
 }
 
-/* One attempt from start to report. The answer is put where a FINISH finds
- * it before the end is reported. */
+/* Runs an attempt and reports its outcome to the node. Stores the answer
+ * first: the FINISH that follows the report looks it up. */
 static void
 run_attempt(GwRuntime *rt, OpenCall *call, const GwDispatchAction *action)
 {
-    GwDispatchRequest ask = make_ask(call, action);
-    GwDispatchResult end;
+    GwDispatchRequest dispatch_request = make_dispatch_request(call, action);
+    GwDispatchResult result;
     int64_t begin_us = GwNet_NowUs();
 
     pthread_mutex_lock(&call->mutex);
-    GwAbort *abort = GwAbort_Ref(abort_of(call, action->attempt));
+    GwAbort *abort = GwAbort_Ref(get_abort(call, action->attempt));
     if (call->finished) {
         GwAbort_Trigger(abort);
     }
     pthread_mutex_unlock(&call->mutex);
-    GwDispatch_Run(rt->dispatcher, &ask, abort, &end);
+    GwDispatch_Run(rt->dispatcher, &dispatch_request, abort, &result);
     GwAbort_Unref(abort);
     GwCounter_Add(&rt->metrics.attempts, 1);
     GwHistogram_Add(&rt->metrics.attempt_us,
@@ -167,20 +168,21 @@
             {
                 .call = call->handle,
                 .attempt = action->attempt,
-                .outcome = end.outcome,
-                .reason = end.reason,
-                .retry_after_ms = end.retry_after_ms,
-                .draining = end.draining,
-                .has_load = end.has_load,
-                .reported_load = end.reported_load,
-                .body_len = end.answer != NULL ? end.answer->body_len : 0,
+                .outcome = result.outcome,
+                .reason = result.reason,
+                .retry_after_ms = result.retry_after_ms,
+                .draining = result.draining,
+                .has_load = result.has_load,
+                .reported_load = result.reported_load,
+                .body_len =
+                    result.answer != NULL ? result.answer->body_len : 0,
             },
     };
-    if (end.answer != NULL) {
-        Call_PutAnswer(call, action->attempt, end.answer);
+    if (result.answer != NULL) {
+        Call_PutAnswer(call, action->attempt, result.answer);
     }
     pthread_mutex_lock(&call->mutex);
-    call->running--;
+    call->attempts_open--;
     pthread_mutex_unlock(&call->mutex);
     Runtime_Step(rt, &event);
 }
@@ -188,21 +190,21 @@
 typedef struct {
     OpenCall *call;
     GwDispatchAction action;
-} Hedge;
+} HedgeJob;
 
-/* An attempt beside the one that the call's own thread is in. */
+/* Runs an attempt in parallel to the one on the call's own thread. */
 void
 Call_RunHedge(void *job, void *arg)
 {
-    Hedge *hedge = job;
-    run_attempt(arg, hedge->call, &hedge->action);
-    Call_Unref(hedge->call);
-    g_free(hedge);
+    HedgeJob *hedge_job = job;
+    run_attempt(arg, hedge_job->call, &hedge_job->action);
+    Call_Unref(hedge_job->call);
+    g_free(hedge_job);
 }
 
-/* The call's thread runs the attempt, or a pool thread when that one is in
- * an attempt already. An attempt for a call that is over is not begun; its
- * end is reported, since the node counts a unit for it. */
+/* Queues the attempt for the call's thread, or for a pool thread when the
+ * call already has an attempt. For a finished call no attempt starts, but its
+ * end is still reported, since the node counts a unit for it. */
 void
 Call_OnDispatch(GwRuntime *rt, const GwDispatchAction *action)
 {
@@ -213,23 +215,23 @@
         return;
     }
     pthread_mutex_lock(&call->mutex);
-    bool begin = !call->finished;
-    bool beside = begin && call->running > 0;
-    if (begin) {
-        call->running++;
+    bool may_start = !call->finished;
+    bool needs_worker = may_start && call->attempts_open > 0;
+    if (may_start) {
+        call->attempts_open++;
     }
-    if (begin && !beside) {
+    if (may_start && !needs_worker) {
         g_queue_push_tail(&call->mailbox, g_memdup2(action, sizeof(*action)));
         pthread_cond_signal(&call->wake);
     }
     pthread_mutex_unlock(&call->mutex);
-    if (beside) {
-        Hedge *hedge = g_new0(Hedge, 1);
-        *hedge = (Hedge){.call = call, .action = *action};
-        GwWorkers_Push(rt->hedge_pool, hedge);
+    if (needs_worker) {
+        HedgeJob *hedge_job = g_new0(HedgeJob, 1);
+        *hedge_job = (HedgeJob){.call = call, .action = *action};
+        GwWorkers_Push(rt->hedge_pool, hedge_job);
         return;
     }
-    if (!begin) {
+    if (!may_start) {
         Call_ReportNotRun(rt, action->call, action->attempt,
                           GW_REASON_CALLER_GONE);
     }
@@ -242,15 +244,15 @@
     OpenCall *call = Call_Find(rt, handle);
     if (call != NULL) {
         pthread_mutex_lock(&call->mutex);
-        GwAbort_Trigger(abort_of(call, attempt));
+        GwAbort_Trigger(get_abort(call, attempt));
         pthread_mutex_unlock(&call->mutex);
         Call_Unref(call);
     }
     Relay_Cancel(rt, handle, attempt);
 }
 
-/* The answer that a FINISH names: of this call, of another open one, or a
- * kept one. NULL when it is not kept any more. */
+/* Returns a reference to the answer of an attempt, from an open call or from
+ * the kept answers; NULL when neither has it. */
 static GwAnswer *
 find_answer(GwRuntime *rt, uint64_t handle, uint32_t attempt)
 {
@@ -272,7 +274,7 @@
     return answer;
 }
 
-/* An answer that is gone is "unknown", never another call's answer. */
+/* Requires call->mutex. A missing answer makes the outcome "unknown". */
 static void
 set_finish(GwRuntime *rt, OpenCall *call, const GwFinishAction *action,
            GwAnswer *answer)
@@ -287,9 +289,9 @@
     }
 }
 
-/* Keeps the answer of a call with a ticket of ours for as long as a resend
- * may ask for it. Done before the caller is answered: its resend may come
- * through another connection at once. */
+/* Keeps the answer of a call whose ticket this process owns, for as long as a
+ * resend is valid. Runs before the caller gets the answer: a resend may arrive
+ * at once on another connection. */
 static void
 keep_answer(GwRuntime *rt, const GwFinishAction *action, GwAnswer *answer)
 {
@@ -317,8 +319,8 @@
     }
 }
 
-/* Wakes the call's thread. Attempts that still run are cut off, so that the
- * final outcome is sent at once. */
+/* Sets the outcome and wakes the call's thread. Aborts running attempts, so
+ * that the outcome is sent without waiting for them. */
 void
 Call_OnFinish(GwRuntime *rt, const GwFinishAction *action)
 {
@@ -333,38 +335,39 @@
     }
     keep_answer(rt, action, answer);
     pthread_mutex_lock(&call->mutex);
-    bool first = !call->finished;
-    if (first) {
+    bool is_first = !call->finished;
+    if (is_first) {
         set_finish(rt, call, action, answer);
     }
     abort_all(call);
-    bool relayed = call->relayed_on;
+    bool has_relays = call->was_relayed;
     pthread_cond_signal(&call->wake);
     pthread_mutex_unlock(&call->mutex);
-    if (!first) {
+    if (!is_first) {
         GwAnswer_Unref(answer);
     }
-    if (relayed) {
+    if (has_relays) {
         Relay_Cancel(rt, action->call, 0);
     }
     Call_Unref(call);
 }
 
-/* Waits for a mailed action; NULL when the call is over. */
+/* Waits for a queued action; NULL when the call is finished. */
 static GwDispatchAction *
 next_action(GwRuntime *rt, OpenCall *call)
 {
     struct timespec until;
     clock_gettime(CLOCK_MONOTONIC, &until);
-    int64_t left_us = call->deadline_us - GwNet_NowUs() + OVERDUE_US;
+    int64_t left_us = call->deadline_us - GwNet_NowUs() + FINISH_GRACE_US;
     until.tv_sec += MAX(left_us, 0) / 1000000 + 1;
 
     pthread_mutex_lock(&call->mutex);
     while (!call->finished && call->mailbox.length == 0) {
         int rc = pthread_cond_timedwait(&call->wake, &call->mutex, &until);
         if (rc == ETIMEDOUT && !call->finished) {
-            /* The node should have ended the call long ago. A thread lost
-             * to it for good would be worse than an early "unknown". */
+            /* The node failed to finish the call by FINISH_GRACE_US after its
+             * deadline. End it as "unknown" rather than block the thread
+             * forever. */
             call->finish = (GwFinishAction){
                 .outcome = GW_OUTCOME_UNKNOWN,
                 .reason = GW_REASON_DEADLINE,
@@ -396,8 +399,8 @@
     GwHistogram_Add(&m->call_us, (uint64_t)(GwNet_NowUs() - begin_us));
 }
 
-/* An attempt mailed just before the call ended is still run through: its
- * abort is set, so it ends unstarted, and its end is reported. */
+/* An attempt queued just before the call finished still runs: its abort is
+ * triggered, so it ends without a request, and its end is reported. */
 void
 Call_Drive(GwRuntime *rt, OpenCall *call, const GwCallEvent *event)
 {
--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -1,4 +1,4 @@
-/* The callers' HTTP: look-up, calls, health. */
+/* HTTP for callers: look-ups, calls, health. */
 #include "runtime/runtime_internal.h"
 
 #include <stdio.h>
@@ -15,49 +15,49 @@
     return text != NULL ? text : "Status";
 }
 
-/* Three of four caller threads; the rest are for look-ups and health. */
+/* 3/4 of the caller threads may wait in calls or idle connections; the rest
+ * stay free for look-ups and health. */
 static uint32_t
-threads_bound(const GwRuntime *rt)
+busy_threads_max(const GwRuntime *rt)
 {
     return MAX(rt->settings->caller_threads * 3 / 4, 1);
 }
 
-/* A connection holds its thread for as long as it is open, idle or not. When
- * most threads are held, or the process leaves, each answer ends its
- * connection: else idle callers would keep new ones waiting for the
- * keep-alive time, and a stop would break connections that callers are about
- * to use. */
+/* An open connection occupies a thread even when idle. When most threads are
+ * occupied or the process is leaving, each answer closes its connection:
+ * otherwise idle callers would block new ones for the keep-alive time, and a
+ * stop would break connections that callers are about to use. */
 static bool
-keeps_alive(struct mg_connection *conn)
+may_keep_alive(struct mg_connection *conn)
 {
     GwRuntime *rt = mg_get_user_data(mg_get_context(conn));
     return !atomic_load(&rt->leaving) &&
-           atomic_load(&rt->caller_connections) <= threads_bound(rt);
+           atomic_load(&rt->caller_connections) <= busy_threads_max(rt);
 }
 
-/* One write, so that the answer leaves in as few packets as can be. */
+/* Sends the answer in one write, to use as few packets as possible. */
 static int
 send_text(struct mg_connection *conn, uint32_t status, const char *headers,
           const char *type, const uint8_t *body, uint32_t body_len)
 {
     const struct mg_request_info *info = mg_get_request_info(conn);
     GString *out = g_string_sized_new(512 + body_len);
-    bool bodiless = status == 204 || status == 304;
+    bool has_no_body = status == 204 || status == 304;
 
     g_string_append_printf(out, "HTTP/1.1 %u %s\r\n%s", status,
                            status_text(status), headers);
-    if (!keeps_alive(conn)) {
+    if (!may_keep_alive(conn)) {
         mg_disable_connection_keep_alive(conn);
         g_string_append(out, "Connection: close\r\n");
     }
     if (type[0] != '\0') {
         g_string_append_printf(out, "Content-Type: %s\r\n", type);
     }
-    if (!bodiless) {
+    if (!has_no_body) {
         g_string_append_printf(out, "Content-Length: %u\r\n", body_len);
     }
     g_string_append(out, "\r\n");
-    if (!bodiless && strcmp(info->request_method, "HEAD") != 0) {
+    if (!has_no_body && strcmp(info->request_method, "HEAD") != 0) {
         g_string_append_len(out, (const char *)body, body_len);
     }
     mg_write(conn, out->str, out->len);
@@ -73,9 +73,9 @@
                      (const uint8_t *)json, (uint32_t)strlen(json));
 }
 
-/* A request that never became a call: surely not run, unless it brings a
- * ticket. Then it may be the resend of one that did run, and "not run" would
- * make its caller book again; nobody has looked the ticket up. */
+/* Refuses a request before it becomes a call: "not-run", or "unknown" if it
+ * has a ticket. Its ticket has not been looked up, so it may be a resend of a
+ * call that ran, and after "not-run" the caller would run it again. */
 static int
 send_refusal(struct mg_connection *conn, uint32_t status, GwReason reason)
 {
@@ -94,15 +94,15 @@
     return send_json(conn, status, headers, json);
 }
 
-/* A decimal number up to the bound; false when it is none. */
+/* Parses a decimal number up to max; false if it is invalid. */
 static bool
-get_number(const char *text, uint64_t max, uint64_t *out)
+parse_number(const char *text, uint64_t max, uint64_t *out)
 {
     return g_ascii_string_to_unsigned(text, 10, 0, max, out, NULL);
 }
 
 static GwResult
-mint(GwRuntime *rt, uint32_t count, GwTicket *tickets)
+mint_tickets(GwRuntime *rt, uint32_t count, GwTicket *tickets)
 {
     pthread_mutex_lock(&rt->node_lock);
     GwResult r = GwNode_MintTickets(rt->node, GwNet_NowUs(), count, tickets);
@@ -111,7 +111,7 @@
 }
 
 static bool
-tickets_wanted(const struct mg_request_info *info, uint32_t *count)
+parse_ticket_count(const struct mg_request_info *info, uint32_t *count)
 {
     char text[8];
     uint64_t number = 0;
@@ -125,7 +125,7 @@
     if (len == -1) {
         return true;
     }
-    if (len < 0 || !get_number(text, TICKETS_MAX, &number)) {
+    if (len < 0 || !parse_number(text, TICKETS_MAX, &number)) {
         return false;
     }
     *count = (uint32_t)number;
@@ -145,10 +145,11 @@
     g_string_append(out, "]}");
 }
 
-/* The prebuilt part of the answer; the status when there is none. */
+/* Appends the prebuilt answer. Returns the HTTP status: 200, 404 for an
+ * unknown service, 503 before a configuration is active. */
 static uint32_t
-copy_entries(GwRuntime *rt, const char *service, GString *out,
-             bool *self_first)
+append_entries(GwRuntime *rt, const char *service, GString *out,
+               bool *self_first)
 {
     uint32_t status = 503;
     uint32_t draw =
@@ -177,12 +178,12 @@
     uint32_t count;
 
     GwCounter_Add(&rt->metrics.lookups, 1);
-    if (!tickets_wanted(info, &count)) {
+    if (!parse_ticket_count(info, &count)) {
         return send_refusal(conn, 400, GW_REASON_BAD_REQUEST);
     }
     GString *out = g_string_new(NULL);
     bool self_first = true;
-    uint32_t status = copy_entries(rt, service, out, &self_first);
+    uint32_t status = append_entries(rt, service, out, &self_first);
     if (status != 200) {
         g_string_free(out, TRUE);
         return send_refusal(conn, status,
@@ -193,7 +194,7 @@
         count = 0;
     }
     if (atomic_load(&rt->leaving) ||
-        (count > 0 && GwResult_IsError(mint(rt, count, tickets)))) {
+        (count > 0 && GwResult_IsError(mint_tickets(rt, count, tickets)))) {
         status = 503;
         count = 0;
     }
@@ -212,7 +213,7 @@
     if (atomic_load(&rt->leaving)) {
         return send_json(conn, 503, "", "{\"state\": \"leaving\"}");
     }
-    GwResult r = mint(rt, 0, &none);
+    GwResult r = mint_tickets(rt, 0, &none);
     if (r == GW_ERR(LEAVING)) {
         return send_json(conn, 503, "", "{\"state\": \"leaving\"}");
     }
@@ -222,9 +223,9 @@
     return send_json(conn, 200, "", "{\"state\": \"ready\"}");
 }
 
-/* Splits "/v1/call/<service>/<path>" and puts the query back. */
+/* Splits "/v1/call/<service>/<path>" and appends the query to the target. */
 static bool
-get_target(const struct mg_request_info *info, GwCallRequest *request)
+parse_target(const struct mg_request_info *info, GwCallRequest *request)
 {
     const char *rest = info->local_uri + strlen(CALL_PREFIX);
     const char *path = strchr(rest, '/');
@@ -240,8 +241,8 @@
 }
 
 static bool
-get_headers(struct mg_connection *conn, GwCallRequest *request,
-            uint64_t *deadline_ms)
+parse_headers(struct mg_connection *conn, GwCallRequest *request,
+              uint64_t *deadline_ms)
 {
     const char *type = mg_get_header(conn, "Content-Type");
     const char *deadline = mg_get_header(conn, "GW-Deadline-Ms");
@@ -253,13 +254,14 @@
     }
     *deadline_ms = DEADLINE_DEFAULT_MS;
     return deadline == NULL ||
-           (get_number(deadline, GW_DEADLINE_CAP, deadline_ms) &&
+           (parse_number(deadline, GW_DEADLINE_CAP, deadline_ms) &&
             *deadline_ms > 0);
 }
 
-/* Reads the body; GW_ERR(TOO_LARGE), or GW_ERR(IO) when it was cut. */
+/* Reads the body and returns its length, GW_ERR(TOO_LARGE) above GW_BODY_MAX,
+ * or GW_ERR(IO) when it is shorter than its Content-Length. */
 static GwResult
-get_body(struct mg_connection *conn, GwCallRequest *request)
+read_body(struct mg_connection *conn, GwCallRequest *request)
 {
     const struct mg_request_info *info = mg_get_request_info(conn);
     uint32_t len = 0;
@@ -289,9 +291,10 @@
                : len;
 }
 
-/* The longest deadline of the service; 0 when the service is unknown. */
+/* Returns the maximum deadline of the service in ms, 0 if it is unknown. */
 static uint32_t
-deadline_max(GwRuntime *rt, const char *service, uint64_t *config_version)
+service_deadline_max(GwRuntime *rt, const char *service,
+                     uint64_t *config_version)
 {
     uint32_t max_ms = 0;
     const Snapshot *snapshot = Snapshot_Enter(rt);
@@ -378,8 +381,9 @@
     const struct mg_request_info *info = mg_get_request_info(conn);
     const char *ticket = mg_get_header(conn, "GW-Ticket");
 
-    if (!GwText_IsMethod(info->request_method) || !get_target(info, request) ||
-        !get_headers(conn, request, deadline_ms)) {
+    if (!GwText_IsMethod(info->request_method) ||
+        !parse_target(info, request) ||
+        !parse_headers(conn, request, deadline_ms)) {
         return GW_REASON_BAD_REQUEST;
     }
     g_strlcpy(request->method, info->request_method, sizeof(request->method));
@@ -387,7 +391,7 @@
         GwResult_IsError(GwTicket_Parse(ticket, &request->ticket))) {
         return GW_REASON_BAD_TICKET;
     }
-    GwResult r = get_body(conn, request);
+    GwResult r = read_body(conn, request);
     if (r == GW_ERR(TOO_LARGE)) {
         return GW_REASON_TOO_LARGE;
     }
@@ -395,7 +399,7 @@
 }
 
 static int
-drive_call(struct mg_connection *conn, GwRuntime *rt, bool wait)
+drive_call(struct mg_connection *conn, GwRuntime *rt, bool may_wait)
 {
     GwCallRequest request = {0};
     uint64_t deadline_ms;
@@ -407,11 +411,12 @@
         g_free(request.body);
         return send_refusal(conn, 400, reason);
     }
-    uint32_t max_ms = deadline_max(rt, request.service, &config_version);
+    uint32_t max_ms =
+        service_deadline_max(rt, request.service, &config_version);
     if (max_ms != 0) {
         deadline_ms = MIN(deadline_ms, max_ms);
     }
-    if (!wait) {
+    if (!may_wait) {
         deadline_ms = 0;
     }
     OpenCall *call =
@@ -423,20 +428,21 @@
     return status;
 }
 
-/* A call holds its thread until its outcome, up to its deadline. Beyond the
- * bound it is refused unread: surely not run, and look-ups and health still
- * find a thread. One with a ticket may be a resend: it is asked of the node
- * with no time left, which tells what is known of the ticket and starts
- * nothing. */
+/* A call occupies its thread until its outcome, at most until its deadline.
+ * Above the bound a call is refused unread as "not-run", so that threads stay
+ * free for look-ups and health. A call with a ticket may be a resend: it goes
+ * to the node with a deadline of 0, which returns the state of the ticket and
+ * starts no attempt. */
 static int
 on_call(struct mg_connection *conn, void *arg)
 {
     GwRuntime *rt = arg;
     int status;
 
-    bool room = atomic_fetch_add(&rt->caller_calls, 1) < threads_bound(rt);
-    if (room || mg_get_header(conn, "GW-Ticket") != NULL) {
-        status = drive_call(conn, rt, room);
+    bool has_capacity =
+        atomic_fetch_add(&rt->caller_calls, 1) < busy_threads_max(rt);
+    if (has_capacity || mg_get_header(conn, "GW-Ticket") != NULL) {
+        status = drive_call(conn, rt, has_capacity);
     }
     else {
         GwCounter_Add(&rt->metrics.callers_refused, 1);
@@ -447,12 +453,12 @@
 }
 
 static int
-on_other(struct mg_connection *conn, void *arg)
+on_unknown_path(struct mg_connection *conn, void *arg)
 {
     return send_refusal(conn, 404, GW_REASON_BAD_REQUEST);
 }
 
-/* What CivetWeb itself refuses: nothing of it became a call. */
+/* A request that CivetWeb refuses; it never became a call. */
 static int
 on_http_error(struct mg_connection *conn, int status, const char *message)
 {
@@ -461,13 +467,13 @@
 }
 
 static int
-swallow_log(const struct mg_connection *conn, const char *message)
+ignore_log(const struct mg_connection *conn, const char *message)
 {
     return 1;
 }
 
 static int
-begin_connection(const struct mg_connection *conn, void **data)
+on_connection_open(const struct mg_connection *conn, void **data)
 {
     GwRuntime *rt = mg_get_user_data(mg_get_context(conn));
     atomic_fetch_add(&rt->caller_connections, 1);
@@ -475,9 +481,9 @@
     return 0;
 }
 
-/* Only connections that were begun have data. */
+/* Only connections that passed on_connection_open have user data. */
 static void
-end_connection(const struct mg_connection *conn)
+on_connection_close(const struct mg_connection *conn)
 {
     GwRuntime *rt = mg_get_user_connection_data(conn);
     if (rt != NULL) {
@@ -486,14 +492,14 @@
 }
 
 static void *
-begin_thread(const struct mg_context *ctx, int type)
+on_thread_start(const struct mg_context *ctx, int type)
 {
     Snapshot_RegisterThread();
     return NULL;
 }
 
 static void
-end_thread(const struct mg_context *ctx, int type, void *data)
+on_thread_exit(const struct mg_context *ctx, int type, void *data)
 {
     Snapshot_UnregisterThread();
 }
@@ -527,11 +533,11 @@
     };
     struct mg_callbacks callbacks = {
         .http_error = on_http_error,
-        .log_message = swallow_log,
-        .init_connection = begin_connection,
-        .connection_close = end_connection,
-        .init_thread = begin_thread,
-        .exit_thread = end_thread,
+        .log_message = ignore_log,
+        .init_connection = on_connection_open,
+        .connection_close = on_connection_close,
+        .init_thread = on_thread_start,
+        .exit_thread = on_thread_exit,
     };
 
     g_snprintf(threads, sizeof(threads), "%u", rt->settings->caller_threads);
@@ -539,13 +545,13 @@
     rt->http = mg_start(&callbacks, rt, options);
     if (rt->http == NULL) {
         g_set_error(error, GW_ERROR, GW_RESULT_IO,
-                    "cannot serve callers at call_address %s",
+                    "cannot listen for callers at call_address %s",
                     rt->params.call_address);
         return false;
     }
     mg_set_request_handler(rt->http, ENTRIES_PREFIX "*", on_entries, rt);
     mg_set_request_handler(rt->http, CALL_PREFIX "**", on_call, rt);
     mg_set_request_handler(rt->http, "/v1/health$", on_health, rt);
-    mg_set_request_handler(rt->http, "/**", on_other, rt);
+    mg_set_request_handler(rt->http, "/**", on_unknown_path, rt);
     return true;
 }
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -1,28 +1,27 @@
-/* Background exchanges: table requests, the list of instances, the health
- * of this region's backend servers. */
+/* Background work: table requests, polling of the instance list and of the
+ * health of this region's backend servers. */
 #include "runtime/runtime_internal.h"
 
 #include <curl/curl.h>
 #include <json-c/json.h>
 #include <string.h>
 
-#define HEALTH_TIMEOUT_MS 500
-#define HEALTH_BODY_MAX   4096
-#define NAP_MS            20
-#define RETIRED_US        1000000LL
+#define HEALTH_TIMEOUT_MS      500
+#define HEALTH_BODY_MAX        4096
+#define SLEEP_STEP_MS          20
+#define FREE_RETIRED_PERIOD_US 1000000LL
 
 typedef struct {
     GwTableRequest *request;
-    int64_t asked_us;
+    int64_t queued_us;
 } TableJob;
 
-/* While the process closes nothing is begun any more. */
 void
 Pollers_OnTable(GwRuntime *rt, GwTableRequest *request)
 {
     TableJob *job = g_new0(TableJob, 1);
     job->request = request;
-    job->asked_us = GwNet_NowUs();
+    job->queued_us = GwNet_NowUs();
     GwCounter_Add(&rt->metrics.table_requests, 1);
     GwWorkers_Push(rt->table_pool, job);
 }
@@ -36,22 +35,24 @@
     g_free(request);
 }
 
-/* A request that waited long behind others that timed out is given up
- * unsent: the node has made newer ones, and the queue stays short. */
+/* Sends a table request and reports the reply. A request that was queued for
+ * 3 platform time-outs, or is left during shutdown, is reported as lost
+ * without being sent: the node has made newer ones, and the queue stays
+ * short. */
 void
 Pollers_RunTable(void *job, void *arg)
 {
     GwRuntime *rt = arg;
-    TableJob *asked = job;
+    TableJob *table_job = job;
     GwTableReply reply = {
-        .token = asked->request->token,
+        .token = table_job->request->token,
         .status = GW_TABLE_LOST,
     };
     int64_t limit_us = (int64_t)rt->settings->platform_timeout_ms * 3000;
 
     if (!atomic_load(&rt->closing) &&
-        GwNet_NowUs() - asked->asked_us < limit_us) {
-        GwTableClient_Do(rt->table, asked->request, &reply);
+        GwNet_NowUs() - table_job->queued_us < limit_us) {
+        GwTableClient_Do(rt->table, table_job->request, &reply);
     }
     if (reply.status == GW_TABLE_LOST) {
         GwCounter_Add(&rt->metrics.table_lost, 1);
@@ -59,21 +60,22 @@
     GwEvent event = {.kind = GW_EVENT_TABLE, .u.table = &reply};
     Runtime_Step(rt, &event);
     GwTableReply_Clear(&reply);
-    free_request(asked->request);
-    g_free(asked);
+    free_request(table_job->request);
+    g_free(table_job);
 }
 
-/* Sleeps in short naps, so that a stop is soon noticed. */
+/* Sleeps in steps of SLEEP_STEP_MS, to notice a stop soon. */
 static void
-nap_until(GwRuntime *rt, int64_t until_us)
+sleep_until(GwRuntime *rt, int64_t until_us)
 {
     while (!atomic_load(&rt->closing) && GwNet_NowUs() < until_us) {
-        g_usleep(NAP_MS * 1000);
+        g_usleep(SLEEP_STEP_MS * 1000);
     }
 }
 
-/* Retired snapshots are freed here, whose pace is not that of the list: five
- * a second come, each with a copy of every look-up. */
+/* Frees retired snapshots every FREE_RETIRED_PERIOD_US, independently of the
+ * list's period: up to five a second are retired, each with a copy of every
+ * look-up. */
 static void
 free_retired_until(GwRuntime *rt, int64_t until_us)
 {
@@ -81,7 +83,7 @@
 
     do {
         Snapshot_FreeRetired(rt);
-        nap_until(rt, MIN(until_us, now_us + RETIRED_US));
+        sleep_until(rt, MIN(until_us, now_us + FREE_RETIRED_PERIOD_US));
         now_us = GwNet_NowUs();
     } while (!atomic_load(&rt->closing) && now_us < until_us);
 }
@@ -111,10 +113,10 @@
     uint64_t backend;
     bool reachable;
     GString *body;
-} Reading;
+} HealthRequest;
 
 static size_t
-take_body(char *bytes, size_t size, size_t count, void *arg)
+append_body(char *bytes, size_t size, size_t count, void *arg)
 {
     GString *body = arg;
     size_t len = size * count;
@@ -126,27 +128,29 @@
 }
 
 static void
-begin_reading(CURLM *multi, const PolledBackend *backend, Reading *reading)
+start_health_request(CURLM *multi, const PolledBackend *backend,
+                     HealthRequest *health_request)
 {
     char url[GW_ADDR_MAX + 32];
     g_snprintf(url, sizeof(url), "http://%s/health", backend->address);
-    reading->backend = backend->id;
-    reading->body = g_string_new(NULL);
-    reading->easy = curl_easy_init();
-    curl_easy_setopt(reading->easy, CURLOPT_URL, url);
-    curl_easy_setopt(reading->easy, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(reading->easy, CURLOPT_PROXY, "");
-    curl_easy_setopt(reading->easy, CURLOPT_PROTOCOLS_STR, "http");
-    curl_easy_setopt(reading->easy, CURLOPT_TIMEOUT_MS,
+    health_request->backend = backend->id;
+    health_request->body = g_string_new(NULL);
+    health_request->easy = curl_easy_init();
+    curl_easy_setopt(health_request->easy, CURLOPT_URL, url);
+    curl_easy_setopt(health_request->easy, CURLOPT_NOSIGNAL, 1L);
+    curl_easy_setopt(health_request->easy, CURLOPT_PROXY, "");
+    curl_easy_setopt(health_request->easy, CURLOPT_PROTOCOLS_STR, "http");
+    curl_easy_setopt(health_request->easy, CURLOPT_TIMEOUT_MS,
                      (long)HEALTH_TIMEOUT_MS);
-    curl_easy_setopt(reading->easy, CURLOPT_WRITEFUNCTION, take_body);
-    curl_easy_setopt(reading->easy, CURLOPT_WRITEDATA, reading->body);
-    curl_easy_setopt(reading->easy, CURLOPT_PRIVATE, reading);
-    curl_multi_add_handle(multi, reading->easy);
+    curl_easy_setopt(health_request->easy, CURLOPT_WRITEFUNCTION, append_body);
+    curl_easy_setopt(health_request->easy, CURLOPT_WRITEDATA,
+                     health_request->body);
+    curl_easy_setopt(health_request->easy, CURLOPT_PRIVATE, health_request);
+    curl_multi_add_handle(multi, health_request->easy);
 }
 
 static void
-run_readings(CURLM *multi)
+run_health_requests(CURLM *multi)
 {
     int running = 1;
     int left = 0;
@@ -157,22 +161,23 @@
             break;
         }
         if (running > 0) {
-            curl_multi_poll(multi, NULL, 0, NAP_MS, NULL);
+            curl_multi_poll(multi, NULL, 0, SLEEP_STEP_MS, NULL);
         }
     }
     while ((msg = curl_multi_info_read(multi, &left)) != NULL) {
-        Reading *reading = NULL;
+        HealthRequest *health_request = NULL;
         long status = 0;
-        curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &reading);
+        curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &health_request);
         curl_easy_getinfo(msg->easy_handle, CURLINFO_RESPONSE_CODE, &status);
-        reading->reachable = msg->data.result == CURLE_OK && status == 200;
+        health_request->reachable =
+            msg->data.result == CURLE_OK && status == 200;
     }
 }
 
 static void
-parse_health(const Reading *reading, GwHealthEvent *health)
+parse_health(const HealthRequest *health_request, GwHealthEvent *health)
 {
-    json_object *root = json_tokener_parse(reading->body->str);
+    json_object *root = json_tokener_parse(health_request->body->str);
     json_object *value = NULL;
 
     if (json_object_is_type(root, json_type_object)) {
@@ -190,27 +195,28 @@
 }
 
 static void
-end_reading(GwRuntime *rt, CURLM *multi, Reading *reading)
+finish_health_request(GwRuntime *rt, CURLM *multi,
+                      HealthRequest *health_request)
 {
     GwEvent event = {
         .kind = GW_EVENT_HEALTH,
         .u.health =
             {
-                .backend = reading->backend,
-                .reachable = reading->reachable,
+                .backend = health_request->backend,
+                .reachable = health_request->reachable,
             },
     };
-    if (reading->reachable) {
-        parse_health(reading, &event.u.health);
+    if (health_request->reachable) {
+        parse_health(health_request, &event.u.health);
     }
     Runtime_Step(rt, &event);
-    curl_multi_remove_handle(multi, reading->easy);
-    curl_easy_cleanup(reading->easy);
-    g_string_free(reading->body, TRUE);
+    curl_multi_remove_handle(multi, health_request->easy);
+    curl_easy_cleanup(health_request->easy);
+    g_string_free(health_request->body, TRUE);
 }
 
 static PolledBackend *
-copy_polled(GwRuntime *rt, uint32_t *count, uint32_t *region_entries)
+copy_polled_backends(GwRuntime *rt, uint32_t *count, uint32_t *region_entries)
 {
     PolledBackend *backends = NULL;
     const Snapshot *snapshot = Snapshot_Enter(rt);
@@ -223,7 +229,7 @@
     return backends;
 }
 
-/* Nothing is trimmed before a configuration is in force. */
+/* Trims nothing before a configuration is active. */
 static void
 trim_pool(GwRuntime *rt, const PolledBackend *backends, uint32_t count,
           uint32_t region_entries)
@@ -233,7 +239,8 @@
     }
     GwDispatchServer *servers = g_new0(GwDispatchServer, count);
     for (uint32_t i = 0; i < count; i++) {
-        uint32_t share = backends[i].connections / IDLE_SHARE / region_entries;
+        uint32_t share =
+            backends[i].connections / IDLE_MAX_DIVISOR / region_entries;
         servers[i] = (GwDispatchServer){
             .address = backends[i].address,
             .idle_max = MAX(share, 1),
@@ -243,8 +250,8 @@
     g_free(servers);
 }
 
-/* All servers at once: one that does not answer must not delay the readings
- * of the others. */
+/* Polls all servers in parallel: one that does not answer must not delay the
+ * others. */
 void *
 Pollers_HealthThread(void *arg)
 {
@@ -257,19 +264,20 @@
         uint32_t region_entries;
         int64_t next_us =
             GwNet_NowUs() + (int64_t)rt->settings->health_poll_ms * 1000;
-        PolledBackend *backends = copy_polled(rt, &count, &region_entries);
+        PolledBackend *backends =
+            copy_polled_backends(rt, &count, &region_entries);
         trim_pool(rt, backends, count, region_entries);
-        Reading *readings = g_new0(Reading, count);
+        HealthRequest *health_requests = g_new0(HealthRequest, count);
         for (uint32_t i = 0; i < count; i++) {
-            begin_reading(multi, &backends[i], &readings[i]);
+            start_health_request(multi, &backends[i], &health_requests[i]);
         }
-        run_readings(multi);
+        run_health_requests(multi);
         for (uint32_t i = 0; i < count; i++) {
-            end_reading(rt, multi, &readings[i]);
+            finish_health_request(rt, multi, &health_requests[i]);
         }
-        g_free(readings);
+        g_free(health_requests);
         g_free(backends);
-        nap_until(rt, next_us);
+        sleep_until(rt, next_us);
     }
     Snapshot_UnregisterThread();
     curl_multi_cleanup(multi);
--- a/lib/runtime/relay.c
+++ b/lib/runtime/relay.c
@@ -1,14 +1,15 @@
-/* Calls relayed to peers, and calls that peers relay to us. */
+/* Calls relayed to peers, and calls received from peers. */
 #include "runtime/runtime_internal.h"
 
 #include <string.h>
 
+/* Identifies a received call: the connection and the sender's relay id. */
 typedef struct {
     uint64_t link;
     uint64_t id;
 } RelayKey;
 
-/* A peer's call on its way to a worker. */
+/* A received call queued for a worker. */
 typedef struct {
     uint64_t link;
     GwNodeId from;
@@ -30,8 +31,8 @@
 }
 
 static void
-report_end(GwRuntime *rt, const Relay *relay, GwOutcome outcome,
-           GwReason reason)
+report_outcome(GwRuntime *rt, const Relay *relay, GwOutcome outcome,
+               GwReason reason)
 {
     GwEvent event = {
         .kind = GW_EVENT_ATTEMPT,
@@ -46,9 +47,10 @@
     Runtime_Step(rt, &event);
 }
 
-/* Takes a relay out of the table: whoever gets it reports its end, once. */
+/* Removes a relay from the table, or returns NULL. The thread that removed it
+ * reports its end, so each end is reported once. */
 static Relay *
-steal(GwRuntime *rt, uint64_t id)
+remove_relay(GwRuntime *rt, uint64_t id)
 {
     pthread_mutex_lock(&rt->call_lock);
     Relay *relay = g_hash_table_lookup(rt->relays, &id);
@@ -59,11 +61,11 @@
     return relay;
 }
 
-/* Enters the relay unless the call is over. The check and the entry are one
- * step under the call lock, so that the end of the call either sees the
- * relay and cancels it, or keeps it from being made. */
+/* Adds a relay unless the call is finished. Check and insertion are atomic
+ * under call_lock: a finishing call either finds the relay and cancels it, or
+ * prevents its creation. */
 static Relay *
-enter(GwRuntime *rt, OpenCall *call, const GwRelayAction *action)
+add_relay(GwRuntime *rt, OpenCall *call, const GwRelayAction *action)
 {
     Relay *relay = NULL;
     pthread_mutex_lock(&rt->call_lock);
@@ -76,7 +78,7 @@
         relay->give_up_us = MIN(action->give_up_us, call->deadline_us);
         g_strlcpy(relay->address, action->address, GW_ADDR_MAX);
         g_hash_table_insert(rt->relays, &relay->id, relay);
-        call->relayed_on = true;
+        call->was_relayed = true;
     }
     pthread_mutex_unlock(&call->mutex);
     pthread_mutex_unlock(&rt->call_lock);
@@ -84,8 +86,8 @@
 }
 
 static uint8_t *
-frame_call(const OpenCall *call, const GwRelayAction *action, uint64_t id,
-           size_t *len)
+encode_call(const OpenCall *call, const GwRelayAction *action, uint64_t id,
+            size_t *len)
 {
     GwEnvelope envelope = {
         .kind = GW_ENVELOPE_CALL,
@@ -105,7 +107,7 @@
 {
     size_t len;
     OpenCall *call = Call_Find(rt, action->call);
-    Relay *relay = call != NULL ? enter(rt, call, action) : NULL;
+    Relay *relay = call != NULL ? add_relay(rt, call, action) : NULL;
 
     if (relay == NULL) {
         Call_ReportNotRun(rt, action->call, action->attempt,
@@ -113,7 +115,7 @@
     }
     else {
         uint64_t id = relay->id;
-        uint8_t *frame = frame_call(call, action, id, &len);
+        uint8_t *frame = encode_call(call, action, id, &len);
         GwCounter_Add(&rt->metrics.relays_out, 1);
         if (!GwNet_Call(rt->net, action->address, action->to, id, frame,
                         len)) {
@@ -137,10 +139,10 @@
     GwNet_Send(rt->net, relay->address, frame, len);
 }
 
-typedef bool (*Wanted)(const Relay *relay, const void *arg);
+typedef bool (*RelayFilter)(const Relay *relay, const void *arg);
 
 static GPtrArray *
-steal_all(GwRuntime *rt, Wanted wanted, const void *arg)
+remove_matching(GwRuntime *rt, RelayFilter matches, const void *arg)
 {
     GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
@@ -149,7 +151,7 @@
     pthread_mutex_lock(&rt->call_lock);
     g_hash_table_iter_init(&iter, rt->relays);
     while (g_hash_table_iter_next(&iter, NULL, &relay)) {
-        if (wanted(relay, arg)) {
+        if (matches(relay, arg)) {
             g_hash_table_iter_steal(&iter);
             g_ptr_array_add(out, relay);
         }
@@ -158,14 +160,15 @@
     return out;
 }
 
-/* The peer may have run it or not: unknown. */
+/* Cancels the relays and reports unknown outcomes, as the peers may have run
+ * the calls. Frees the array. */
 static void
-give_up_all(GwRuntime *rt, GPtrArray *relays)
+cancel_all(GwRuntime *rt, GPtrArray *relays)
 {
     for (guint i = 0; i < relays->len; i++) {
         const Relay *relay = g_ptr_array_index(relays, i);
         send_cancel(rt, relay);
-        report_end(rt, relay, GW_OUTCOME_UNKNOWN, GW_REASON_SILENT);
+        report_outcome(rt, relay, GW_OUTCOME_UNKNOWN, GW_REASON_SILENT);
     }
     g_ptr_array_free(relays, TRUE);
 }
@@ -173,20 +176,20 @@
 static bool
 is_of_call(const Relay *relay, const void *arg)
 {
-    const Relay *like = arg;
-    return relay->call == like->call &&
-           (like->attempt == 0 || relay->attempt == like->attempt);
+    const Relay *criteria = arg;
+    return relay->call == criteria->call &&
+           (criteria->attempt == 0 || relay->attempt == criteria->attempt);
 }
 
 void
 Relay_Cancel(GwRuntime *rt, uint64_t call, uint32_t attempt)
 {
-    Relay like = {.call = call, .attempt = attempt};
-    give_up_all(rt, steal_all(rt, is_of_call, &like));
+    Relay criteria = {.call = call, .attempt = attempt};
+    cancel_all(rt, remove_matching(rt, is_of_call, &criteria));
 }
 
 static bool
-is_over(const Relay *relay, const void *arg)
+is_expired(const Relay *relay, const void *arg)
 {
     return relay->give_up_us <= *(const int64_t *)arg;
 }
@@ -194,11 +197,11 @@
 void
 Relay_Sweep(GwRuntime *rt, int64_t now_us)
 {
-    give_up_all(rt, steal_all(rt, is_over, &now_us));
+    cancel_all(rt, remove_matching(rt, is_expired, &now_us));
 }
 
 static void
-put_reply_answer(GwRuntime *rt, const Relay *relay, GwCallReply *reply)
+store_answer(GwRuntime *rt, const Relay *relay, GwCallReply *reply)
 {
     OpenCall *call = Call_Find(rt, relay->call);
     if (call == NULL) {
@@ -211,13 +214,13 @@
     Call_Unref(call);
 }
 
-/* A reply that comes after its relay was given up finds none and is dropped:
- * its call has had its outcome. */
+/* Drops a reply whose relay was cancelled: the outcome of that attempt has
+ * been reported. */
 void
 Relay_OnReply(void *arg, GwCallReply *reply)
 {
     GwRuntime *rt = arg;
-    Relay *relay = steal(rt, reply->id);
+    Relay *relay = remove_relay(rt, reply->id);
 
     if (relay == NULL) {
         return;
@@ -235,7 +238,7 @@
             },
     };
     if (reply->outcome == GW_OUTCOME_ANSWERED) {
-        put_reply_answer(rt, relay, reply);
+        store_answer(rt, relay, reply);
     }
     Runtime_Step(rt, &event);
     g_free(relay);
@@ -245,22 +248,22 @@
 Relay_OnLost(void *arg, uint64_t id, bool sent)
 {
     GwRuntime *rt = arg;
-    Relay *relay = steal(rt, id);
+    Relay *relay = remove_relay(rt, id);
 
     if (relay == NULL) {
         return;
     }
     if (sent) {
-        report_end(rt, relay, GW_OUTCOME_UNKNOWN, GW_REASON_BROKEN);
+        report_outcome(rt, relay, GW_OUTCOME_UNKNOWN, GW_REASON_BROKEN);
     }
     else {
-        report_end(rt, relay, GW_OUTCOME_NOT_RUN, GW_REASON_PEER_CONNECT);
+        report_outcome(rt, relay, GW_OUTCOME_NOT_RUN, GW_REASON_PEER_CONNECT);
     }
     g_free(relay);
 }
 
 static void
-reply_with(GwRuntime *rt, uint64_t link, GwCallReply *reply)
+send_reply(GwRuntime *rt, uint64_t link, GwCallReply *reply)
 {
     GwEnvelope envelope = {.kind = GW_ENVELOPE_REPLY, .u.reply = *reply};
     size_t len;
@@ -268,9 +271,9 @@
     GwNet_Reply(rt->net, link, frame, len);
 }
 
-/* Turns a call away before its ticket is looked at. One that came here as to
- * the owner may be a resend of a booking that ran: only the record can say
- * "not run" of it. */
+/* Refuses a call before its ticket is checked. A call sent to this process as
+ * the ticket's owner may be a resend of one that ran: without the ticket's
+ * record its outcome is unknown. */
 static void
 refuse(GwRuntime *rt, uint64_t link, const GwCallRequest *call,
        GwReason reason)
@@ -281,7 +284,7 @@
         .reason = reason,
         .ticket = call->ticket,
     };
-    reply_with(rt, link, &reply);
+    send_reply(rt, link, &reply);
 }
 
 void
@@ -294,7 +297,7 @@
         refuse(rt, link, call, GW_REASON_LEAVING);
         return;
     }
-    if (GwWorkers_Waiting(rt->relay_pool) >= RELAY_QUEUE_MAX) {
+    if (GwWorkers_CountQueued(rt->relay_pool) >= RELAY_QUEUE_MAX) {
         refuse(rt, link, call, GW_REASON_QUEUE_FULL);
         return;
     }
@@ -351,7 +354,7 @@
 }
 
 static void
-remember(GwRuntime *rt, const RelayKey *key, uint64_t handle)
+add_relayed_in(GwRuntime *rt, const RelayKey *key, uint64_t handle)
 {
     pthread_mutex_lock(&rt->call_lock);
     g_hash_table_insert(rt->relayed_in, g_memdup2(key, sizeof(*key)),
@@ -360,15 +363,16 @@
 }
 
 static void
-forget(GwRuntime *rt, const RelayKey *key)
+remove_relayed_in(GwRuntime *rt, const RelayKey *key)
 {
     pthread_mutex_lock(&rt->call_lock);
     g_hash_table_remove(rt->relayed_in, key);
     pthread_mutex_unlock(&rt->call_lock);
 }
 
-/* The deadline counts from arrival here: what the way took is lost to the
- * caller's side, which gives up on its own clock. */
+/* Drives a received call and sends its reply. The deadline counts from arrival
+ * here, which excludes the transit time; the sender applies its own deadline
+ * on its own clock. */
 void
 Relay_Serve(void *job, void *arg)
 {
@@ -379,12 +383,12 @@
                           (int64_t)relayed->request.deadline_left_ms * 1000;
 
     OpenCall *call = Call_Open(rt, &relayed->request, deadline_us);
-    remember(rt, &key, call->handle);
+    add_relayed_in(rt, &key, call->handle);
     GwCallEvent event = call_event(call, relayed);
     Call_Drive(rt, call, &event);
-    forget(rt, &key);
+    remove_relayed_in(rt, &key);
     GwCallReply reply = make_reply(call, key.id);
-    reply_with(rt, relayed->link, &reply);
+    send_reply(rt, relayed->link, &reply);
     Call_Close(rt, call);
     g_free(relayed);
     atomic_fetch_sub(&rt->relays_active, 1);
--- a/lib/runtime/report.c
+++ b/lib/runtime/report.c
@@ -1,4 +1,4 @@
-/* What operators see of the process: dump, metrics, status. */
+/* Dump, metrics and status of the process for operators. */
 #include "runtime/runtime_internal.h"
 
 #include <string.h>
@@ -14,7 +14,7 @@
 }
 
 static uint32_t
-kept_answers(GwRuntime *rt)
+count_kept_answers(GwRuntime *rt)
 {
     pthread_mutex_lock(&rt->call_lock);
     uint32_t count = GwAnswers_Count(rt->answers);
@@ -38,9 +38,9 @@
         "\"kept_answers\": %u, \"links\": %u, \"connections_opened\": "
         "%" G_GUINT64_FORMAT ", \"connections_reused\": %" G_GUINT64_FORMAT
         ", \"resends_stopped\": %" G_GUINT64_FORMAT "}, \"node\": %s}",
-        table_size(rt, rt->open), table_size(rt, rt->relays), kept_answers(rt),
-        net.links, dispatch.opened, dispatch.reused, dispatch.resends_stopped,
-        node);
+        table_size(rt, rt->open), table_size(rt, rt->relays),
+        count_kept_answers(rt), net.links, dispatch.opened, dispatch.reused,
+        dispatch.resends_stopped, node);
     g_free(node);
     return text;
 }
@@ -55,10 +55,10 @@
     const char *name;
     const char *help;
     uint64_t value;
-} Line;
+} MetricLine;
 
 static void
-append_counters(GString *out, const Line *lines, size_t count)
+append_counters(GString *out, const MetricLine *lines, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         GwMetrics_Counter(out, lines[i].name, lines[i].help, lines[i].value);
@@ -68,7 +68,7 @@
 static void
 append_calls(GString *out, const RuntimeMetrics *m)
 {
-    const Line lines[] = {
+    const MetricLine lines[] = {
         {"gw_calls_answered_total", "Calls that ended answered.",
          GwCounter_Get(&m->answered)},
         {"gw_calls_not_run_total", "Calls that ended not-run.",
@@ -86,11 +86,14 @@
          GwCounter_Get(&m->table_requests)},
         {"gw_table_lost_total", "Table requests without an answer.",
          GwCounter_Get(&m->table_lost)},
-        {"gw_answers_missing_total", "Answers asked for and not kept.",
+        {"gw_answers_missing_total",
+         "Resends whose answer was no longer kept.",
          GwCounter_Get(&m->answers_missing)},
-        {"gw_callers_refused_total", "Calls refused unread, threads short.",
+        {"gw_callers_refused_total",
+         "Calls refused unread: too few caller threads.",
          GwCounter_Get(&m->callers_refused)},
-        {"gw_calls_overdue_total", "Calls the node never ended.",
+        {"gw_calls_overdue_total",
+         "Calls ended as unknown after the node did not finish them.",
          GwCounter_Get(&m->overdue)},
     };
     append_counters(out, lines, G_N_ELEMENTS(lines));
@@ -103,22 +106,24 @@
     GwDispatchStats dispatch;
     GwNet_Stats(rt->net, &net);
     GwDispatcher_Stats(rt->dispatcher, &dispatch);
-    const Line lines[] = {
+    const MetricLine lines[] = {
         {"gw_frames_in_total", "Frames from peers.", net.frames_in},
         {"gw_frames_out_total", "Frames to peers.", net.frames_out},
         {"gw_peer_bytes_in_total", "Bytes from peers.", net.bytes_in},
         {"gw_peer_bytes_out_total", "Bytes to peers.", net.bytes_out},
-        {"gw_frames_dropped_total", "Frames dropped, queue full.",
-         net.dropped},
-        {"gw_links_silent_total", "Connections closed as silent.",
+        {"gw_frames_dropped_total",
+         "Frames dropped: queue full or no connection.", net.dropped},
+        {"gw_links_silent_total",
+         "Peer connections closed after an unanswered ping.",
          net.closed_silent},
-        {"gw_links_refused_total", "Connections without the key.",
-         net.refused},
+        {"gw_links_refused_total",
+         "Peer connections that failed the handshake.", net.refused},
         {"gw_connections_opened_total", "Connections to backend servers.",
          dispatch.opened},
         {"gw_connections_reused_total", "Attempts on pooled connections.",
          dispatch.reused},
-        {"gw_resends_stopped_total", "Silent resends kept from going out.",
+        {"gw_resends_stopped_total",
+         "Automatic resends by libcurl that were prevented.",
          dispatch.resends_stopped},
     };
     append_counters(out, lines, G_N_ELEMENTS(lines));
@@ -137,12 +142,12 @@
 
     append_calls(out, m);
     append_net(out, rt);
-    GwMetrics_Gauge(out, "gw_open_calls", "Calls in this process now.",
+    GwMetrics_Gauge(out, "gw_open_calls", "Open calls in this process.",
                     table_size(rt, rt->open));
     GwMetrics_Gauge(out, "gw_caller_connections",
-                    "Callers' connections that hold a thread.",
+                    "Connections of callers, each occupying a thread.",
                     atomic_load(&rt->caller_connections));
-    GwMetrics_Summary(out, "gw_step_us", "Time of one decision step.",
+    GwMetrics_Summary(out, "gw_step_us", "Time of one step of the node.",
                       &m->step_us);
     GwMetrics_Summary(out, "gw_call_us", "Time of a call at this entry.",
                       &m->call_us);
@@ -209,7 +214,7 @@
         rt->params.id.start, state, version, table_size(rt, rt->open));
 }
 
-/* As callers are answered, without tickets. */
+/* The look-up answer that callers get, without tickets. */
 static char *
 entries(void *ctx, const char *service)
 {
--- a/lib/runtime/runtime.c
+++ b/lib/runtime/runtime.c
@@ -1,3 +1,4 @@
+/* Start and stop of the runtime, and execution of the node's actions. */
 #include "runtime/runtime_internal.h"
 
 #include "member/member.h"
@@ -8,10 +9,10 @@
 
 #define KEY_LEN_MIN 16
 
-/* Carries out what the node decided. Pointers taken over are set to NULL, so
- * that clearing the list frees the rest only. */
+/* Executes an action of the node. Pointers whose ownership moves are set to
+ * NULL, so that freeing the list skips them. */
 static void
-carry_out(GwRuntime *rt, GwAction *action)
+execute_action(GwRuntime *rt, GwAction *action)
 {
     size_t len;
 
@@ -41,7 +42,7 @@
         Pollers_OnTable(rt, action->u.table);
         action->u.table = NULL;
         break;
-    case GW_ACTION_PUBLISH: /* copied under the node lock already */
+    case GW_ACTION_PUBLISH: /* Runtime_Step published it under node_lock */
         break;
     case GW_ACTION_LOG:
         GwLog_Event(action->u.log.event, "%s", action->u.log.text);
@@ -53,7 +54,7 @@
 }
 
 static bool
-has_publication(const GwActions *actions)
+has_publish_action(const GwActions *actions)
 {
     for (uint32_t i = 0; i < actions->count; i++) {
         if (actions->items[i].kind == GW_ACTION_PUBLISH) {
@@ -63,8 +64,9 @@
     return false;
 }
 
-/* Any thread, with no lock held. Reading the clock under the lock keeps the
- * node's time from falling. */
+/* Passes an event to the node and executes the resulting actions. Any thread,
+ * with no lock held. The clock is read under node_lock so that the time of
+ * the node never decreases. */
 void
 Runtime_Step(GwRuntime *rt, const GwEvent *event)
 {
@@ -73,14 +75,14 @@
     pthread_mutex_lock(&rt->node_lock);
     int64_t begin_us = GwNet_NowUs();
     GwNode_Step(rt->node, begin_us, event, &actions);
-    if (has_publication(&actions)) {
+    if (has_publish_action(&actions)) {
         Snapshot_Publish(rt);
     }
     int64_t end_us = GwNet_NowUs();
     pthread_mutex_unlock(&rt->node_lock);
     GwHistogram_Add(&rt->metrics.step_us, (uint64_t)(end_us - begin_us));
     for (uint32_t i = 0; i < actions.count; i++) {
-        carry_out(rt, &actions.items[i]);
+        execute_action(rt, &actions.items[i]);
     }
     GwActions_Free(&actions);
 }
@@ -109,7 +111,8 @@
     Runtime_Step(rt, &event);
 }
 
-/* The first line of a secret's file. */
+/* Reads the first line of a secret file; at least `min` characters. `what` is
+ * the setting's name for errors. */
 static char *
 read_secret(const char *path, const char *what, size_t min, GError **error)
 {
@@ -129,7 +132,8 @@
     return text;
 }
 
-/* The start nonce is the time, so that a later start has the larger one. */
+/* The start id is the wall-clock time in microseconds, so that it grows from
+ * start to start. */
 static void
 set_identity(GwRuntime *rt)
 {
@@ -206,7 +210,7 @@
 }
 
 static bool
-start_servers(GwRuntime *rt, GError **error)
+start_threads(GwRuntime *rt, GError **error)
 {
     GwAdminHost host = Report_AdminHost(rt);
 
@@ -233,18 +237,18 @@
     rt->params = settings->node;
     set_identity(rt);
     create_tables(rt);
-    bool good = key != NULL;
-    if (good) {
+    bool is_ok = key != NULL;
+    if (is_ok) {
         rt->admin_token = read_secret(settings->admin_token_file,
                                       "admin_token_file", 1, error);
-        good = rt->admin_token != NULL && create_net(rt, key, error);
+        is_ok = rt->admin_token != NULL && create_net(rt, key, error);
     }
     g_free(key);
-    if (good) {
+    if (is_ok) {
         create_clients(rt);
-        good = start_servers(rt, error);
+        is_ok = start_threads(rt, error);
     }
-    if (!good) {
+    if (!is_ok) {
         GwRuntime_Free(rt);
         return NULL;
     }
@@ -271,8 +275,8 @@
     return atomic_load(&rt->stopped);
 }
 
-/* Calls in flight end first, while the tick still runs; then the threads
- * that could step the node; then what they used. */
+/* Ends running calls first, while the tick still runs, then the threads that
+ * may step the node, then the worker pools they use. */
 static void
 stop_threads(GwRuntime *rt)
 {
--- a/lib/runtime/runtime.h
+++ b/lib/runtime/runtime.h
@@ -1,4 +1,4 @@
-/* The daemon's host of a GwNode: threads, sockets, timers. */
+/* Runs a GwNode in the daemon: threads, sockets, timers. */
 #ifndef GW_RUNTIME_RUNTIME_H
 #define GW_RUNTIME_RUNTIME_H
 
@@ -6,14 +6,15 @@
 
 typedef struct GwRuntime_s GwRuntime;
 
-/* Starts every thread and serves. The settings must outlive it. */
+/* Starts all threads and serves callers. The settings must outlive the
+ * runtime. Returns NULL with *error set on failure. */
 GwRuntime *GwRuntime_Start(const GwSettings *settings, GError **error);
-/* Begins a graceful stop; GwRuntime_IsStopped tells when it is over. */
+/* Begins a graceful stop; GwRuntime_IsStopped returns true when it ends. */
 void GwRuntime_Leave(GwRuntime *rt);
 bool GwRuntime_IsStopped(GwRuntime *rt);
-/* The state of the process as JSON; free with g_free. */
+/* Returns the state of the process as JSON; free with g_free. */
 char *GwRuntime_Dump(GwRuntime *rt);
-/* Waits for calls in flight, then ends every thread. */
+/* Waits for running calls, joins all threads and frees. NULL is allowed. */
 void GwRuntime_Free(GwRuntime *rt);
 
 #endif
--- a/lib/runtime/runtime_internal.h
+++ b/lib/runtime/runtime_internal.h
@@ -1,15 +1,16 @@
 /* State shared by the files of the runtime.
  *
- * Order of locks; a thread that holds one takes only later ones:
+ * Lock order; a thread that holds a lock takes only later ones:
  *
- *   1. node_lock   one GwNode_Step, mint, dump, or copying a publication
- *   2. call_lock   table of open calls, relays, kept answers
+ *   1. node_lock       one GwNode_Step, ticket minting, a dump, or copying a
+ *                      publication
+ *   2. call_lock       tables of open calls and relays, kept answers
  *   3. OpenCall.mutex  mailbox and attempts of one call
- *   4. locks inside GwNet (peer lock), GwDispatcher, GwAbort, retired
+ *   4. GwNet.peer_lock, retired_lock, the locks in GwDispatcher and GwAbort
  *
- * No lock is held over I/O. Actions are carried out, and events logged, with
- * no lock. A step made while carrying out actions of another one is fine:
- * each has its own list. */
+ * No lock is held during I/O, while actions are executed or while events are
+ * logged. Executing the actions of a step may start another step: each step
+ * has its own list of actions. */
 #ifndef GW_RUNTIME_INTERNAL_H
 #define GW_RUNTIME_INTERNAL_H
 
@@ -35,56 +36,57 @@
 #define RELAY_QUEUE_MAX        1024
 #define RELAY_SWEEP_TICKS      5
 #define DEADLINE_DEFAULT_MS    5000
-#define OVERDUE_US             5000000
-#define IDLE_SHARE             16 /* of a server's connections, kept idle */
+#define FINISH_GRACE_US        5000000
+#define IDLE_MAX_DIVISOR       16 /* 1/16 of a server's connections */
 
-/* What the look-up and other readers see: immutable, RCU-published. */
+/* A backend server of this region in a Snapshot. */
 typedef struct {
     uint64_t id;
     char address[GW_ADDR_MAX];
-    uint32_t connections; /* the server's limit, for all entries together */
+    uint32_t connections; /* limit of the server, over all entries */
 } PolledBackend;
 
 typedef struct {
     char name[GW_NAME_MAX];
     uint32_t deadline_max_ms;
-    uint32_t moving_draws; /* answers below this name another entry first */
-    /* The look-up answer of each draw up to where tickets follow; draws above
-     * moving_draws are all alike and share the last. */
+    uint32_t moving_draws; /* smaller draws list another entry first */
+    /* Look-up answer per draw, up to the tickets. All draws from moving_draws
+     * on share the answer at that index. */
     char *entries[GW_LOOKUP_DRAWS + 1];
 } ServiceView;
 
+/* Immutable data for look-ups and background threads, published by RCU. */
 typedef struct {
     uint64_t config_version;
     uint32_t service_count;
     ServiceView services[GW_MAX_SERVICES];
-    uint32_t region_entries; /* of this region, this one included */
-    uint32_t backend_count;  /* of this region's places */
+    uint32_t region_entries; /* in this region, including this one */
+    uint32_t backend_count;  /* in this region */
     PolledBackend *backends;
     GBytes *text;
 } Snapshot;
 
-/* A call that this process drives. Counted: the table, its thread and
- * running attempts each hold a reference. */
+/* A call that a thread of this process drives to its outcome. Reference
+ * counted: the table, that thread and each running attempt hold one. */
 typedef struct {
     int refs;
     uint64_t handle;
-    GwCallRequest request; /* what came in; body owned */
+    GwCallRequest request; /* as received; owns its body */
     int64_t deadline_us;
     char request_id[GW_TICKET_TEXT_MAX];
     pthread_mutex_t mutex;
     pthread_cond_t wake;
-    GQueue mailbox;      /* GwDispatchAction *, for the driving thread */
-    GHashTable *aborts;  /* attempt to GwAbort */
-    GHashTable *answers; /* attempt to GwAnswer */
-    uint32_t running;    /* dispatches posted and not ended */
-    bool relayed_on;     /* has been relayed to a peer */
+    GQueue mailbox;         /* GwDispatchAction * for the driving thread */
+    GHashTable *aborts;     /* attempt to GwAbort */
+    GHashTable *answers;    /* attempt to GwAnswer */
+    uint32_t attempts_open; /* queued or running */
+    bool was_relayed;       /* a relay of this call was started */
     bool finished;
     GwFinishAction finish;
-    GwAnswer *answer; /* that finish names, or NULL */
+    GwAnswer *answer; /* the answer of finish, or NULL */
 } OpenCall;
 
-/* A call relayed to a peer that has not answered. */
+/* A call relayed to a peer that has not replied. */
 typedef struct {
     uint64_t id;
     uint64_t call;
@@ -121,7 +123,7 @@
     Snapshot *snapshot; /* RCU; written under node_lock */
 
     pthread_mutex_t retired_lock;
-    GPtrArray *retired; /* snapshots to free after a grace period */
+    GPtrArray *retired; /* Snapshot * to free after a grace period */
 
     pthread_mutex_t call_lock;
     GHashTable *open;       /* handle to OpenCall */
@@ -146,25 +148,26 @@
     GwAdmin *admin;
 
     uint32_t ticks;                 /* of the network thread */
-    atomic_uint caller_connections; /* each holds one caller thread */
-    atomic_uint caller_calls;       /* waiting for their outcome */
+    atomic_uint caller_connections; /* each occupies a caller thread */
+    atomic_uint caller_calls;       /* without an outcome yet */
     atomic_uint relays_active;
     atomic_bool leaving;
     atomic_bool stopped;
-    atomic_bool closing; /* no new background work */
+    atomic_bool closing; /* start no new background work */
     RuntimeMetrics metrics;
 };
 
 /* runtime.c */
 void Runtime_Step(GwRuntime *rt, const GwEvent *event);
 
-/* snapshot.c. A reader registers its thread once, and brackets each use. */
-void Snapshot_Publish(GwRuntime *rt); /* with node_lock */
+/* snapshot.c. A reader registers its thread once and calls Enter and Leave
+ * around each use. */
+void Snapshot_Publish(GwRuntime *rt); /* requires node_lock */
 const Snapshot *Snapshot_Enter(GwRuntime *rt);
 void Snapshot_Leave(void);
 void Snapshot_RegisterThread(void);
 void Snapshot_UnregisterThread(void);
-void Snapshot_FreeRetired(GwRuntime *rt); /* waits; no lock held */
+void Snapshot_FreeRetired(GwRuntime *rt); /* blocks; hold no lock */
 void Snapshot_Free(Snapshot *snapshot);
 const ServiceView *Snapshot_Service(const Snapshot *snapshot,
                                     const char *name);
@@ -172,11 +175,11 @@
 /* call.c. An `arg` is the GwRuntime. */
 OpenCall *Call_Open(GwRuntime *rt, GwCallRequest *request,
                     int64_t deadline_us);
-/* Steps the event and blocks until the final outcome. */
+/* Passes the event to the node and blocks until the final outcome. */
 void Call_Drive(GwRuntime *rt, OpenCall *call, const GwCallEvent *event);
 void Call_Close(GwRuntime *rt, OpenCall *call);
 void Call_Unref(OpenCall *call);
-/* A new reference, or NULL when the call is not open. */
+/* Returns a new reference, or NULL when the call is not open. */
 OpenCall *Call_Find(GwRuntime *rt, uint64_t handle);
 void Call_OnDispatch(GwRuntime *rt, const GwDispatchAction *action);
 void Call_OnCancel(GwRuntime *rt, uint64_t handle, uint32_t attempt);
@@ -188,7 +191,8 @@
 
 /* relay.c. An `arg` is the GwRuntime. */
 void Relay_OnAction(GwRuntime *rt, const GwRelayAction *action);
-/* Gives up relays of the call; of one attempt, or of all with 0. */
+/* Cancels the relays of one attempt of the call, or all of them if attempt
+ * is 0. */
 void Relay_Cancel(GwRuntime *rt, uint64_t call, uint32_t attempt);
 void Relay_Sweep(GwRuntime *rt, int64_t now_us);
 void Relay_OnReply(void *arg, GwCallReply *reply);
@@ -204,8 +208,8 @@
 bool Caller_Start(GwRuntime *rt, GError **error);
 
 /* pollers.c */
-void Pollers_OnTable(GwRuntime *rt,
-                     GwTableRequest *request); /* takes it over */
+/* Queues the request and takes ownership of it. */
+void Pollers_OnTable(GwRuntime *rt, GwTableRequest *request);
 void Pollers_RunTable(void *job, void *arg);
 void *Pollers_ListThread(void *arg);
 void *Pollers_HealthThread(void *arg);
--- a/lib/runtime/snapshot.c
+++ b/lib/runtime/snapshot.c
@@ -1,4 +1,4 @@
-/* The RCU-published copy of what look-ups and pollers read. */
+/* The RCU-published copy of node state that look-ups and pollers read. */
 #include "runtime/runtime_internal.h"
 #include "common/json.h"
 
@@ -7,7 +7,7 @@
 #include <urcu/urcu-memb.h>
 
 static json_object *
-entry_json(const GwLookupEntry *entry)
+format_entry(const GwLookupEntry *entry)
 {
     json_object *item = json_object_new_object();
     GwJson_SetText(item, "name", entry->name);
@@ -18,9 +18,10 @@
     return item;
 }
 
-/* The answer without its closing brace: tickets are added a request. */
+/* Formats a look-up answer without its closing brace: tickets are appended
+ * for each request. */
 static char *
-lookup_text(const GwLookup *lookup)
+format_lookup(const GwLookup *lookup)
 {
     json_object *root = json_object_new_object();
     json_object *entries = json_object_new_array();
@@ -29,7 +30,7 @@
     json_object_object_add(root, "ttl_ms",
                            json_object_new_int64(lookup->ttl_ms));
     for (uint32_t i = 0; i < lookup->count; i++) {
-        json_object_array_add(entries, entry_json(&lookup->entries[i]));
+        json_object_array_add(entries, format_entry(&lookup->entries[i]));
     }
     json_object_object_add(root, "entries", entries);
     char *text =
@@ -49,7 +50,8 @@
     return count;
 }
 
-/* Sets *local to the number of entries of this region. */
+/* Copies the answers of all draws; sets *local to the number of entries in
+ * this region. False on failure. */
 static bool
 copy_lookups(const GwNode *node, const char *service, ServiceView *view,
              uint32_t *local)
@@ -62,10 +64,10 @@
     }
     *local = count_local(&lookup);
     view->moving_draws = lookup.moving_draws;
-    view->entries[lookup.moving_draws] = lookup_text(&lookup);
+    view->entries[lookup.moving_draws] = format_lookup(&lookup);
     for (uint32_t draw = 0; draw < view->moving_draws; draw++) {
         GwNode_Lookup(node, service, draw, &lookup);
-        view->entries[draw] = lookup_text(&lookup);
+        view->entries[draw] = format_lookup(&lookup);
     }
     return true;
 }
@@ -107,7 +109,7 @@
 }
 
 static Snapshot *
-copy_out(const GwRuntime *rt, const Snapshot *old)
+create_snapshot(const GwRuntime *rt, const Snapshot *old)
 {
     Snapshot *s = g_new0(Snapshot, 1);
     const GwConfig *config = GwNode_Config(rt->node);
@@ -128,13 +130,13 @@
     return s;
 }
 
-/* Readers of the old copy may still be at work; it is freed later, since
- * waiting for them here would hold the node lock. */
+/* Retires the old snapshot instead of freeing it: it may still have readers,
+ * and waiting for them here would hold node_lock. */
 void
 Snapshot_Publish(GwRuntime *rt)
 {
     Snapshot *old = rt->snapshot;
-    Snapshot *fresh = copy_out(rt, old);
+    Snapshot *fresh = create_snapshot(rt, old);
 
     __atomic_store_n(&rt->snapshot, fresh, __ATOMIC_RELEASE);
     pthread_mutex_lock(&rt->retired_lock);
@@ -144,7 +146,7 @@
     pthread_mutex_unlock(&rt->retired_lock);
 }
 
-/* NULL before the first publication. Valid until Snapshot_Leave. */
+/* Returns NULL before the first publication. Valid until Snapshot_Leave. */
 const Snapshot *
 Snapshot_Enter(GwRuntime *rt)
 {
--- a/lib/runtime/workers.c
+++ b/lib/runtime/workers.c
@@ -30,7 +30,7 @@
     return w;
 }
 
-/* NULL once the pool stops and nothing is left. */
+/* Blocks for the next job; NULL when the pool stops and the queue is empty. */
 static void *
 next_job(GwWorkers *w)
 {
@@ -46,7 +46,7 @@
 }
 
 static void *
-work(void *arg)
+run_jobs(void *arg)
 {
     GwWorkers *w = arg;
     void *job;
@@ -56,16 +56,16 @@
     return NULL;
 }
 
-/* Called with the mutex. A thread is added while more jobs wait than threads
- * are idle: a job must not wait behind a blocked one when it need not. */
+/* Requires w->mutex. Starts a thread when more jobs are queued than threads
+ * are idle, so that no job waits for a blocked one below threads_max. */
 static void
-add_thread_if_short(GwWorkers *w)
+add_thread_if_needed(GwWorkers *w)
 {
     pthread_t thread;
     if (w->jobs.length <= w->idle || w->threads->len >= w->threads_max) {
         return;
     }
-    if (pthread_create(&thread, NULL, work, w) == 0) {
+    if (pthread_create(&thread, NULL, run_jobs, w) == 0) {
         g_array_append_val(w->threads, thread);
     }
 }
@@ -75,13 +75,13 @@
 {
     pthread_mutex_lock(&w->mutex);
     g_queue_push_tail(&w->jobs, job);
-    add_thread_if_short(w);
+    add_thread_if_needed(w);
     pthread_cond_signal(&w->wake);
     pthread_mutex_unlock(&w->mutex);
 }
 
 uint32_t
-GwWorkers_Waiting(GwWorkers *w)
+GwWorkers_CountQueued(GwWorkers *w)
 {
     pthread_mutex_lock(&w->mutex);
     uint32_t waiting = w->jobs.length;
@@ -89,7 +89,7 @@
     return waiting;
 }
 
-/* Nothing may be pushed any more, except by jobs that still run. */
+/* Only running jobs may still push. */
 void
 GwWorkers_Free(GwWorkers *w)
 {
--- a/lib/runtime/workers.h
+++ b/lib/runtime/workers.h
@@ -1,4 +1,4 @@
-/* A pool of threads that work off a queue of jobs. */
+/* A thread pool with a job queue. */
 #ifndef GW_RUNTIME_WORKERS_H
 #define GW_RUNTIME_WORKERS_H
 
@@ -8,12 +8,12 @@
 
 typedef void (*GwJob)(void *job, void *ctx);
 
-/* Threads are started as jobs come, up to the bound. */
+/* Starts threads as jobs arrive, at most threads_max. */
 GwWorkers *GwWorkers_Create(GwJob run, void *ctx, uint32_t threads_max);
-/* Runs every job that is queued, then ends the threads; NULL is allowed. */
+/* Runs all queued jobs, then joins the threads. NULL is allowed. */
 void GwWorkers_Free(GwWorkers *w);
 void GwWorkers_Push(GwWorkers *w, void *job);
-/* Jobs that no thread has taken. */
-uint32_t GwWorkers_Waiting(GwWorkers *w);
+/* Number of jobs that no thread has started. */
+uint32_t GwWorkers_CountQueued(GwWorkers *w);
 
 #endif
--- a/tests/unit/test_runtime.c
+++ b/tests/unit/test_runtime.c
@@ -1,5 +1,5 @@
-/* Whole daemons in this process, on a platform and backend servers in
- * memory, called over HTTP. Every wait is for an event, not for a time. */
+/* Whole daemons in one process, with in-memory platform and backend servers,
+ * called over HTTP. Tests wait for events, not for fixed times. */
 #include "common/client.h"
 #include "common/http.h"
 #include "fakes/platform.h"
@@ -10,8 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Nothing of the decision code's time-outs is to end a call here. */
-#define SLOW                                                                  \
+/* Time-outs so long that the node ends no call by them. */
+#define LONG_TIMEOUTS                                                         \
     ", \"probe_period_ms\": 200, \"probe_timeout_ms\": 100, "                 \
     "\"suspect_timeout_ms\": 300000, \"attempt_timeout_ms\": 60000"
 
@@ -23,17 +23,17 @@
     "\"idempotent\": true}]"
 #define SLOTS "\"slots\": 4, \"connections\": 330"
 
-/* Directs the backend servers. */
+/* Test environment and control of the backend servers. */
 typedef struct {
     FakePlatform *platform;
     FakeBackends backends;
     GsClient client;
-    atomic_uint hold; /* requests still to be held back */
-    atomic_uint held;
-    atomic_uint gone; /* held ones whose connection was closed */
+    atomic_uint to_delay;     /* number of requests to delay */
+    atomic_uint delayed;      /* delayed requests so far */
+    atomic_uint disconnected; /* delayed requests whose connection closed */
     atomic_uint runs;
     atomic_bool release;
-} World;
+} Env;
 
 static void
 wait_for(atomic_uint *counter, uint32_t value)
@@ -44,40 +44,41 @@
 }
 
 static bool
-take_hold(World *w)
+claim_delay(Env *env)
 {
-    uint32_t hold = atomic_load(&w->hold);
-    while (hold > 0) {
-        if (atomic_compare_exchange_weak(&w->hold, &hold, hold - 1)) {
+    uint32_t to_delay = atomic_load(&env->to_delay);
+    while (to_delay > 0) {
+        if (atomic_compare_exchange_weak(&env->to_delay, &to_delay,
+                                         to_delay - 1)) {
             return true;
         }
     }
     return false;
 }
 
-/* Held back until the connection closes or the test lets go. */
+/* Delays a request until its connection closes or `release` is set. */
 static void
-stay(World *w, struct mg_connection *conn)
+delay_request(Env *env, struct mg_connection *conn)
 {
     int fd = 0;
-    atomic_fetch_add(&w->held, 1);
-    while (!atomic_load(&w->release)) {
+    atomic_fetch_add(&env->delayed, 1);
+    while (!atomic_load(&env->release)) {
         if (GsHttp_WaitGone(conn, 5000, &fd)) {
-            atomic_fetch_add(&w->gone, 1);
+            atomic_fetch_add(&env->disconnected, 1);
             return;
         }
     }
 }
 
-/* Each run has its own body, large and told apart by its first number. */
+/* Each run answers with a different large body, starting with its number. */
 static int
 on_request(struct mg_connection *conn, void *ctx)
 {
-    World *w = ctx;
+    Env *env = ctx;
     char *asked = GsHttp_ReadBody(conn);
-    uint32_t run = atomic_fetch_add(&w->runs, 1);
-    if (take_hold(w)) {
-        stay(w, conn);
+    uint32_t run = atomic_fetch_add(&env->runs, 1);
+    if (claim_delay(env)) {
+        delay_request(env, conn);
     }
     GString *body = g_string_new(NULL);
     g_string_printf(body, "%u %s ", run, asked != NULL ? asked : "");
@@ -90,12 +91,12 @@
     return status;
 }
 
-/* Service "s" has places in both regions, "t" only in r1: its calls that
- * come in at r0 are shifted there. */
+/* Service "s" has servers in both regions, "t" only in r1: its calls at r0
+ * are shifted there. */
 static char *
-config_text(const World *w)
+config_text(const Env *env)
 {
-    const FakeBackends *b = &w->backends;
+    const FakeBackends *b = &env->backends;
     return g_strdup_printf(
         "{\"warmup_step\": 20, \"regions\": ["
         "{\"name\": \"r0\", \"seats\": 2}, "
@@ -114,31 +115,31 @@
         b->addresses[0], b->addresses[1], b->addresses[2], b->addresses[3]);
 }
 
-static World *
-start_world(void)
+static Env *
+start_env(void)
 {
-    World *w = g_new0(World, 1);
-    GsClient_Init(&w->client);
-    w->platform = FakePlatform_Start();
-    FakeBackends_Start(&w->backends, 4, on_request, w);
-    char *text = config_text(w);
-    FakePlatform_SetConfig(w->platform, text);
+    Env *env = g_new0(Env, 1);
+    GsClient_Init(&env->client);
+    env->platform = FakePlatform_Start();
+    FakeBackends_Start(&env->backends, 4, on_request, env);
+    char *text = config_text(env);
+    FakePlatform_SetConfig(env->platform, text);
     g_free(text);
-    return w;
+    return env;
 }
 
 static void
-stop_world(World *w)
+stop_env(Env *env)
 {
-    atomic_store(&w->release, true);
-    FakeBackends_Stop(&w->backends);
-    FakePlatform_Stop(w->platform);
-    GsClient_Clear(&w->client);
-    g_free(w);
+    atomic_store(&env->release, true);
+    FakeBackends_Stop(&env->backends);
+    FakePlatform_Stop(env->platform);
+    GsClient_Clear(&env->client);
+    g_free(env);
 }
 
 static GsSend
-call_for(World *w, const FakeEntry *e, const char *method, const char *path,
+call_for(Env *env, const FakeEntry *e, const char *method, const char *path,
          const char *ticket, GsReply *reply)
 {
     GsRequest request = {
@@ -150,25 +151,25 @@
         .deadline_ms = 4000,
         .timeout_ms = 90000,
     };
-    return GsClient_Send(&w->client, &request, reply);
+    return GsClient_Send(&env->client, &request, reply);
 }
 
 static GsSend
-call(World *w, const FakeEntry *e, const char *method, const char *ticket,
+call(Env *env, const FakeEntry *e, const char *method, const char *ticket,
      GsReply *reply)
 {
-    return call_for(w, e, method, "/v1/call/s/x", ticket, reply);
+    return call_for(env, e, method, "/v1/call/s/x", ticket, reply);
 }
 
-/* Calls until one is answered: the entry has its seats then. */
+/* Repeats a call until it is answered: the entry then has its seats. */
 static void
-await_answers(World *w, const FakeEntry *e, const char *path)
+await_answers(Env *env, const FakeEntry *e, const char *path)
 {
     bool answered = false;
     while (!answered) {
         GsReply reply;
         answered =
-            call_for(w, e, "GET", path, NULL, &reply) == GS_SEND_WHOLE &&
+            call_for(env, e, "GET", path, NULL, &reply) == GS_SEND_WHOLE &&
             strcmp(reply.outcome, "answered") == 0;
         GsReply_Clear(&reply);
         g_usleep(answered ? 0 : 10000);
@@ -176,14 +177,14 @@
 }
 
 static void
-await_ready(World *w, const FakeEntry *e)
+await_ready(Env *env, const FakeEntry *e)
 {
-    await_answers(w, e, "/v1/call/s/x");
+    await_answers(env, e, "/v1/call/s/x");
 }
 
-/* The first ticket of a look-up. */
+/* Gets one ticket from a look-up. */
 static void
-take_ticket(World *w, const FakeEntry *e, char *out)
+take_ticket(Env *env, const FakeEntry *e, char *out)
 {
     GsRequest request = {
         .method = "GET",
@@ -192,7 +193,7 @@
         .timeout_ms = 10000,
     };
     GsReply reply;
-    cr_assert_eq(GsClient_Send(&w->client, &request, &reply), GS_SEND_WHOLE);
+    cr_assert_eq(GsClient_Send(&env->client, &request, &reply), GS_SEND_WHOLE);
     const char *at = strstr(reply.body->str, "\"tickets\":[\"");
     cr_assert_not_null(at, "%s", reply.body->str);
     at += strlen("\"tickets\":[\"");
@@ -200,12 +201,12 @@
     GsReply_Clear(&reply);
 }
 
-/* Until `near` has met the other entry. */
+/* Waits until look-ups at `near` list the entry `far`. */
 static void
-await_peer(World *w, const FakeEntry *near, const FakeEntry *far)
+await_listed(Env *env, const FakeEntry *near, const FakeEntry *far)
 {
-    bool met = false;
-    while (!met) {
+    bool is_listed = false;
+    while (!is_listed) {
         GsRequest request = {
             .method = "GET",
             .address = near->call_address,
@@ -213,10 +214,10 @@
             .timeout_ms = 10000,
         };
         GsReply reply;
-        GsClient_Send(&w->client, &request, &reply);
-        met = strstr(reply.body->str, far->call_address) != NULL;
+        GsClient_Send(&env->client, &request, &reply);
+        is_listed = strstr(reply.body->str, far->call_address) != NULL;
         GsReply_Clear(&reply);
-        g_usleep(met ? 0 : 10000);
+        g_usleep(is_listed ? 0 : 10000);
     }
 }
 
@@ -229,103 +230,103 @@
     }
 }
 
-/* The server of the first attempt falls silent, and the call's own thread
- * waits in that attempt. The hedge is answered: the caller must get it at
- * once, not when the first attempt times out, and the first attempt's
- * connection must close, which tells its server to stop. */
+/* The first attempt blocks the call's own thread on a silent server, and the
+ * hedge is answered. The caller must get that answer at once, not after the
+ * first attempt times out, and the connection of the first attempt must close,
+ * so that its server can stop. */
 Test(runtime, hedge_answers_while_the_first_attempt_blocks, .timeout = 30)
 {
-    World *w = start_world();
+    Env *env = start_env();
     FakeEntry e;
     GsReply reply;
 
-    FakeEntry_Start(&e, w->platform, "e0", "r0", SLOW);
-    await_ready(w, &e);
+    FakeEntry_Start(&e, env->platform, "e0", "r0", LONG_TIMEOUTS);
+    await_ready(env, &e);
     for (uint32_t i = 0; i < 60; i++) {
-        call(w, &e, "GET", NULL, &reply);
+        call(env, &e, "GET", NULL, &reply);
         expect(&reply, "answered", NULL);
         GsReply_Clear(&reply);
     }
-    atomic_store(&w->hold, 1);
-    cr_expect_eq(call(w, &e, "GET", NULL, &reply), GS_SEND_WHOLE);
+    atomic_store(&env->to_delay, 1);
+    cr_expect_eq(call(env, &e, "GET", NULL, &reply), GS_SEND_WHOLE);
     expect(&reply, "answered", NULL);
     cr_expect_eq(reply.body->len, BODY_LEN);
     GsReply_Clear(&reply);
-    wait_for(&w->held, 1);
-    wait_for(&w->gone, 1);
+    wait_for(&env->delayed, 1);
+    wait_for(&env->disconnected, 1);
     FakeEntry_Stop(&e);
-    stop_world(w);
+    stop_env(env);
 }
 
-/* A clerk's connection breaks and the booking is sent again with its ticket.
- * It gets the first answer; when that one had to make room for others, it
- * gets "unknown", and in neither case is anything run again. */
+/* A call is resent with its ticket, as after a lost connection. It gets the
+ * answer of the first request, or "unknown" once that answer has been evicted;
+ * in neither case does it run again. */
 Test(runtime, resend_gets_the_kept_answer_or_unknown, .timeout = 30)
 {
-    World *w = start_world();
+    Env *env = start_env();
     FakeEntry e;
     GsReply first;
     GsReply again;
     char ticket[GW_TICKET_TEXT_MAX];
 
-    FakeEntry_Start(&e, w->platform, "e0", "r0", SLOW);
-    await_ready(w, &e);
-    take_ticket(w, &e, ticket);
-    call(w, &e, "POST", ticket, &first);
+    FakeEntry_Start(&e, env->platform, "e0", "r0", LONG_TIMEOUTS);
+    await_ready(env, &e);
+    take_ticket(env, &e, ticket);
+    call(env, &e, "POST", ticket, &first);
     expect(&first, "answered", NULL);
-    uint32_t runs = atomic_load(&w->runs);
-    call(w, &e, "POST", ticket, &again);
+    uint32_t runs = atomic_load(&env->runs);
+    call(env, &e, "POST", ticket, &again);
     expect(&again, "answered", NULL);
     cr_expect_str_eq(again.body->str, first.body->str);
     GsReply_Clear(&again);
     pthread_mutex_lock(&e.rt->call_lock);
     GwAnswers_Expire(e.rt->answers, INT64_MAX);
     pthread_mutex_unlock(&e.rt->call_lock);
-    call(w, &e, "POST", ticket, &again);
+    call(env, &e, "POST", ticket, &again);
     expect(&again, "unknown", "old-ticket");
-    cr_expect_eq(atomic_load(&w->runs), runs);
+    cr_expect_eq(atomic_load(&env->runs), runs);
     GsReply_Clear(&again);
     GsReply_Clear(&first);
     FakeEntry_Stop(&e);
-    stop_world(w);
+    stop_env(env);
 }
 
-/* A booking comes to an entry that does not own its ticket. It is relayed to
- * the owner, which runs it; the answer comes back byte by byte. */
-Test(runtime, relayed_call_comes_back_whole, .timeout = 30)
+/* A call arrives at an entry that does not own its ticket. It is relayed to
+ * the owner, which runs it, and the answer returns byte for byte. */
+Test(runtime, relayed_call_returns_the_whole_answer, .timeout = 30)
 {
-    World *w = start_world();
+    Env *env = start_env();
     FakeEntry near;
     FakeEntry far;
     GsReply relayed;
     GsReply direct;
     char ticket[GW_TICKET_TEXT_MAX];
 
-    FakeEntry_Start(&near, w->platform, "e0", "r0", SLOW);
-    FakeEntry_Start(&far, w->platform, "e1", "r1", SLOW);
-    await_ready(w, &near);
-    await_ready(w, &far);
-    await_peer(w, &near, &far);
-    take_ticket(w, &far, ticket);
-    call(w, &near, "POST", ticket, &relayed);
+    FakeEntry_Start(&near, env->platform, "e0", "r0", LONG_TIMEOUTS);
+    FakeEntry_Start(&far, env->platform, "e1", "r1", LONG_TIMEOUTS);
+    await_ready(env, &near);
+    await_ready(env, &far);
+    await_listed(env, &near, &far);
+    take_ticket(env, &far, ticket);
+    call(env, &near, "POST", ticket, &relayed);
     expect(&relayed, "answered", NULL);
     cr_expect_eq(relayed.status, 200);
     cr_expect_eq(relayed.body->len, BODY_LEN);
-    uint32_t runs = atomic_load(&w->runs);
-    call(w, &far, "POST", ticket, &direct);
+    uint32_t runs = atomic_load(&env->runs);
+    call(env, &far, "POST", ticket, &direct);
     expect(&direct, "answered", NULL);
     cr_expect_str_eq(direct.body->str, relayed.body->str);
-    cr_expect_eq(atomic_load(&w->runs), runs);
+    cr_expect_eq(atomic_load(&env->runs), runs);
     cr_expect_eq(GwCounter_Get(&near.rt->metrics.relays_out), 1);
     GsReply_Clear(&direct);
     GsReply_Clear(&relayed);
     FakeEntry_Stop(&near);
     FakeEntry_Stop(&far);
-    stop_world(w);
+    stop_env(env);
 }
 
 typedef struct {
-    World *world;
+    Env *env;
     const FakeEntry *entry;
     GsReply reply;
 } Sending;
@@ -334,12 +335,12 @@
 send_booking(void *arg)
 {
     Sending *s = arg;
-    call_for(s->world, s->entry, "POST", "/v1/call/t/x", NULL, &s->reply);
+    call_for(s->env, s->entry, "POST", "/v1/call/t/x", NULL, &s->reply);
     return NULL;
 }
 
 static void
-cut_links(GwRuntime *rt)
+shut_down_links(GwRuntime *rt)
 {
     GHashTableIter iter;
     gpointer value;
@@ -354,46 +355,46 @@
     pthread_mutex_unlock(&rt->net->peer_lock);
 }
 
-/* The link dies while the other region runs a shifted booking: it may be
- * made, so the caller must read "unknown". Then nobody listens there any
- * more, and nothing of the next booking can be sent: "not run" is true, and
- * the caller may book elsewhere. */
-Test(runtime, relay_over_a_dead_link, .timeout = 30)
+/* The peer connection breaks while the other region runs a shifted call: the
+ * call may complete, so its outcome is "unknown". Then the peer stops
+ * listening, so nothing of the next call can be sent: its outcome is
+ * "not-run", and the caller may repeat it elsewhere. */
+Test(runtime, relay_over_a_broken_connection, .timeout = 30)
 {
-    World *w = start_world();
+    Env *env = start_env();
     FakeEntry near;
     FakeEntry far;
     pthread_t thread;
 
-    FakeEntry_Start(&near, w->platform, "e0", "r0", SLOW);
-    FakeEntry_Start(&far, w->platform, "e1", "r1", SLOW);
-    await_answers(w, &near, "/v1/call/t/x");
-    Sending sending = {w, &near, {0}};
-    atomic_store(&w->hold, 1);
+    FakeEntry_Start(&near, env->platform, "e0", "r0", LONG_TIMEOUTS);
+    FakeEntry_Start(&far, env->platform, "e1", "r1", LONG_TIMEOUTS);
+    await_answers(env, &near, "/v1/call/t/x");
+    Sending sending = {env, &near, {0}};
+    atomic_store(&env->to_delay, 1);
     pthread_create(&thread, NULL, send_booking, &sending);
-    wait_for(&w->held, 1);
-    cut_links(near.rt);
+    wait_for(&env->delayed, 1);
+    shut_down_links(near.rt);
     pthread_join(thread, NULL);
     expect(&sending.reply, "unknown", "broken");
     GsReply_Clear(&sending.reply);
-    atomic_store(&w->release, true);
+    atomic_store(&env->release, true);
 
-    await_answers(w, &near, "/v1/call/t/x");
-    uint32_t runs = atomic_load(&w->runs);
+    await_answers(env, &near, "/v1/call/t/x");
+    uint32_t runs = atomic_load(&env->runs);
     uint64_t relays = GwCounter_Get(&near.rt->metrics.relays_out);
     shutdown(far.rt->net->listen_fd, SHUT_RDWR);
-    cut_links(near.rt);
+    shut_down_links(near.rt);
     send_booking(&sending);
     expect(&sending.reply, "not-run", NULL);
     cr_expect_gt(GwCounter_Get(&near.rt->metrics.relays_out), relays);
-    cr_expect_eq(atomic_load(&w->runs), runs);
+    cr_expect_eq(atomic_load(&env->runs), runs);
     GsReply_Clear(&sending.reply);
     FakeEntry_Stop(&near);
     FakeEntry_Stop(&far);
-    stop_world(w);
+    stop_env(env);
 }
 
-#define FEW ", \"caller_threads\": 8" SLOW
+#define FEW_THREADS ", \"caller_threads\": 8" LONG_TIMEOUTS
 
 static long
 get_status(const FakeEntry *e, GsClient *client, const char *path)
@@ -412,53 +413,53 @@
 }
 
 static void *
-send_held(void *arg)
+send_delayed(void *arg)
 {
     Sending *s = arg;
-    call(s->world, s->entry, "POST", NULL, &s->reply);
+    call(s->env, s->entry, "POST", NULL, &s->reply);
     return NULL;
 }
 
-/* Backend servers are slow, and calls wait. With every thread held by one,
- * callers could neither look up another entry nor see that this one lives.
- * So the calls above three of four threads are refused, surely not run. */
+/* Calls wait for slow backend servers. If they occupied every thread, callers
+ * could neither look up another entry nor check the health of this one. Calls
+ * beyond three of four threads are therefore refused as "not-run". */
 Test(runtime, waiting_calls_leave_threads_for_look_ups, .timeout = 30)
 {
     enum { WAITING = 6 };
-    World *w = start_world();
+    Env *env = start_env();
     FakeEntry e;
     GsReply refused;
     Sending sending[WAITING];
     pthread_t threads[WAITING];
 
-    FakeEntry_Start(&e, w->platform, "e0", "r0", FEW);
-    await_ready(w, &e);
-    atomic_store(&w->hold, 100);
+    FakeEntry_Start(&e, env->platform, "e0", "r0", FEW_THREADS);
+    await_ready(env, &e);
+    atomic_store(&env->to_delay, 100);
     for (uint32_t i = 0; i < WAITING; i++) {
-        sending[i] = (Sending){w, &e, {0}};
-        pthread_create(&threads[i], NULL, send_held, &sending[i]);
+        sending[i] = (Sending){env, &e, {0}};
+        pthread_create(&threads[i], NULL, send_delayed, &sending[i]);
     }
-    wait_for(&w->held, WAITING);
-    call(w, &e, "POST", NULL, &refused);
+    wait_for(&env->delayed, WAITING);
+    call(env, &e, "POST", NULL, &refused);
     expect(&refused, "not-run", "queue-full");
-    cr_expect_eq(atomic_load(&w->held), WAITING);
-    cr_expect_eq(get_status(&e, &w->client, "/v1/entries/s"), 200);
-    cr_expect_eq(get_status(&e, &w->client, "/v1/health"), 200);
+    cr_expect_eq(atomic_load(&env->delayed), WAITING);
+    cr_expect_eq(get_status(&e, &env->client, "/v1/entries/s"), 200);
+    cr_expect_eq(get_status(&e, &env->client, "/v1/health"), 200);
     GsReply_Clear(&refused);
-    atomic_store(&w->release, true);
+    atomic_store(&env->release, true);
     for (uint32_t i = 0; i < WAITING; i++) {
         pthread_join(threads[i], NULL);
         expect(&sending[i].reply, "answered", NULL);
         GsReply_Clear(&sending[i].reply);
     }
     FakeEntry_Stop(&e);
-    stop_world(w);
+    stop_env(env);
 }
 
-/* Asks for the health on a connection that stays open; whether the answer
- * says that the entry ends it. */
+/* Requests the health on a connection that stays open. Returns true if the
+ * answer announces that the entry closes the connection. */
 static bool
-ask_and_stay(const FakeEntry *e, int *fd)
+request_and_keep_open(const FakeEntry *e, int *fd)
 {
     static const char request[] = "GET /v1/health HTTP/1.1\r\nHost: x\r\n\r\n";
     struct sockaddr_storage to;
@@ -478,24 +479,24 @@
     return strstr(bytes, "Connection: close\r\n") != NULL;
 }
 
-/* Callers keep their connections open and idle. They must not hold every
- * thread, or the next caller waits until one of them is closed. */
-Test(runtime, idle_callers_leave_threads, .timeout = 30)
+/* Idle connections of callers must not occupy every thread, or the next caller
+ * waits until one of them closes. */
+Test(runtime, idle_callers_leave_free_threads, .timeout = 30)
 {
     enum { IDLE = 8, BOUND = 6 };
-    World *w = start_world();
+    Env *env = start_env();
     FakeEntry e;
     int fds[IDLE];
 
-    FakeEntry_Start(&e, w->platform, "e0", "r0", FEW);
-    await_ready(w, &e);
-    GsClient_Clear(&w->client);
-    GsClient_Init(&w->client);
+    FakeEntry_Start(&e, env->platform, "e0", "r0", FEW_THREADS);
+    await_ready(env, &e);
+    GsClient_Clear(&env->client);
+    GsClient_Init(&env->client);
     while (atomic_load(&e.rt->caller_connections) > 0) {
         g_usleep(200);
     }
     for (uint32_t i = 0; i < IDLE; i++) {
-        cr_expect_eq(ask_and_stay(&e, &fds[i]), i >= BOUND, "%u", i);
+        cr_expect_eq(request_and_keep_open(&e, &fds[i]), i >= BOUND, "%u", i);
         while (atomic_load(&e.rt->caller_connections) > BOUND) {
             g_usleep(200);
         }
@@ -504,5 +505,5 @@
         close(fds[i]);
     }
     FakeEntry_Stop(&e);
-    stop_world(w);
+    stop_env(env);
 }
