--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -154,7 +154,7 @@
     uint32_t status = 503;
     uint32_t draw =
         (uint32_t)GwCounter_Get(&rt->metrics.lookups) % GW_LOOKUP_DRAWS;
-    const Snapshot *snapshot = Snapshot_Enter(rt);
+    const Snapshot *snapshot = Snapshot_ReadLock(rt);
     if (snapshot != NULL && snapshot->config_version != 0) {
         const ServiceView *view = Snapshot_Service(snapshot, service);
         status = view != NULL ? 200 : 404;
@@ -164,7 +164,7 @@
                 out, view->entries[*self_first ? view->moving_draws : draw]);
         }
     }
-    Snapshot_Leave();
+    Snapshot_ReadUnlock();
     return status;
 }
 
@@ -297,14 +297,14 @@
                      uint64_t *config_version)
 {
     uint32_t max_ms = 0;
-    const Snapshot *snapshot = Snapshot_Enter(rt);
+    const Snapshot *snapshot = Snapshot_ReadLock(rt);
     *config_version = snapshot != NULL ? snapshot->config_version : 0;
     const ServiceView *view =
         snapshot != NULL ? Snapshot_Service(snapshot, service) : NULL;
     if (view != NULL) {
         max_ms = view->deadline_max_ms;
     }
-    Snapshot_Leave();
+    Snapshot_ReadUnlock();
     return max_ms;
 }
 
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -219,13 +219,13 @@
 copy_polled_backends(GwRuntime *rt, uint32_t *count, uint32_t *region_entries)
 {
     PolledBackend *backends = NULL;
-    const Snapshot *snapshot = Snapshot_Enter(rt);
+    const Snapshot *snapshot = Snapshot_ReadLock(rt);
     *count = snapshot != NULL ? snapshot->backend_count : 0;
     *region_entries = snapshot != NULL ? snapshot->region_entries : 0;
     if (*count > 0) {
         backends = g_memdup2(snapshot->backends, *count * sizeof(*backends));
     }
-    Snapshot_Leave();
+    Snapshot_ReadUnlock();
     return backends;
 }
 
--- a/lib/runtime/report.c
+++ b/lib/runtime/report.c
@@ -163,7 +163,7 @@
     char *text = NULL;
 
     Snapshot_RegisterThread();
-    const Snapshot *snapshot = Snapshot_Enter(rt);
+    const Snapshot *snapshot = Snapshot_ReadLock(rt);
     *version = 0;
     if (snapshot != NULL && snapshot->text != NULL) {
         gsize len;
@@ -171,7 +171,7 @@
         text = g_strndup(bytes, len);
         *version = snapshot->config_version;
     }
-    Snapshot_Leave();
+    Snapshot_ReadUnlock();
     Snapshot_UnregisterThread();
     return text;
 }
@@ -222,13 +222,13 @@
     char *text = NULL;
 
     Snapshot_RegisterThread();
-    const Snapshot *snapshot = Snapshot_Enter(rt);
+    const Snapshot *snapshot = Snapshot_ReadLock(rt);
     const ServiceView *view =
         snapshot != NULL ? Snapshot_Service(snapshot, service) : NULL;
     if (view != NULL) {
         text = g_strconcat(view->entries[view->moving_draws], "}", NULL);
     }
-    Snapshot_Leave();
+    Snapshot_ReadUnlock();
     Snapshot_UnregisterThread();
     return text;
 }
--- a/lib/runtime/runtime_internal.h
+++ b/lib/runtime/runtime_internal.h
@@ -160,11 +160,11 @@
 /* runtime.c */
 void Runtime_Step(GwRuntime *rt, const GwEvent *event);
 
-/* snapshot.c. A reader registers its thread once and calls Enter and Leave
- * around each use. */
+/* snapshot.c. A reader registers its thread once and encloses each use in
+ * a ReadLock and ReadUnlock pair. */
 void Snapshot_Publish(GwRuntime *rt); /* requires node_lock */
-const Snapshot *Snapshot_Enter(GwRuntime *rt);
-void Snapshot_Leave(void);
+const Snapshot *Snapshot_ReadLock(GwRuntime *rt);
+void Snapshot_ReadUnlock(void);
 void Snapshot_RegisterThread(void);
 void Snapshot_UnregisterThread(void);
 void Snapshot_FreeRetired(GwRuntime *rt); /* blocks; hold no lock */
--- a/lib/runtime/snapshot.c
+++ b/lib/runtime/snapshot.c
@@ -146,16 +146,16 @@
     pthread_mutex_unlock(&rt->retired_lock);
 }
 
-/* Returns NULL before the first publication. Valid until Snapshot_Leave. */
+/* Returns NULL before the first publication. Valid until Snapshot_ReadUnlock. */
 const Snapshot *
-Snapshot_Enter(GwRuntime *rt)
+Snapshot_ReadLock(GwRuntime *rt)
 {
     urcu_memb_read_lock();
     return __atomic_load_n(&rt->snapshot, __ATOMIC_ACQUIRE);
 }
 
 void
-Snapshot_Leave(void)
+Snapshot_ReadUnlock(void)
 {
     urcu_memb_read_unlock();
 }
