--- a/lib/platform/http.c
+++ b/lib/platform/http.c
@@ -4,8 +4,8 @@
 #include <pthread.h>
 #include <string.h>
 
-#define ANSWER_MAX (64u << 20)
-#define IDLE_MAX   8
+#define RESPONSE_MAX     (64u << 20) /* bytes */
+#define IDLE_HANDLES_MAX 8
 
 struct GwHttpClient_s {
     char *url;
@@ -25,7 +25,7 @@
     return client;
 }
 
-/* Requests must have ended. */
+/* All requests must have ended; NULL is allowed. */
 void
 GwHttpClient_Free(GwHttpClient *client)
 {
@@ -39,7 +39,7 @@
 }
 
 static CURL *
-take_handle(GwHttpClient *client)
+acquire_handle(GwHttpClient *client)
 {
     CURL *easy = NULL;
     pthread_mutex_lock(&client->mutex);
@@ -50,13 +50,13 @@
     return easy != NULL ? easy : curl_easy_init();
 }
 
-/* A handle whose exchange failed is dropped with its connection: one that
- * went silent for good would cost every later request a timeout. */
+/* Frees a handle whose exchange failed, with its connection: a connection
+ * whose peer no longer answers would cost every later request a timeout. */
 static void
-give_handle(GwHttpClient *client, CURL *easy, bool good)
+release_handle(GwHttpClient *client, CURL *easy, bool is_complete)
 {
     pthread_mutex_lock(&client->mutex);
-    if (good && client->idle->len < IDLE_MAX) {
+    if (is_complete && client->idle->len < IDLE_HANDLES_MAX) {
         g_ptr_array_add(client->idle, easy);
         easy = NULL;
     }
@@ -65,11 +65,11 @@
 }
 
 static size_t
-take_body(char *bytes, size_t size, size_t count, void *arg)
+append_body(char *bytes, size_t size, size_t count, void *arg)
 {
     GString *body = arg;
     size_t len = size * count;
-    if (body->len + len > ANSWER_MAX) {
+    if (body->len + len > RESPONSE_MAX) {
         return 0;
     }
     g_string_append_len(body, bytes, (gssize)len);
@@ -77,8 +77,8 @@
 }
 
 static void
-prepare(const GwHttpClient *client, CURL *easy, const GwHttpAsk *ask,
-        GString *body)
+set_options(const GwHttpClient *client, CURL *easy,
+            const GwHttpClientRequest *request, GString *body)
 {
     curl_easy_reset(easy);
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
@@ -86,44 +86,45 @@
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)client->timeout_ms);
-    curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, ask->method);
-    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, take_body);
+    curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request->method);
+    curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, body);
-    /* libcurl silently sends a request again when a reused connection turns
-     * out closed. A conditional write that took effect the first time would
-     * then read as a conflict, "nothing written". It never does so on a new
-     * connection. */
-    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, ask->once ? 1L : 0L);
-    if (ask->body != NULL) {
-        curl_easy_setopt(easy, CURLOPT_POSTFIELDS, ask->body);
-        curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, (long)ask->body_len);
+    /* libcurl resends a request without notice when a reused connection
+     * turns out to be closed. A conditional write that took effect the first
+     * time would then be reported as a conflict, as if nothing had been
+     * written. libcurl never resends on a new connection. */
+    curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, request->is_write ? 1L : 0L);
+    if (request->body != NULL) {
+        curl_easy_setopt(easy, CURLOPT_POSTFIELDS, request->body);
+        curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, (long)request->body_len);
     }
 }
 
 uint32_t
-GwHttpClient_Do(GwHttpClient *client, const GwHttpAsk *ask, GString *body)
+GwHttpClient_Do(GwHttpClient *client, const GwHttpClientRequest *request,
+                GString *body)
 {
-    CURL *easy = take_handle(client);
+    CURL *easy = acquire_handle(client);
     struct curl_slist *headers = NULL;
     long status = 0;
 
     if (easy == NULL) {
         return 0;
     }
-    char *url = g_strconcat(client->url, ask->path, NULL);
+    char *url = g_strconcat(client->url, request->path, NULL);
     headers = curl_slist_append(headers, "Expect:");
     headers = curl_slist_append(headers, "Content-Type: application/json");
-    if (ask->header != NULL) {
-        headers = curl_slist_append(headers, ask->header);
+    if (request->header != NULL) {
+        headers = curl_slist_append(headers, request->header);
     }
-    prepare(client, easy, ask, body);
+    set_options(client, easy, request, body);
     curl_easy_setopt(easy, CURLOPT_URL, url);
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
-    bool good = curl_easy_perform(easy) == CURLE_OK;
-    if (good) {
+    bool is_complete = curl_easy_perform(easy) == CURLE_OK;
+    if (is_complete) {
         curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
     }
-    give_handle(client, easy, good);
+    release_handle(client, easy, is_complete);
     curl_slist_free_all(headers);
     g_free(url);
     return (uint32_t)status;
--- a/lib/platform/list.c
+++ b/lib/platform/list.c
@@ -5,8 +5,8 @@
 #include <json-c/json.h>
 #include <string.h>
 
-#define LIST_ITEM_US       20000LL
-#define LIST_SHARED_MAX_US 15000000LL
+#define PERIOD_PER_ITEM_US   20000LL
+#define SCALED_PERIOD_MAX_US 15000000LL
 
 struct GwListClient_s {
     GwHttpClient *http;
@@ -20,7 +20,7 @@
     return client;
 }
 
-/* Reads must have ended; NULL is allowed. */
+/* All reads must have ended; NULL is allowed. */
 void
 GwListClient_Free(GwListClient *client)
 {
@@ -31,7 +31,6 @@
     g_free(client);
 }
 
-/* The event may be filled again afterwards. */
 void
 GwListEvent_Clear(GwListEvent *list)
 {
@@ -40,7 +39,7 @@
 }
 
 static bool
-get_text(json_object *item, const char *name, char *to, size_t room)
+read_text(json_object *item, const char *name, char *to, size_t size)
 {
     json_object *value = NULL;
     if (!json_object_is_type(item, json_type_object) ||
@@ -48,25 +47,25 @@
         !json_object_is_type(value, json_type_string)) {
         return false;
     }
-    return g_strlcpy(to, json_object_get_string(value), room) < room;
+    return g_strlcpy(to, json_object_get_string(value), size) < size;
 }
 
 static bool
-get_listed(json_object *item, GwListed *to)
+parse_item(json_object *item, GwListed *to)
 {
     char state[16];
-    if (!get_text(item, "name", to->name, GW_NAME_MAX) ||
-        !get_text(item, "peer_address", to->peer_address, GW_ADDR_MAX) ||
-        !get_text(item, "state", state, sizeof(state))) {
+    if (!read_text(item, "name", to->name, GW_NAME_MAX) ||
+        !read_text(item, "peer_address", to->peer_address, GW_ADDR_MAX) ||
+        !read_text(item, "state", state, sizeof(state))) {
         return false;
     }
     to->leaving = strcmp(state, "leaving") == 0;
     return true;
 }
 
-/* An item that breaks a bound is passed over; the others still count. */
+/* Skips items that lack a member or exceed a bound. */
 static GwResult
-get_list(json_object *root, GwListEvent *list)
+parse_list(json_object *root, GwListEvent *list)
 {
     json_object *items = NULL;
     if (!json_object_is_type(root, json_type_object) ||
@@ -78,7 +77,7 @@
     list->items = g_new0(GwListed, MIN(count, GW_LIST_MAX));
     for (size_t i = 0; i < count && list->count < GW_LIST_MAX; i++) {
         json_object *item = json_object_array_get_idx(items, i);
-        if (get_listed(item, &list->items[list->count])) {
+        if (parse_item(item, &list->items[list->count])) {
             list->count++;
         }
     }
@@ -88,27 +87,27 @@
 GwResult
 GwListClient_Read(GwListClient *client, GwListEvent *list)
 {
-    GwHttpAsk ask = {.method = "GET", .path = "/instances"};
+    GwHttpClientRequest request = {.method = "GET", .path = "/instances"};
     GString *body = g_string_new(NULL);
     GwResult r = GW_ERR(STORE_AWAY);
 
     *list = (GwListEvent){0};
-    if (GwHttpClient_Do(client->http, &ask, body) == 200) {
+    if (GwHttpClient_Do(client->http, &request, body) == 200) {
         json_object *root = json_tokener_parse(body->str);
-        r = get_list(root, list);
+        r = parse_list(root, list);
         json_object_put(root);
     }
     g_string_free(body, TRUE);
     return r;
 }
 
-/* Leaving entries announce themselves and the dead are found by probes, so
- * the list of a large system may lag; a reclaim wants one that is less than
- * 30 s old. */
+/* The list of a large system may lag: leaving entries announce themselves and
+ * probes detect failed ones. A reclaim of seats requires a list that is less
+ * than 30 s old. */
 int64_t
 GwList_PeriodUs(uint32_t poll_ms, uint32_t count)
 {
-    int64_t shared_us = MIN(count * LIST_ITEM_US, LIST_SHARED_MAX_US);
+    int64_t scaled_us = MIN(count * PERIOD_PER_ITEM_US, SCALED_PERIOD_MAX_US);
 
-    return MAX((int64_t)poll_ms * 1000, shared_us);
+    return MAX((int64_t)poll_ms * 1000, scaled_us);
 }
--- a/lib/platform/list.h
+++ b/lib/platform/list.h
@@ -8,12 +8,14 @@
 
 GwListClient *GwListClient_Create(const char *url, uint32_t timeout_ms);
 void GwListClient_Free(GwListClient *client);
-/* Reads the list; GW_ERR(STORE_AWAY) or GW_ERR(PARSE) leave it empty. Any
- * thread. */
+/* Reads the list and returns its length; GW_ERR(STORE_AWAY) and
+ * GW_ERR(PARSE) leave it empty. Thread-safe. */
 GwResult GwListClient_Read(GwListClient *client, GwListEvent *list);
-/* The time to the next reading after one of `count` items: a reading costs by
- * their number, and as many entries read. */
+/* Returns the interval between readings of a list of `count` items, at least
+ * `poll_ms`. The interval grows with `count`, because both the cost of a
+ * reading and the number of entries that read the list grow with it. */
 int64_t GwList_PeriodUs(uint32_t poll_ms, uint32_t count);
+/* Frees what the list owns and empties it. */
 void GwListEvent_Clear(GwListEvent *list);
 
 #endif
--- a/lib/platform/objects.c
+++ b/lib/platform/objects.c
@@ -16,7 +16,7 @@
     return client;
 }
 
-/* Requests must have ended; NULL is allowed. */
+/* All requests must have ended; NULL is allowed. */
 void
 GwObjectClient_Free(GwObjectClient *client)
 {
@@ -36,22 +36,22 @@
     return path;
 }
 
-/* Never overwrites: two writers of one name have one winner. */
+/* Never overwrites: of several writers of a name at most one succeeds. */
 GwResult
 GwObjectClient_Put(GwObjectClient *client, const char *name, const char *data,
                    uint32_t len)
 {
     char *path = object_path(name);
     GString *body = g_string_new(NULL);
-    GwHttpAsk ask = {
+    GwHttpClientRequest request = {
         .method = "PUT",
         .path = path,
         .header = "If-None-Match: *",
         .body = data,
         .body_len = len,
-        .once = true,
+        .is_write = true,
     };
-    uint32_t status = GwHttpClient_Do(client->http, &ask, body);
+    uint32_t status = GwHttpClient_Do(client->http, &request, body);
     g_string_free(body, TRUE);
     g_free(path);
     if (status == 412) {
@@ -65,8 +65,8 @@
 {
     char *path = object_path(name);
     GString *body = g_string_new(NULL);
-    GwHttpAsk ask = {.method = "GET", .path = path};
-    uint32_t status = GwHttpClient_Do(client->http, &ask, body);
+    GwHttpClientRequest request = {.method = "GET", .path = path};
+    uint32_t status = GwHttpClient_Do(client->http, &request, body);
     g_free(path);
     if (status != 200) {
         g_string_free(body, TRUE);
@@ -77,9 +77,9 @@
     return r;
 }
 
-/* Rows without a name are passed over; the others still count. */
+/* Skips rows without a name. */
 static GwResult
-get_names(json_object *root, GPtrArray *names)
+parse_names(json_object *root, GPtrArray *names)
 {
     json_object *rows = NULL;
 
@@ -107,12 +107,12 @@
     char *escaped = GwHttp_Escape(prefix);
     char *path = g_strconcat("/objects?prefix=", escaped, NULL);
     GString *body = g_string_new(NULL);
-    GwHttpAsk ask = {.method = "GET", .path = path};
+    GwHttpClientRequest request = {.method = "GET", .path = path};
     GwResult r = GW_ERR(STORE_AWAY);
 
-    if (GwHttpClient_Do(client->http, &ask, body) == 200) {
+    if (GwHttpClient_Do(client->http, &request, body) == 200) {
         json_object *root = json_tokener_parse(body->str);
-        r = get_names(root, names);
+        r = parse_names(root, names);
         json_object_put(root);
     }
     g_string_free(body, TRUE);
--- a/lib/platform/objects.h
+++ b/lib/platform/objects.h
@@ -10,16 +10,17 @@
 
 GwObjectClient *GwObjectClient_Create(const char *url, uint32_t timeout_ms);
 void GwObjectClient_Free(GwObjectClient *client);
-/* Creates the object. GW_ERR(CONFLICT) when it exists already;
- * GW_ERR(STORE_AWAY) on any doubt, when it may have been written. */
+/* Creates an object. GW_ERR(CONFLICT): the object exists already.
+ * GW_ERR(STORE_AWAY): not confirmed, the object may have been written. */
 GwResult GwObjectClient_Put(GwObjectClient *client, const char *name,
                             const char *data, uint32_t len);
-/* Reads an object; the number of bytes, `data` is freed with g_free. */
+/* Reads an object into `data`, for g_free, and returns its length in bytes.
+ * GW_ERR(NOT_FOUND) or GW_ERR(STORE_AWAY) leave `data` unset. */
 GwResult GwObjectClient_Read(GwObjectClient *client, const char *name,
                              char **data);
 
-/* Appends the names that begin with `prefix` to `names`, each freed with
- * g_free; their number. */
+/* Appends the names that begin with `prefix` to `names`, each for g_free, and
+ * returns the length of `names`. GW_ERR(STORE_AWAY) or GW_ERR(PARSE). */
 GwResult GwObjectClient_List(GwObjectClient *client, const char *prefix,
                              GPtrArray *names);
 
--- a/lib/platform/snapshots.c
+++ b/lib/platform/snapshots.c
@@ -17,14 +17,14 @@
 }
 
 static int
-newest_first(const void *a, const void *b)
+compare_newest_first(const void *a, const void *b)
 {
     uint64_t left = *(const uint64_t *)a;
     uint64_t right = *(const uint64_t *)b;
     return left < right ? 1 : left > right ? -1 : 0;
 }
 
-/* Versions of the snapshots that there are, newest first. */
+/* Lists the versions that have a snapshot, newest first. */
 static GwResult
 list_versions(GwObjectClient *objects, uint64_t at_most, GArray *versions)
 {
@@ -40,12 +40,12 @@
         }
     }
     g_ptr_array_free(names, TRUE);
-    g_array_sort(versions, newest_first);
+    g_array_sort(versions, compare_newest_first);
     return r;
 }
 
 static GwResult
-read_one(GwObjectClient *objects, uint64_t version, GwSnapshot *out)
+read_snapshot(GwObjectClient *objects, uint64_t version, GwSnapshot *out)
 {
     char name[GW_SNAPSHOT_NAME_MAX];
     char *bytes = NULL;
@@ -70,17 +70,17 @@
 {
     GArray *versions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GwResult r = list_versions(objects, at_most, versions);
-    bool listed = !GwResult_IsError(r);
+    bool is_listed = !GwResult_IsError(r);
 
     *damaged = 0;
-    for (guint i = 0; listed && i < versions->len; i++) {
-        r = read_one(objects, g_array_index(versions, uint64_t, i), out);
+    for (guint i = 0; is_listed && i < versions->len; i++) {
+        r = read_snapshot(objects, g_array_index(versions, uint64_t, i), out);
         if (r != GW_ERR(CORRUPT)) {
             break;
         }
         (*damaged)++;
     }
-    if (listed && (versions->len == 0 || r == GW_ERR(CORRUPT))) {
+    if (is_listed && (versions->len == 0 || r == GW_ERR(CORRUPT))) {
         r = GW_ERR(NOT_FOUND);
     }
     g_array_free(versions, TRUE);
--- a/lib/platform/table.c
+++ b/lib/platform/table.c
@@ -20,7 +20,7 @@
     return client;
 }
 
-/* Requests must have ended; NULL is allowed. */
+/* All requests must have ended; NULL is allowed. */
 void
 GwTableClient_Free(GwTableClient *client)
 {
@@ -31,7 +31,6 @@
     g_free(client);
 }
 
-/* The reply may be filled again afterwards. */
 void
 GwTableReply_Clear(GwTableReply *reply)
 {
@@ -42,9 +41,9 @@
     *reply = (GwTableReply){0};
 }
 
-/* A member of the wanted type, or NULL. */
+/* Returns a member of the given type, or NULL. */
 static json_object *
-member(json_object *object, const char *name, json_type type)
+get_member(json_object *object, const char *name, json_type type)
 {
     json_object *value = NULL;
     if (!json_object_is_type(object, json_type_object) ||
@@ -56,11 +55,11 @@
 }
 
 static bool
-get_row(json_object *from, GwRow *to)
+parse_row(json_object *from, GwRow *to)
 {
-    json_object *key = member(from, "key", json_type_string);
-    json_object *version = member(from, "version", json_type_int);
-    json_object *value = member(from, "value", json_type_string);
+    json_object *key = get_member(from, "key", json_type_string);
+    json_object *version = get_member(from, "version", json_type_int);
+    json_object *value = get_member(from, "value", json_type_string);
     if (key == NULL || version == NULL ||
         json_object_get_string_len(key) >= GW_ROW_KEY_MAX) {
         return false;
@@ -75,9 +74,9 @@
 }
 
 static bool
-get_rows(json_object *root, GwTableReply *reply)
+parse_rows(json_object *root, GwTableReply *reply)
 {
-    json_object *rows = member(root, "rows", json_type_array);
+    json_object *rows = get_member(root, "rows", json_type_array);
     if (rows == NULL || json_object_array_length(rows) > ROWS_MAX) {
         return false;
     }
@@ -85,7 +84,7 @@
     reply->rows = g_new0(GwRow, count);
     for (size_t i = 0; i < count; i++) {
         reply->row_count++;
-        if (!get_row(json_object_array_get_idx(rows, i), &reply->rows[i])) {
+        if (!parse_row(json_object_array_get_idx(rows, i), &reply->rows[i])) {
             return false;
         }
     }
@@ -93,10 +92,10 @@
 }
 
 static bool
-get_versions(json_object *root, const GwTableRequest *request,
-             GwTableReply *reply)
+parse_versions(json_object *root, const GwTableRequest *request,
+               GwTableReply *reply)
 {
-    json_object *versions = member(root, "versions", json_type_array);
+    json_object *versions = get_member(root, "versions", json_type_array);
     if (versions == NULL ||
         json_object_array_length(versions) != request->row_count) {
         return false;
@@ -111,7 +110,7 @@
     return true;
 }
 
-/* An absent row is DONE with version 0. */
+/* An absent row gives DONE with version 0. */
 static void
 interpret_get(const GwTableRequest *request, uint32_t http_status,
               json_object *root, GwTableReply *reply)
@@ -122,26 +121,26 @@
     reply->rows = g_new0(GwRow, 1);
     reply->row_count = 1;
     g_strlcpy(reply->rows[0].key, request->rows[0].key, GW_ROW_KEY_MAX);
-    if (http_status == 404 || get_row(root, &reply->rows[0])) {
+    if (http_status == 404 || parse_row(root, &reply->rows[0])) {
         reply->status = GW_TABLE_DONE;
     }
 }
 
-/* Only a whole 200 says that it was written and only a whole 409 that it was
- * not. Anything else, a 500 included, leaves the writer in doubt: it reads
- * the rows back before it builds on either. */
+/* Only a complete 200 proves that the transaction was written and only a
+ * complete 409 that it was not. After any other response, a 500 included, the
+ * outcome is unknown: the writer must read the rows back. */
 static void
 interpret_txn(const GwTableRequest *request, uint32_t http_status,
               json_object *root, GwTableReply *reply)
 {
-    if (http_status == 200 && get_versions(root, request, reply)) {
+    if (http_status == 200 && parse_versions(root, request, reply)) {
         reply->status = GW_TABLE_DONE;
     }
     else if (http_status == 409 && root != NULL) {
         reply->status = GW_TABLE_CONFLICT;
         reply->rows = g_new0(GwRow, 1);
         reply->row_count = 1;
-        get_row(root, &reply->rows[0]);
+        parse_row(root, &reply->rows[0]);
     }
 }
 
@@ -153,7 +152,7 @@
 
     switch (request->op) {
     case GW_TABLE_LIST:
-        if (http_status == 200 && get_rows(root, reply)) {
+        if (http_status == 200 && parse_rows(root, reply)) {
             reply->status = GW_TABLE_DONE;
         }
         break;
@@ -168,7 +167,7 @@
 }
 
 static char *
-txn_text(const GwTableRequest *request)
+encode_txn(const GwTableRequest *request)
 {
     json_object *root = json_object_new_object();
     json_object *rows = json_object_new_array();
@@ -192,7 +191,7 @@
 }
 
 static char *
-path_of(const GwTableRequest *request)
+request_path(const GwTableRequest *request)
 {
     if (request->op == GW_TABLE_TXN) {
         return g_strdup("/table/txn");
@@ -206,25 +205,25 @@
     return path;
 }
 
-/* Retries nothing: what to do about a lost answer is the asker's. */
+/* Never retries: handling of a lost response is left to the requester. */
 void
 GwTableClient_Do(GwTableClient *client, const GwTableRequest *request,
                  GwTableReply *reply)
 {
-    bool txn = request->op == GW_TABLE_TXN;
+    bool is_txn = request->op == GW_TABLE_TXN;
     GString *body = g_string_new(NULL);
-    char *path = path_of(request);
-    char *text = txn ? txn_text(request) : NULL;
-    GwHttpAsk ask = {
-        .method = txn ? "POST" : "GET",
+    char *path = request_path(request);
+    char *text = is_txn ? encode_txn(request) : NULL;
+    GwHttpClientRequest http_request = {
+        .method = is_txn ? "POST" : "GET",
         .path = path,
         .body = text,
-        .body_len = txn ? strlen(text) : 0,
-        .once = txn,
+        .body_len = is_txn ? strlen(text) : 0,
+        .is_write = is_txn,
     };
 
     *reply = (GwTableReply){.token = request->token, .status = GW_TABLE_LOST};
-    uint32_t http_status = GwHttpClient_Do(client->http, &ask, body);
+    uint32_t http_status = GwHttpClient_Do(client->http, &http_request, body);
     GwTable_Interpret(request, http_status, body->str, reply);
     if (reply->status == GW_TABLE_LOST) {
         GwTableReply_Clear(reply);
--- a/lib/platform/table.h
+++ b/lib/platform/table.h
@@ -6,14 +6,15 @@
 
 typedef struct GwTableClient_s GwTableClient;
 
-/* url: base of the platform's HTTP, such as http://127.0.0.1:7900. */
+/* url: base address of the platform, such as http://127.0.0.1:7900. */
 GwTableClient *GwTableClient_Create(const char *url, uint32_t timeout_ms);
 void GwTableClient_Free(GwTableClient *client);
-/* Blocks up to the timeout; any thread. Fills `reply`, with LOST on any
- * doubt. A TXN in conflict has one row: the key and its present version. */
+/* Runs a request; blocks up to the timeout. Thread-safe. Fills `reply`, whose
+ * status is LOST when the outcome is unknown. The reply to a TXN in conflict
+ * has one row: the conflicting key and its present version. */
 void GwTableClient_Do(GwTableClient *client, const GwTableRequest *request,
                       GwTableReply *reply);
-/* Frees what a reply owns. */
+/* Frees what the reply owns and resets it. */
 void GwTableReply_Clear(GwTableReply *reply);
 
 #endif
--- a/lib/platform/table_internal.h
+++ b/lib/platform/table_internal.h
@@ -1,12 +1,13 @@
-/* What an answer of the table service means; apart, so that it can be tested
- * without a server. */
+/* Interpretation of responses of the table service, separate from HTTP for
+ * tests without a server. */
 #ifndef GW_PLATFORM_TABLE_INTERNAL_H
 #define GW_PLATFORM_TABLE_INTERNAL_H
 
 #include "platform/table.h"
 
-/* `reply` comes in as LOST and stays so on any doubt; then it may own rows
- * nevertheless. http_status 0: no whole answer came. */
+/* Fills `reply` from a response. Its status must be LOST on entry and remains
+ * LOST when the outcome is unknown; the reply may own rows even then.
+ * http_status 0: no complete response arrived. */
 void GwTable_Interpret(const GwTableRequest *request, uint32_t http_status,
                        const char *text, GwTableReply *reply);
 
