--- a/lib/admin/explain.c
+++ b/lib/admin/explain.c
@@ -8,54 +8,58 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A view of the servers that nobody confirmed for so long is named: polls of
- * the store come back every 6 s though nothing has changed. */
-#define OLD_NEWS_MS 8000
-/* What an entry noticed of a server is told with a request's line when it was
- * at most so long before. */
-#define NOTICED_MS 10000
-
+/* Above this age the server list of an entry is reported as stale. Must be
+ * longer than 6 s: a poll of the store returns after that time when nothing has
+ * changed. */
+#define SERVER_LIST_STALE_MS 8000
+/* A change of a server is noted at a line of the request that follows within
+ * this time. */
+#define SERVER_CHANGE_SHOWN_MS 10000
+
+/* The last change of a server that an entry logged. */
 typedef struct {
     int64_t at_ms;
     const char *what;
-} Notice;
+} ServerChange;
 
-/* What one entry believed, as of the last line that was read of it. */
+/* State of one entry as of the last line read from its log. */
 typedef struct {
     int64_t version;
-    int64_t away_since_ms; /* the store does not answer; 0: it does */
-    int64_t leaving_since_ms;
-    GHashTable *servers; /* id -> Notice */
-} Beliefs;
+    int64_t unavailable_since_ms; /* of the store; 0: available */
+    int64_t stopping_since_ms;    /* 0: no graceful stop */
+    GHashTable *servers;          /* id -> ServerChange */
+} EntryState;
 
+/* A log line of the request. */
 typedef struct {
     int64_t time_ms;
     uint32_t event;
     char *source;
     GHashTable *fields;
-    GPtrArray *notes; /* texts */
+    GPtrArray *notes; /* char * */
 } Step;
 
+/* A configuration version that came into force at an entry. */
 typedef struct {
     int64_t time_ms;
     int64_t version;
     char *source;
-} Taken;
+} Activation;
 
 struct GwExplain_s {
     char *id;
-    GHashTable *beliefs; /* source -> Beliefs */
-    GPtrArray *steps;    /* Step */
-    GArray *taken;       /* Taken: when which entry had which version */
+    GHashTable *entry_states; /* source -> EntryState */
+    GPtrArray *steps;         /* Step * */
+    GArray *activations;      /* Activation */
 };
 
 static void
-free_beliefs(gpointer item)
+free_entry_state(gpointer item)
 {
-    Beliefs *b = item;
+    EntryState *state = item;
 
-    g_hash_table_destroy(b->servers);
-    g_free(b);
+    g_hash_table_destroy(state->servers);
+    g_free(state);
 }
 
 static void
@@ -70,9 +74,9 @@
 }
 
 static void
-clear_taken(gpointer item)
+clear_activation(gpointer item)
 {
-    g_free(((Taken *)item)->source);
+    g_free(((Activation *)item)->source);
 }
 
 GwExplain *
@@ -81,11 +85,11 @@
     GwExplain *ex = g_new0(GwExplain, 1);
 
     ex->id = g_strdup(request_id);
-    ex->beliefs =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_beliefs);
+    ex->entry_states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                             free_entry_state);
     ex->steps = g_ptr_array_new_with_free_func(free_step);
-    ex->taken = g_array_new(FALSE, FALSE, sizeof(Taken));
-    g_array_set_clear_func(ex->taken, clear_taken);
+    ex->activations = g_array_new(FALSE, FALSE, sizeof(Activation));
+    g_array_set_clear_func(ex->activations, clear_activation);
     return ex;
 }
 
@@ -96,15 +100,15 @@
         return;
     }
     g_free(ex->id);
-    g_hash_table_destroy(ex->beliefs);
+    g_hash_table_destroy(ex->entry_states);
     g_ptr_array_free(ex->steps, TRUE);
-    g_array_free(ex->taken, TRUE);
+    g_array_free(ex->activations, TRUE);
     g_free(ex);
 }
 
 /* ---- Reading a line ------------------------------------------------------ */
 
-/* key=value words; a value in quotes may hold blanks. */
+/* Parses key=value words; a quoted value may contain spaces. */
 static GHashTable *
 read_fields(const char *text)
 {
@@ -130,7 +134,7 @@
 }
 
 static const char *
-field(GHashTable *fields, const char *key)
+field_text(GHashTable *fields, const char *key)
 {
     const char *value = g_hash_table_lookup(fields, key);
 
@@ -138,92 +142,95 @@
 }
 
 static int64_t
-number(GHashTable *fields, const char *key)
+field_number(GHashTable *fields, const char *key)
 {
-    return g_ascii_strtoll(field(fields, key), NULL, 10);
+    return g_ascii_strtoll(field_text(fields, key), NULL, 10);
 }
 
-static Beliefs *
-beliefs_of(GwExplain *ex, const char *source)
+static EntryState *
+entry_state_of(GwExplain *ex, const char *source)
 {
-    Beliefs *b = g_hash_table_lookup(ex->beliefs, source);
+    EntryState *state = g_hash_table_lookup(ex->entry_states, source);
 
-    if (b == NULL) {
-        b = g_new0(Beliefs, 1);
-        b->servers =
+    if (state == NULL) {
+        state = g_new0(EntryState, 1);
+        state->servers =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-        g_hash_table_insert(ex->beliefs, g_strdup(source), b);
+        g_hash_table_insert(ex->entry_states, g_strdup(source), state);
     }
-    return b;
+    return state;
 }
 
 static void
-notice_server(Beliefs *b, GHashTable *fields, int64_t time_ms,
-              const char *what)
+record_server_change(EntryState *state, GHashTable *fields, int64_t time_ms,
+                     const char *what)
 {
-    Notice *notice = g_new(Notice, 1);
+    ServerChange *change = g_new(ServerChange, 1);
 
-    *notice = (Notice){.at_ms = time_ms, .what = what};
-    g_hash_table_replace(b->servers, g_strdup(field(fields, "server")),
-                         notice);
+    *change = (ServerChange){.at_ms = time_ms, .what = what};
+    g_hash_table_replace(state->servers,
+                         g_strdup(field_text(fields, "server")), change);
 }
 
 static void
-take_version(GwExplain *ex, Beliefs *b, const char *source, int64_t time_ms,
-             GHashTable *fields)
+record_activation(GwExplain *ex, EntryState *state, const char *source,
+                  int64_t time_ms, GHashTable *fields)
 {
-    Taken taken = {.time_ms = time_ms,
-                   .version = number(fields, "version"),
-                   .source = g_strdup(source)};
+    Activation activation = {.time_ms = time_ms,
+                             .version = field_number(fields, "version"),
+                             .source = g_strdup(source)};
 
-    b->version = taken.version;
-    g_array_append_val(ex->taken, taken);
+    state->version = activation.version;
+    g_array_append_val(ex->activations, activation);
 }
 
-/* Follows what the entry believes. */
+/* Updates the state of the entry that logged the line. */
 static void
-follow(GwExplain *ex, const char *source, uint32_t event, int64_t time_ms,
-       GHashTable *fields)
+update_entry_state(GwExplain *ex, const char *source, uint32_t event,
+                   int64_t time_ms, GHashTable *fields)
 {
-    Beliefs *b = beliefs_of(ex, source);
+    EntryState *state = entry_state_of(ex, source);
 
     switch (event) {
     case GW_LOG_START:
-        b->version = 0;
-        b->away_since_ms = 0;
-        b->leaving_since_ms = 0;
-        g_hash_table_remove_all(b->servers);
+        state->version = 0;
+        state->unavailable_since_ms = 0;
+        state->stopping_since_ms = 0;
+        g_hash_table_remove_all(state->servers);
         break;
     case GW_LOG_STOP_BEGIN:
-        b->leaving_since_ms = time_ms;
+        state->stopping_since_ms = time_ms;
         break;
     case GW_LOG_CONFIG_IN_FORCE:
-        take_version(ex, b, source, time_ms, fields);
+        record_activation(ex, state, source, time_ms, fields);
         break;
     case GW_LOG_STORE_AWAY:
-        b->away_since_ms = b->away_since_ms != 0 ? b->away_since_ms : time_ms;
+        state->unavailable_since_ms = state->unavailable_since_ms != 0
+                                          ? state->unavailable_since_ms
+                                          : time_ms;
         break;
     case GW_LOG_STORE_BACK:
-        b->away_since_ms = 0;
+        state->unavailable_since_ms = 0;
         break;
     case GW_LOG_BACKEND_EJECTED:
-        notice_server(b, fields, time_ms, "was passed over");
+        record_server_change(state, fields, time_ms, "was ejected");
         break;
     case GW_LOG_BACKEND_BACK:
-        notice_server(b, fields, time_ms, "answered well again");
+        record_server_change(state, fields, time_ms, "was readmitted");
         break;
     case GW_LOG_BACKEND_DRAINING:
-        notice_server(b, fields, time_ms, "was said to drain");
+        record_server_change(state, fields, time_ms, "started to drain");
         break;
     case GW_LOG_BACKEND_GONE:
-        notice_server(b, fields, time_ms, "left the registry");
+        record_server_change(state, fields, time_ms,
+                             "was removed from the registry");
         break;
     default:
         break;
     }
 }
 
-/* ---- What was wrong at a step -------------------------------------------- */
+/* ---- Notes --------------------------------------------------------------- */
 
 static void add_note(Step *step, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
@@ -239,42 +246,45 @@
 }
 
 static void
-note_beliefs(Step *step, const Beliefs *b)
+note_entry_state(Step *step, const EntryState *state)
 {
-    const char *server = field(step->fields, "server");
-    const Notice *notice = g_hash_table_lookup(b->servers, server);
-    int64_t news_ms = number(step->fields, "news_ms");
+    const char *server = field_text(step->fields, "server");
+    const ServerChange *change = g_hash_table_lookup(state->servers, server);
+    int64_t list_age_ms = field_number(step->fields, "news_ms");
 
-    if (b->away_since_ms != 0) {
+    if (state->unavailable_since_ms != 0) {
         add_note(step, "stale: the store had not answered for %" PRId64 " ms",
-                 step->time_ms - b->away_since_ms);
+                 step->time_ms - state->unavailable_since_ms);
     }
-    if (news_ms > OLD_NEWS_MS) {
-        add_note(step, "stale: no news of the servers for %" PRId64 " ms",
-                 news_ms);
+    if (list_age_ms > SERVER_LIST_STALE_MS) {
+        add_note(step, "stale: no update of the servers for %" PRId64 " ms",
+                 list_age_ms);
     }
-    if (b->leaving_since_ms != 0) {
-        add_note(step, "the entry was leaving for %" PRId64 " ms",
-                 step->time_ms - b->leaving_since_ms);
+    if (state->stopping_since_ms != 0) {
+        add_note(step, "the entry had been stopping for %" PRId64 " ms",
+                 step->time_ms - state->stopping_since_ms);
     }
-    if (notice != NULL && step->time_ms - notice->at_ms <= NOTICED_MS) {
-        add_note(step, "%s %s %" PRId64 " ms before", server, notice->what,
-                 step->time_ms - notice->at_ms);
+    if (change != NULL &&
+        step->time_ms - change->at_ms <= SERVER_CHANGE_SHOWN_MS) {
+        add_note(step, "%s %s %" PRId64 " ms before", server, change->what,
+                 step->time_ms - change->at_ms);
     }
 }
 
-/* Whether another entry had a newer configuration by then. */
+/* Notes the first newer configuration that was in force elsewhere before. */
 static void
-note_version(const GwExplain *ex, Step *step)
+note_newer_version(const GwExplain *ex, Step *step)
 {
-    int64_t version = number(step->fields, "config");
-    const Taken *newer = NULL;
-
-    for (guint i = 0; version != 0 && i < ex->taken->len; i++) {
-        const Taken *t = &g_array_index(ex->taken, Taken, i);
-        if (t->version > version && t->time_ms < step->time_ms &&
-            (newer == NULL || t->time_ms < newer->time_ms)) {
-            newer = t;
+    int64_t version = field_number(step->fields, "config");
+    const Activation *newer = NULL;
+
+    for (guint i = 0; version != 0 && i < ex->activations->len; i++) {
+        const Activation *activation =
+            &g_array_index(ex->activations, Activation, i);
+        if (activation->version > version &&
+            activation->time_ms < step->time_ms &&
+            (newer == NULL || activation->time_ms < newer->time_ms)) {
+            newer = activation;
         }
     }
     if (newer != NULL) {
@@ -300,21 +310,21 @@
                        : word != NULL    ? word + 1
                                          : prefix;
     GHashTable *fields = read_fields(start);
-    uint32_t event = (uint32_t)number(fields, "event");
-    int64_t time_ms = number(fields, "time_ms");
+    uint32_t event = (uint32_t)field_number(fields, "event");
+    int64_t time_ms = field_number(fields, "time_ms");
 
-    if (strcmp(field(fields, "request"), ex->id) == 0) {
+    if (strcmp(field_text(fields, "request"), ex->id) == 0) {
         Step *step = g_new0(Step, 1);
         step->time_ms = time_ms;
         step->event = event;
         step->source = g_strdup(name);
         step->fields = g_hash_table_ref(fields);
         step->notes = g_ptr_array_new_with_free_func(g_free);
-        note_beliefs(step, beliefs_of(ex, name));
+        note_entry_state(step, entry_state_of(ex, name));
         g_ptr_array_add(ex->steps, step);
     }
     else {
-        follow(ex, name, event, time_ms, fields);
+        update_entry_state(ex, name, event, time_ms, fields);
     }
     g_hash_table_unref(fields);
     g_free(prefix);
@@ -331,39 +341,42 @@
 typedef struct {
     const char *why;
     const char *text;
-} Meaning;
+} ReplyReason;
 
-/* Of an answer of our own. */
-static const Meaning meanings[] = {
-    {"no-config", "the entry knew no configuration yet"},
+/* Reasons of replies that an entry generated. */
+static const ReplyReason reply_reasons[] = {
+    {"no-config", "the entry had no configuration yet"},
     {"no-route", "no route of the configuration matches it"},
-    {"no-server", "no server of the service might take it"},
+    {"no-server", "no server of the service was eligible"},
     {"no-room", "even the best server would have answered too late"},
-    {"no-retry", "every attempt was refused or met no server, and none was "
-                 "left"},
-    {"timeout", "it was sent, and its time was over before an answer came"},
-    {"time-unsent", "its time was over before a server was free"},
-    {"broken", "it was sent, and no whole answer came; it was not sent again"},
+    {"no-retry",
+     "every attempt was refused or found no server, and no attempt "
+     "was left"},
+    {"timeout",
+     "it was sent, and its deadline passed before an answer arrived"},
+    {"time-unsent", "its deadline passed before a server was free"},
+    {"broken",
+     "it was sent, and no complete answer arrived; it was not retried"},
 };
 
 static const char *
-meaning_of(const char *why)
+reply_reason_text(const char *why)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(meanings); i++) {
-        if (strcmp(meanings[i].why, why) == 0) {
-            return meanings[i].text;
+    for (size_t i = 0; i < G_N_ELEMENTS(reply_reasons); i++) {
+        if (strcmp(reply_reasons[i].why, why) == 0) {
+            return reply_reasons[i].text;
         }
     }
-    return "for a reason that this program does not know";
+    return "for a reason unknown to this program";
 }
 
-/* The status says whether it may have run, the reason why there was no
- * further attempt. */
+/* The status gives whether the request may have run, the reason why no further
+ * attempt followed. */
 static void
 conclude_reply(const Step *step, GString *out)
 {
-    const char *why = field(step->fields, "why");
-    int64_t status = number(step->fields, "status");
+    const char *why = field_text(step->fields, "why");
+    int64_t status = field_number(step->fields, "status");
     bool sent = strcmp(why, "timeout") == 0 || strcmp(why, "broken") == 0;
 
     if (status == 503) {
@@ -374,44 +387,45 @@
                                   : "unknown: an attempt may have run it; for "
                                     "another, ");
     }
-    g_string_append(out, meaning_of(why));
+    g_string_append(out, reply_reason_text(why));
 }
 
-/* Why an answer took its time. */
+/* Describes an answer by a server, with the likely causes of its latency. */
 static void
 conclude_answer(const Step *step, GString *out)
 {
-    int64_t took_ms = number(step->fields, "took_ms");
-    int64_t waited_ms = number(step->fields, "waited_ms");
+    int64_t took_ms = field_number(step->fields, "took_ms");
+    int64_t waited_ms = field_number(step->fields, "waited_ms");
 
     g_string_append_printf(out, "answered by %s with %s after %" PRId64 " ms",
-                           field(step->fields, "server"),
-                           field(step->fields, "status"), took_ms);
+                           field_text(step->fields, "server"),
+                           field_text(step->fields, "status"), took_ms);
     if (waited_ms * 2 > took_ms) {
         g_string_append_printf(out, ", %" PRId64 " of them waiting for a slot",
                                waited_ms);
     }
-    if (number(step->fields, "far")) {
+    if (field_number(step->fields, "far")) {
         g_string_append(out, ", in another region");
     }
-    if (!number(step->fields, "warm")) {
-        g_string_append(out, ", by a server that did not hold its object");
+    if (!field_number(step->fields, "warm")) {
+        g_string_append(out,
+                        ", by a server that did not have its object cached");
     }
-    if (number(step->fields, "attempts") > 1) {
+    if (field_number(step->fields, "attempts") > 1) {
         g_string_append_printf(out, ", at attempt %s",
-                               field(step->fields, "attempts"));
+                               field_text(step->fields, "attempts"));
     }
 }
 
 static void
 conclude_cut(const Step *step, GString *out)
 {
-    if (number(step->fields, "attempts") > 0) {
-        g_string_append(out, "unknown: it was sent, and its entry ended "
-                             "before an answer came");
+    if (field_number(step->fields, "attempts") > 0) {
+        g_string_append(out, "unknown: it was sent, and its entry stopped "
+                             "before an answer arrived");
     }
     else {
-        g_string_append(out, "not run: its entry ended before it was sent");
+        g_string_append(out, "not run: its entry stopped before it was sent");
     }
 }
 
@@ -423,15 +437,15 @@
         conclude_answer(step, out);
         break;
     case GW_LOG_REQUEST_LEFT:
-        g_string_append_printf(out, "its caller left after %s ms",
-                               field(step->fields, "took_ms"));
+        g_string_append_printf(out, "its caller disconnected after %s ms",
+                               field_text(step->fields, "took_ms"));
         break;
     case GW_LOG_REQUEST_CUT:
         conclude_cut(step, out);
         break;
     case GW_LOG_REQUEST_DROPPED:
-        g_string_append(out, "not run: it came behind the close of its "
-                             "connection, and nobody answered it");
+        g_string_append(out, "not run: it arrived while its connection was "
+                             "closing, and was not answered");
         break;
     default:
         conclude_reply(step, out);
@@ -440,10 +454,10 @@
 }
 
 static gint
-by_time(gconstpointer a, gconstpointer b)
+compare_time(gconstpointer a, gconstpointer state)
 {
     const Step *x = *(Step *const *)a;
-    const Step *y = *(Step *const *)b;
+    const Step *y = *(Step *const *)state;
 
     return (x->time_ms > y->time_ms) - (x->time_ms < y->time_ms);
 }
@@ -454,16 +468,16 @@
     GString *out = g_string_new(NULL);
     const Step *last = NULL;
 
-    g_ptr_array_sort(ex->steps, by_time);
+    g_ptr_array_sort(ex->steps, compare_time);
     for (guint i = 0; i < ex->steps->len; i++) {
         const Step *step = ex->steps->pdata[i];
         last = step->event != GW_LOG_ATTEMPT_FAILED ? step : last;
     }
     if (last == NULL) {
         g_string_append(out, ex->steps->len == 0
-                                 ? "no line of this request was found"
-                                 : "its end is not in these logs: the entry "
-                                   "was lost, or the line was dropped");
+                                 ? "no log line of this request was found"
+                                 : "its outcome is not in these logs: the "
+                                   "entry failed, or the line was dropped");
     }
     else {
         conclude_step(last, out);
@@ -471,9 +485,9 @@
     return g_string_free(out, FALSE);
 }
 
-/* ---- Out ----------------------------------------------------------------- */
+/* ---- Output -------------------------------------------------------------- */
 
-static const char *const shown[] = {
+static const char *const shown_fields[] = {
     "status",    "why",     "route",       "server",  "outcome",    "attempts",
     "waited_ms", "took_ms", "expected_ms", "warm",    "far",        "after_ms",
     "config",    "best",    "best_busy",   "idle_ms", "closing_ms",
@@ -485,10 +499,10 @@
     g_string_append_printf(out, "  +%" PRId64 " ms %s %s",
                            step->time_ms - from_ms, step->source,
                            GwLogEvent_Name(step->event));
-    for (size_t i = 0; i < G_N_ELEMENTS(shown); i++) {
-        const char *value = field(step->fields, shown[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(shown_fields); i++) {
+        const char *value = field_text(step->fields, shown_fields[i]);
         if (value[0] != '\0') {
-            g_string_append_printf(out, " %s=%s", shown[i], value);
+            g_string_append_printf(out, " %s=%s", shown_fields[i], value);
         }
     }
     g_string_append_c(out, '\n');
@@ -498,12 +512,13 @@
     }
 }
 
-/* All lines have been read: what other entries knew can be told now. */
+/* Requires that all lines have been added: logs of other entries may be added
+ * after the lines of the request. */
 static void
-complete(GwExplain *ex)
+note_newer_versions(GwExplain *ex)
 {
     for (guint i = 0; i < ex->steps->len; i++) {
-        note_version(ex, ex->steps->pdata[i]);
+        note_newer_version(ex, ex->steps->pdata[i]);
     }
 }
 
@@ -512,7 +527,7 @@
 {
     char *conclusion = conclude(ex);
 
-    complete(ex);
+    note_newer_versions(ex);
     g_string_append_printf(out, "request %s\n", ex->id);
     for (guint i = 0; i < ex->steps->len; i++) {
         const Step *first = ex->steps->pdata[0];
@@ -531,10 +546,10 @@
     GwJson_SetU64(item, "time_ms", (uint64_t)step->time_ms);
     GwJson_SetText(item, "entry", step->source);
     GwJson_SetText(item, "event", GwLogEvent_Name(step->event));
-    for (size_t i = 0; i < G_N_ELEMENTS(shown); i++) {
-        const char *value = field(step->fields, shown[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(shown_fields); i++) {
+        const char *value = field_text(step->fields, shown_fields[i]);
         if (value[0] != '\0') {
-            GwJson_SetText(item, shown[i], value);
+            GwJson_SetText(item, shown_fields[i], value);
         }
     }
     for (guint i = 0; i < step->notes->len; i++) {
@@ -552,7 +567,7 @@
     struct json_object *root = json_object_new_object();
     struct json_object *steps = json_object_new_array();
 
-    complete(ex);
+    note_newer_versions(ex);
     GwJson_SetText(root, "request", ex->id);
     for (guint i = 0; i < ex->steps->len; i++) {
         json_object_array_add(steps, step_json(ex->steps->pdata[i]));
--- a/lib/admin/explain.h
+++ b/lib/admin/explain.h
@@ -1,9 +1,10 @@
-/* What became of one request, from the logs of all entries that it met.
+/* Explains the outcome of one request from the logs of the entries that
+ * handled it.
  *
- * Lines of the request are put in order of time. Beside each stands what that
- * entry believed then and may have been wrong about: an old configuration, a
- * store that did not answer, a server that it had given up or that was about
- * to leave. */
+ * Orders the log lines of the request by time and adds notes on conditions at
+ * the entry that may have led to a wrong decision: an outdated configuration,
+ * an unavailable store, a server that was ejected or draining, or a graceful
+ * stop of the entry. */
 #ifndef GW_ADMIN_EXPLAIN_H
 #define GW_ADMIN_EXPLAIN_H
 
@@ -14,12 +15,14 @@
 
 GwExplain *GwExplain_Create(const char *request_id);
 void GwExplain_Free(GwExplain *ex);
-/* One line of a log. What stands before `time_ms=` names its entry, by the
- * last word; without it, `source` does. Lines of one entry come in order. */
+/* Adds one line of a log. The last word before `time_ms=` is the name of the
+ * entry; without such a word the name is `source`. Lines of one entry must be
+ * added in order. */
 void GwExplain_Add(GwExplain *ex, const char *source, const char *line);
-/* Lines found of the request. */
+/* Returns the number of lines of the request. */
 uint32_t GwExplain_Count(const GwExplain *ex);
-/* For people, or as JSON. The conclusion is the last line, or "conclusion". */
+/* Appends the explanation as text or as JSON. The conclusion is the last line
+ * of the text, or the member "conclusion". */
 void GwExplain_Write(GwExplain *ex, GString *out);
 void GwExplain_WriteJson(GwExplain *ex, GString *out);
 
--- a/tests/unit/test_explain.c
+++ b/tests/unit/test_explain.c
@@ -1,3 +1,5 @@
+/* Explanations of requests from log lines: the conclusion, and the notes on
+ * outdated state of the entry. */
 #include "admin/explain.h"
 
 #include <criterion/criterion.h>
@@ -7,23 +9,23 @@
 #define LINES_MAX 8
 
 typedef struct {
-    const char *what;
-    const char *lines[LINES_MAX]; /* "entry text" */
+    const char *name;
+    const char *lines[LINES_MAX]; /* "ENTRY TEXT" */
     const char *expected[4];      /* parts of the explanation */
-    const char *absent;           /* must not be in it; or NULL */
+    const char *absent;           /* not in the explanation; or NULL */
 } Case;
 
 static const Case cases[] = {
-    {"a booking whose answer was lost is told as unknown, with the failure",
+    {"a booking whose answer was lost is unknown, with the failure",
      {"e1 time_ms=1000 event=500 name=BACKEND_EJECTED server=s1 for_ms=400",
       "e1 time_ms=1000 event=604 name=ATTEMPT_FAILED request=r1 server=s1 "
       "outcome=broken status=0 after_ms=212",
       "e1 time_ms=1001 event=601 name=REQUEST_REPLIED request=r1 status=502 "
       "why=broken server=s1 attempts=1 config=4 news_ms=100"},
-     {"+0 ms e1 ATTEMPT_FAILED", "outcome=broken", "s1 was passed over 1 ms",
+     {"+0 ms e1 ATTEMPT_FAILED", "outcome=broken", "s1 was ejected 1 ms",
       "unknown: it was sent"},
      "stale"},
-    {"a read that was lost and then found no room may have run",
+    {"a read that was lost and then found no free server may have run",
      {"e1 time_ms=1000 event=604 name=ATTEMPT_FAILED request=r1 server=s1 "
       "outcome=broken status=0 after_ms=1201",
       "e1 time_ms=1001 event=601 name=REQUEST_REPLIED request=r1 status=502 "
@@ -32,22 +34,22 @@
      {"best=s2 best_busy=1/3",
       "unknown: an attempt may have run it; for another, even the best"},
      "not run"},
-    {"a refusal on an old view of the servers is marked",
+    {"a refusal based on an outdated server list is marked as stale",
      {"e1 time_ms=1000 event=700 name=STORE_AWAY table=servers why=silent",
       "e1 time_ms=9500 event=601 name=REQUEST_REPLIED request=r1 status=503 "
       "why=no-server attempts=0 config=4 news_ms=8500"},
      {"stale: the store had not answered for 8500 ms",
-      "stale: no news of the servers for 8500 ms",
-      "not run: no server of the service might take it"},
+      "stale: no update of the servers for 8500 ms",
+      "not run: no server of the service was eligible"},
      NULL},
-    {"once the store is back nothing is stale",
+    {"nothing is stale once the store is available again",
      {"e1 time_ms=1000 event=700 name=STORE_AWAY table=servers why=silent",
       "e1 time_ms=2000 event=701 name=STORE_BACK table=servers away_ms=1000",
       "e1 time_ms=3000 event=601 name=REQUEST_REPLIED request=r1 status=503 "
       "why=no-room attempts=0 config=4 news_ms=10"},
      {"not run: even the best server"},
      "stale"},
-    {"a newer configuration elsewhere is named, whichever log is read first",
+    {"a newer configuration elsewhere is named in either order of logs",
      {"e2 time_ms=500 event=200 name=CONFIG_IN_FORCE version=5 row=9",
       "e1 time_ms=100 event=200 name=CONFIG_IN_FORCE version=4 row=8",
       "e1 time_ms=900 event=601 name=REQUEST_REPLIED request=r1 status=404 "
@@ -55,21 +57,21 @@
      {"stale: configuration 4; 5 was in force at e2 400 ms before",
       "no route of the configuration matches it"},
      NULL},
-    {"one that came later is no excuse",
+    {"a newer configuration that came later is not named",
      {"e1 time_ms=100 event=200 name=CONFIG_IN_FORCE version=4 row=8",
       "e1 time_ms=900 event=601 name=REQUEST_REPLIED request=r1 status=404 "
       "why=no-route config=4 news_ms=10",
       "e2 time_ms=901 event=200 name=CONFIG_IN_FORCE version=5 row=9"},
      {"no route of the configuration matches it"},
      "stale"},
-    {"an answer from afar says what it was made of",
+    {"an answer from another region names the causes of its latency",
      {"e1 time_ms=900 event=602 name=REQUEST_ANSWERED request=r1 status=200 "
       "why=none server=s7 attempts=2 waited_ms=400 took_ms=700 warm=0 far=1 "
       "config=4 news_ms=10"},
      {"answered by s7 with 200 after 700 ms, 400 of them waiting for a slot",
-      "in another region", "did not hold its object", "at attempt 2"},
+      "in another region", "did not have its object cached", "at attempt 2"},
      NULL},
-    {"lines of several entries come in order of time",
+    {"lines of several entries are ordered by time",
      {"e2 time_ms=2000 event=602 name=REQUEST_ANSWERED request=r1 status=200 "
       "server=s1 attempts=1 waited_ms=0 took_ms=90 warm=1 far=0",
       "e1 time_ms=1000 event=601 name=REQUEST_REPLIED request=r1 status=503 "
@@ -77,40 +79,41 @@
      {"+0 ms e1 REQUEST_REPLIED", "+1000 ms e2 REQUEST_ANSWERED",
       "answered by s1 with 200 after 90 ms"},
      NULL},
-    {"after a restart the beliefs of the process before it count no more",
+    {"a restart discards the state of the previous process",
      {"e1 time_ms=100 event=700 name=STORE_AWAY table=servers why=silent",
       "e1 time_ms=200 event=100 name=START name=e1",
       "e1 time_ms=900 event=601 name=REQUEST_REPLIED request=r1 status=503 "
       "why=no-config news_ms=10"},
-     {"the entry knew no configuration yet"},
+     {"the entry had no configuration yet"},
      "stale"},
-    {"one that was under way when its entry ended may have run",
+    {"a request in flight when its entry stopped may have run",
      {"e1 time_ms=100 event=101 name=STOP_BEGIN open=3",
       "e1 time_ms=5400 event=605 name=REQUEST_CUT request=r1 route=x "
       "server=s1 attempts=1 waited_ms=0 took_ms=2300 config=4"},
-     {"REQUEST_CUT", "the entry was leaving for 5300 ms",
-      "unknown: it was sent, and its entry ended"},
-     "caller left"},
-    {"one that waited when its entry ended has not",
+     {"REQUEST_CUT", "the entry had been stopping for 5300 ms",
+      "unknown: it was sent, and its entry stopped"},
+     "caller disconnected"},
+    {"a request that waited when its entry stopped has not run",
      {"e1 time_ms=5400 event=605 name=REQUEST_CUT request=r1 route=x "
       "server= attempts=0 waited_ms=900 took_ms=900 config=4"},
-     {"not run: its entry ended before it was sent"},
+     {"not run: its entry stopped before it was sent"},
      "unknown"},
-    {"one behind a close was read by nobody",
+    {"a request on a closing connection has not run",
      {"e1 time_ms=5400 event=606 name=REQUEST_DROPPED request=r1 "
       "closing_ms=12 idle_ms=0"},
-     {"idle_ms=0 closing_ms=12", "not run: it came behind the close"},
+     {"idle_ms=0 closing_ms=12",
+      "not run: it arrived while its connection was closing"},
      "unknown"},
-    {"an end that is missing is said",
+    {"a missing outcome is reported",
      {"e1 time_ms=900 event=604 name=ATTEMPT_FAILED request=r1 server=s1 "
       "outcome=refused status=503 after_ms=3"},
-     {"its end is not in these logs"},
+     {"its outcome is not in these logs"},
      NULL},
-    {"another request's lines are not taken",
+    {"lines of other requests are ignored",
      {"e1 time_ms=900 event=601 name=REQUEST_REPLIED request=r12 status=503 "
       "why=no-room",
       "e1 no fields at all", "e1 time_ms=5 event=\"unfinished"},
-     {"no line of this request was found"},
+     {"no log line of this request was found"},
      "REQUEST_REPLIED"},
 };
 
@@ -125,7 +128,7 @@
     return ex;
 }
 
-Test(explain, logs_tell_what_became_of_a_request)
+Test(explain, logs_explain_the_outcome_of_a_request)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         GwExplain *ex = read_case(&cases[i]);
@@ -134,20 +137,20 @@
         GwExplain_Write(ex, out);
         for (size_t k = 0; k < 4 && cases[i].expected[k] != NULL; k++) {
             cr_expect_not_null(strstr(out->str, cases[i].expected[k]),
-                               "%s: lacks \"%s\" in\n%s", cases[i].what,
+                               "%s: lacks \"%s\" in\n%s", cases[i].name,
                                cases[i].expected[k], out->str);
         }
         cr_expect(cases[i].absent == NULL ||
                       strstr(out->str, cases[i].absent) == NULL,
-                  "%s: \"%s\" in\n%s", cases[i].what, cases[i].absent,
+                  "%s: \"%s\" in\n%s", cases[i].name, cases[i].absent,
                   out->str);
         g_string_free(out, TRUE);
         GwExplain_Free(ex);
     }
 }
 
-/* The same as JSON: whole, and with the same conclusion. */
-Test(explain, json_says_the_same)
+/* The JSON form has every step, with its notes, and the conclusion. */
+Test(explain, json_has_the_same_steps_and_conclusion)
 {
     GwExplain *ex = read_case(&cases[0]);
     GString *out = g_string_new(NULL);
@@ -167,8 +170,7 @@
     GwExplain_Free(ex);
 }
 
-/* Without a name before the time, the file names the entry. */
-Test(explain, a_file_names_its_entry)
+Test(explain, file_name_is_the_default_entry_name)
 {
     GwExplain *ex = GwExplain_Create("r1");
     GString *out = g_string_new(NULL);
@@ -178,7 +180,7 @@
         "time_ms=1 event=603 name=REQUEST_LEFT request=r1 took_ms=7");
     GwExplain_Write(ex, out);
     cr_expect_not_null(strstr(out->str, "e9.log REQUEST_LEFT"));
-    cr_expect_not_null(strstr(out->str, "its caller left after 7 ms"));
+    cr_expect_not_null(strstr(out->str, "its caller disconnected after 7 ms"));
     g_string_free(out, TRUE);
     GwExplain_Free(ex);
 }
