--- a/lib/admin/admin.c
+++ b/lib/admin/admin.c
@@ -1,5 +1,5 @@
-/* The admin server as the daemon runs it: on the platform's table, the
- * process's log and the wall clock. */
+/* Connects the admin server to the platform's table, the log of the process
+ * and the wall clock. */
 #include "admin/admin.h"
 
 #include "admin/http_internal.h"
@@ -18,13 +18,11 @@
 }
 
 static int64_t
-wall_ms(void)
+wall_clock_ms(void)
 {
     return g_get_real_time() / 1000;
 }
 
-/* Serves on the address until GwAdmin_Stop. `host` is copied; what it points
- * to must outlive the server. */
 GwAdmin *
 GwAdmin_Start(const GwAdminHost *host, const char *address, GError **error)
 {
@@ -34,7 +32,7 @@
         .table_do = table_do,
         .table_clear = GwTableReply_Clear,
         .log = write_log,
-        .now_ms = wall_ms,
+        .now_ms = wall_clock_ms,
     };
     return GwAdminHttp_Start(&rpc, address, error);
 }
--- a/lib/admin/apply.c
+++ b/lib/admin/apply.c
@@ -1,4 +1,4 @@
-/* Apply and GetOperation: operators' changes through config/change.h. */
+/* Apply and GetOperation: run the changes of operators (config/change.h). */
 #include "admin/edit.h"
 #include "admin/rpc_internal.h"
 #include "common/log_events.h"
@@ -12,9 +12,9 @@
 #define RETRY_PAUSE_US     50000
 #define RETRY_PAUSE_MAX_US 800000
 
-/* Carries a change to its result. Blocks; each request waits at most the
- * timeout of the table's client, with growing pauses after lost ones, so
- * that a short outage is outlasted. */
+/* Runs a change until its result is known. Blocks: each request waits at most
+ * the timeout of the table's client. Pauses between lost requests double up to
+ * RETRY_PAUSE_MAX_US, so that a change survives a short outage. */
 static void
 run_change(const GwRpc *rpc, GwChange *change)
 {
@@ -61,7 +61,7 @@
 }
 
 static void
-log_result(const GwRpc *rpc, const GwChangeAsk *ask,
+log_result(const GwRpc *rpc, const GwChangeAsk *params,
            const GwChangeResult *result)
 {
     uint32_t event =
@@ -70,16 +70,17 @@
                                                : GW_LOG_ADMIN_PENDING;
     char *text = g_strdup_printf("operator=%s request=%s version=%" PRIu64
                                  " code=%s what=\"%s\" message=\"%s\"",
-                                 ask->operator_name, ask->request_id,
+                                 params->operator_name, params->request_id,
                                  result->version, GwResult_Name(result->code),
-                                 ask->summary, result->message);
+                                 params->summary, result->message);
     g_strdelimit(text, "\r\n", ' ');
     rpc->log(event, text);
     g_free(text);
 }
 
-/* The hash of what is asked for, so that a request id can't stand for two
- * things. Who asks is left out: another operator may take a change over. */
+/* Hash of the content of a change, which detects a request id that is reused
+ * for another change. The operator's name is excluded: another operator may
+ * continue a change. */
 static uint64_t
 content_hash(const Gw__Admin__ApplyRequest *request)
 {
@@ -94,23 +95,24 @@
     return hash;
 }
 
-/* Fills what is asked for; the returned text is the summary. */
+/* Fills the kind of change and its input; returns the summary, for g_free, or
+ * NULL when the request names no kind. */
 static char *
-read_what(const Gw__Admin__ApplyRequest *request, GwChangeAsk *ask)
+read_kind(const Gw__Admin__ApplyRequest *request, GwChangeAsk *params)
 {
     switch (request->what_case) {
     case GW__ADMIN__APPLY_REQUEST__WHAT_DOCUMENT:
-        ask->kind = GW_CHANGE_DOCUMENT;
-        ask->document = request->document;
+        params->kind = GW_CHANGE_DOCUMENT;
+        params->document = request->document;
         return g_strdup("document");
     case GW__ADMIN__APPLY_REQUEST__WHAT_BATCH:
-        ask->kind = GW_CHANGE_EDIT;
-        ask->make = GwEdit_Make;
-        ask->ctx = request->batch;
+        params->kind = GW_CHANGE_EDIT;
+        params->make = GwEdit_Make;
+        params->ctx = request->batch;
         return GwEdit_Describe(request->batch);
     case GW__ADMIN__APPLY_REQUEST__WHAT_ROLLBACK:
-        ask->kind = GW_CHANGE_ROLLBACK;
-        ask->rollback_version = request->rollback->version;
+        params->kind = GW_CHANGE_ROLLBACK;
+        params->rollback_version = request->rollback->version;
         return g_strdup_printf("rollback %" PRIu64,
                                request->rollback->version);
     default:
@@ -118,11 +120,11 @@
     }
 }
 
-/* Fills the ask. Returns false with a message when the request can't be a
- * change at all. */
+/* Fills the parameters of a change. False with `fault` when the request is
+ * malformed. */
 static bool
-read_ask(const GwRpc *rpc, const Gw__Admin__ApplyRequest *request,
-         GwChangeAsk *ask, char **summary, const char **fault)
+read_params(const GwRpc *rpc, const Gw__Admin__ApplyRequest *request,
+            GwChangeAsk *params, char **summary, const char **fault)
 {
     if (!GwRequestId_IsValid(request->request_id)) {
         *fault = "request_id: must be 1 to 64 of A-Z a-z 0-9 . _ -";
@@ -132,26 +134,29 @@
         *fault = "operator_name: must be 1 to 64 of A-Z a-z 0-9 . _ -";
         return false;
     }
-    g_strlcpy(ask->request_id, request->request_id, sizeof(ask->request_id));
-    g_strlcpy(ask->operator_name, request->operator_name,
-              sizeof(ask->operator_name));
-    *summary = read_what(request, ask);
+    g_strlcpy(params->request_id, request->request_id,
+              sizeof(params->request_id));
+    g_strlcpy(params->operator_name, request->operator_name,
+              sizeof(params->operator_name));
+    *summary = read_kind(request, params);
     if (*summary == NULL) {
         *fault = "what: neither document, batch nor rollback is given";
         return false;
     }
-    ask->summary = *summary;
-    ask->when_ms = rpc->now_ms();
-    ask->content = content_hash(request);
-    ask->has_base = request->base_version != NULL;
-    ask->base_version = ask->has_base ? request->base_version->version : 0;
+    params->summary = *summary;
+    params->when_ms = rpc->now_ms();
+    params->content = content_hash(request);
+    params->has_base = request->base_version != NULL;
+    params->base_version =
+        params->has_base ? request->base_version->version : 0;
     return true;
 }
 
-/* Puts an accepted document in force here, from where it spreads. When this
- * run does not hold it, the table's poll finds it. */
+/* Puts an accepted document in force in this process, which sends it to its
+ * peers. The result has no document when an earlier run of the change was
+ * accepted; the poll of the table then reads it. */
 static void
-offer(const GwRpc *rpc, const GwChangeResult *result)
+put_in_force(const GwRpc *rpc, const GwChangeResult *result)
 {
     if (result->outcome == GW_CHANGE_ACCEPTED && result->document != NULL) {
         rpc->host->offer_config(rpc->host->ctx, result->version,
@@ -160,10 +165,10 @@
     }
 }
 
-/* The change stands whether or not the snapshot could be written: the table
- * has it, and a later version brings the next one. */
+/* A failed write is logged and does not affect the change: the table holds the
+ * document, and a later version writes the next snapshot. */
 static void
-keep_snapshot(const GwRpc *rpc, const GwChangeResult *result)
+write_snapshot(const GwRpc *rpc, const GwChangeResult *result)
 {
     const GwAdminHost *host = rpc->host;
 
@@ -193,16 +198,16 @@
     if (request == NULL) {
         return GW_RPC_BAD_BODY;
     }
-    GwChangeAsk ask = {0};
+    GwChangeAsk params = {0};
     char *summary = NULL;
     const char *fault = "";
-    if (read_ask(rpc, request, &ask, &summary, &fault)) {
-        GwChange *change = GwChange_Create(&ask);
+    if (read_params(rpc, request, &params, &summary, &fault)) {
+        GwChange *change = GwChange_Create(&params);
         run_change(rpc, change);
         const GwChangeResult *result = GwChange_Result(change);
-        offer(rpc, result);
-        keep_snapshot(rpc, result);
-        log_result(rpc, &ask, result);
+        put_in_force(rpc, result);
+        write_snapshot(rpc, result);
+        log_result(rpc, &params, result);
         pack_result(result, reply);
         GwChange_Free(change);
     }
--- a/lib/admin/client.c
+++ b/lib/admin/client.c
@@ -28,7 +28,7 @@
     return client;
 }
 
-/* NULL is fine. */
+/* NULL is allowed. */
 void
 GwAdminClient_Free(GwAdminClient *client)
 {
@@ -41,9 +41,9 @@
     g_free(client);
 }
 
-/* Collects a part; too much of it ends the exchange. */
+/* Appends received bytes; more than GW_CLIENT_BODY_MAX abort the exchange. */
 static size_t
-append(char *data, size_t size, size_t count, void *ctx)
+append_bytes(char *data, size_t size, size_t count, void *ctx)
 {
     GString *out = ctx;
     size_t len = size * count;
@@ -55,7 +55,7 @@
 }
 
 static struct curl_slist *
-header_list(const GwFetch *fetch)
+header_list(const GwFetchRequest *fetch)
 {
     struct curl_slist *list = curl_slist_append(NULL, "Expect:");
     for (size_t i = 0; fetch->headers != NULL && fetch->headers[i] != NULL;
@@ -66,7 +66,8 @@
 }
 
 static void
-set_request(CURL *curl, const GwFetch *fetch, struct curl_slist *headers)
+set_request(CURL *curl, const GwFetchRequest *fetch,
+            struct curl_slist *headers)
 {
     curl_easy_setopt(curl, CURLOPT_URL, fetch->url);
     curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
@@ -84,24 +85,24 @@
     curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, (long)fetch->body_len);
 }
 
-/* A fresh connection each time: a kept one could be dead by now, and the
- * library would send the request a second time over a new one. */
+/* Uses a new connection for each request: a kept connection may be closed by
+ * now, and libcurl would then resend the request on a new connection. */
 bool
-GwAdminClient_Fetch(GwAdminClient *client, const GwFetch *fetch,
-                    GwFetched *out, GError **error)
+GwAdminClient_Fetch(GwAdminClient *client, const GwFetchRequest *fetch,
+                    GwFetchResponse *out, GError **error)
 {
     CURL *curl = client->curl;
     struct curl_slist *headers = header_list(fetch);
-    *out =
-        (GwFetched){.body = g_string_new(NULL), .headers = g_string_new(NULL)};
+    *out = (GwFetchResponse){.body = g_string_new(NULL),
+                             .headers = g_string_new(NULL)};
     curl_easy_reset(curl);
     set_request(curl, fetch, headers);
     curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
     curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)client->timeout_ms);
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_bytes);
     curl_easy_setopt(curl, CURLOPT_WRITEDATA, out->body);
-    curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, append);
+    curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, append_bytes);
     curl_easy_setopt(curl, CURLOPT_HEADERDATA, out->headers);
     CURLcode rc = curl_easy_perform(curl);
     curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &out->status);
@@ -115,19 +116,19 @@
 }
 
 void
-GwFetched_Clear(GwFetched *fetched)
+GwFetchResponse_Clear(GwFetchResponse *response)
 {
-    if (fetched->body != NULL) {
-        g_string_free(fetched->body, TRUE);
-        g_string_free(fetched->headers, TRUE);
+    if (response->body != NULL) {
+        g_string_free(response->body, TRUE);
+        g_string_free(response->headers, TRUE);
     }
-    *fetched = (GwFetched){0};
+    *response = (GwFetchResponse){0};
 }
 
 char *
-GwFetched_Header(const GwFetched *fetched, const char *name)
+GwFetchResponse_Header(const GwFetchResponse *response, const char *name)
 {
-    char **lines = g_strsplit(fetched->headers->str, "\r\n", -1);
+    char **lines = g_strsplit(response->headers->str, "\r\n", -1);
     size_t len = strlen(name);
     char *value = NULL;
     for (size_t i = 0; lines[i] != NULL && value == NULL; i++) {
@@ -140,25 +141,25 @@
     return value;
 }
 
-/* An exchange with the admin address that must end in status 200. */
+/* Runs an exchange with the admin address; any status but 200 is an error. */
 static bool
-fetch_admin(GwAdminClient *client, GwFetch fetch, const char *path,
-            GwFetched *out, GError **error)
+fetch_admin(GwAdminClient *client, GwFetchRequest fetch, const char *path,
+            GwFetchResponse *out, GError **error)
 {
     const char *const headers[] = {client->authorization, NULL};
     char *url = g_strdup_printf("http://%s%s", client->address, path);
     fetch.url = url;
     fetch.headers = headers;
-    bool good = GwAdminClient_Fetch(client, &fetch, out, error);
-    if (good && out->status != 200) {
-        good = false;
+    bool is_ok = GwAdminClient_Fetch(client, &fetch, out, error);
+    if (is_ok && out->status != 200) {
+        is_ok = false;
         g_set_error(error, GW_ERROR,
                     out->status == 401 ? GW_RESULT_DENIED : GW_RESULT_INVALID,
                     "%s: status %ld: %s", url, out->status,
                     g_strchomp(out->body->str));
     }
     g_free(url);
-    return good;
+    return is_ok;
 }
 
 ProtobufCMessage *
@@ -169,19 +170,20 @@
     size_t size = protobuf_c_message_get_packed_size(request);
     uint8_t *packed = g_malloc(size + 1);
     char *path = g_strdup_printf("/rpc/%s", method);
-    GwFetch fetch = {.method = "POST", .body = packed, .body_len = size};
-    GwFetched got = {0};
+    GwFetchRequest fetch = {
+        .method = "POST", .body = packed, .body_len = size};
+    GwFetchResponse response = {0};
     ProtobufCMessage *out = NULL;
     protobuf_c_message_pack(request, packed);
-    if (fetch_admin(client, fetch, path, &got, error)) {
-        out = protobuf_c_message_unpack(reply, NULL, got.body->len,
-                                        (const uint8_t *)got.body->str);
+    if (fetch_admin(client, fetch, path, &response, error)) {
+        out = protobuf_c_message_unpack(reply, NULL, response.body->len,
+                                        (const uint8_t *)response.body->str);
         if (out == NULL) {
             g_set_error(error, GW_ERROR, GW_RESULT_CORRUPT,
-                        "%s: the reply can't be read", method);
+                        "%s: malformed reply", method);
         }
     }
-    GwFetched_Clear(&got);
+    GwFetchResponse_Clear(&response);
     g_free(path);
     g_free(packed);
     return out;
@@ -191,14 +193,14 @@
 fetch_page(GwAdminClient *client, const char *method, const char *path,
            GError **error)
 {
-    GwFetch fetch = {.method = method};
-    GwFetched got = {0};
+    GwFetchRequest fetch = {.method = method};
+    GwFetchResponse response = {0};
     char *text = NULL;
 
-    if (fetch_admin(client, fetch, path, &got, error)) {
-        text = g_strdup(got.body->str);
+    if (fetch_admin(client, fetch, path, &response, error)) {
+        text = g_strdup(response.body->str);
     }
-    GwFetched_Clear(&got);
+    GwFetchResponse_Clear(&response);
     return text;
 }
 
--- a/lib/admin/ctl.c
+++ b/lib/admin/ctl.c
@@ -13,29 +13,29 @@
     int min_args;
     int max_args;
     const char *usage;
-    const char *meaning;
+    const char *summary;
 } Command;
 
 /* clang-format off */
 static const Command commands[] = {
     {"apply", GwCtl_ApplyFile, 1, 1,
      "FILE [--base V] [--request-id ID] [--operator NAME] [--wait]",
-     "put a whole document in force"},
+     "put a complete document in force"},
     {"rollback", GwCtl_Rollback, 1, 1, "VERSION [--base V] [--wait]",
      "put the document of an older version in force, as a new version"},
     {"drain", GwCtl_Drain, 3, 3,
      "place SERVICE REGION | backend SERVICE NAME",
-     "give no new work to a place or a backend server"},
+     "send no new requests to a place or a backend server"},
     {"undrain", GwCtl_Undrain, 3, 3,
-     "place SERVICE REGION | backend SERVICE NAME", "take a drain back"},
+     "place SERVICE REGION | backend SERVICE NAME", "cancel a drain"},
     {"shift", GwCtl_Shift, 3, 3, "SERVICE FROM TO --cap N [--percent P]",
-     "allow calls that enter in FROM to run in TO, at most N in flight"},
+     "let requests that enter in FROM run in TO, at most N in flight"},
     {"link", GwCtl_Link, 2, 2, "FROM TO --cap N",
      "limit the requests in flight between two regions"},
     {"slots", GwCtl_Slots, 3, 3, "SERVICE NAME SLOTS",
      "set the slots of a backend server"},
     {"warmup", GwCtl_Warmup, 1, 1, "STEP",
-     "set how much moved traffic may grow a second"},
+     "limit the growth per second of shifted traffic"},
     {"create", GwCtl_Create, 3, 6,
      "region NAME SEATS | service NAME DEADLINE_MS | place SERVICE REGION | "
      "backend SERVICE REGION NAME ADDRESS SLOTS",
@@ -43,34 +43,34 @@
     {"remove", GwCtl_Remove, 2, 4,
      "region NAME | service NAME | place SERVICE REGION | "
      "backend SERVICE NAME | shift SERVICE FROM TO | link FROM TO",
-     "take something out of the configuration"},
+     "remove an item from the configuration"},
     {"operation", GwCtl_Operation, 1, 1, "ID",
-     "what became of a request id; settles it when nothing did"},
-    {"get", GwCtl_Get, 0, 1, "[VERSION]", "print the document"},
+     "print the outcome of a request id; refuse the id if it has none"},
+    {"get", GwCtl_Get, 0, 1, "[VERSION]", "print a document"},
     {"snapshot", GwCtl_Snapshot, 0, 1, "[VERSION]",
-     "print the newest whole snapshot, up to a version"},
+     "print the newest intact snapshot, up to a version"},
     {"diff", GwCtl_Diff, 1, 1, "FILE",
-     "what a file would change of the document in force"},
+     "compare the document in force with a file"},
     {"history", GwCtl_History, 0, 0, "[--limit N] [--before VERSION]",
-     "the last changes, newest first"},
-    {"status", GwCtl_Status, 0, 0, "", "state of the entry instance"},
+     "list the last changes, newest first"},
+    {"status", GwCtl_Status, 0, 0, "", "print the state of the entry"},
     {"entries", GwCtl_Entries, 1, 1, "SERVICE [--call-address ADDR]",
-     "the entries that callers of a service should use"},
+     "list the entries that callers of a service should use"},
     {"call", GwCtl_Call, 3, 3,
      "METHOD SERVICE PATH --call-address ADDR [--body FILE] "
      "[--deadline-ms N]",
      "call a service through an entry, with a ticket"},
     {"top", GwCtl_Top, 0, 0, "[--limit N]",
-     "backend servers, those passed over first, then the busiest"},
+     "list backend servers, ejected servers first, then by load"},
     {"suspects", GwCtl_Suspects, 0, 0, "",
-     "requests that servers crashed under, and those that are held for it"},
+     "list requests that crashed servers, and the quarantined ones"},
     {"release", GwCtl_Release, 1, 1, "FINGERPRINT",
-     "let a held request go, at all entries"},
+     "release a quarantined request at all entries"},
     {"explain", GwCtl_Explain, 2, 1000, "ID LOG...",
-     "what became of a request, from the logs of entries (- for standard "
-     "input)"},
-    {"dump", GwCtl_Dump, 0, 0, "", "the whole state of the process"},
-    {"metrics", GwCtl_Metrics, 0, 0, "", "the counters of the process"},
+     "explain the outcome of a request from the logs of entries (- for "
+     "standard input)"},
+    {"dump", GwCtl_Dump, 0, 0, "", "print the state of the process as JSON"},
+    {"metrics", GwCtl_Metrics, 0, 0, "", "print the metrics of the process"},
     {"settings-page", GwCtl_SettingsPage, 0, 0, "",
      "print docs/SETTINGS.md"},
 };
@@ -87,7 +87,7 @@
 }
 
 GwCtlExit
-GwCtl_Usage(const char *format, ...)
+GwCtl_UsageError(const char *format, ...)
 {
     va_list args;
     va_start(args, format);
@@ -99,13 +99,14 @@
 }
 
 bool
-GwCtl_Number(const char *what, const char *text, uint64_t max, uint64_t *out)
+GwCtl_ParseNumber(const char *what, const char *text, uint64_t max,
+                  uint64_t *out)
 {
     if (text != NULL &&
         g_ascii_string_to_unsigned(text, 10, 0, max, out, NULL)) {
         return true;
     }
-    GwCtl_Usage(
+    GwCtl_UsageError(
         "%s: \"%s\" is not a whole number of at most %" G_GUINT64_FORMAT, what,
         text != NULL ? text : "", max);
     return false;
@@ -125,22 +126,22 @@
 GwCtlExit
 GwCtl_Help(const char *command)
 {
-    const Command *one = find_command(command);
-    if (one != NULL) {
-        printf("usage: godwitctl %s %s\n  %s\n", one->name, one->usage,
-               one->meaning);
+    const Command *found = find_command(command);
+    if (found != NULL) {
+        printf("usage: godwitctl %s %s\n  %s\n", found->name, found->usage,
+               found->summary);
         return GW_CTL_OK;
     }
     printf("commands:\n");
     for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
-        printf("  %-14s %s\n", commands[i].name, commands[i].meaning);
+        printf("  %-14s %s\n", commands[i].name, commands[i].summary);
     }
-    printf("godwitctl COMMAND --help says more. Exit codes: 0 accepted or "
+    printf("See also godwitctl COMMAND --help. Exit codes: 0 accepted or "
            "ok,\n1 refused, 2 usage, 3 pending, 4 unreachable.\n");
     return GW_CTL_OK;
 }
 
-/* Reads the token; an absent option gives NULL. False after a message. */
+/* Reads the token, NULL if the option is absent; prints an error on false. */
 static bool
 read_token(const GwCtlOptions *options, char **token)
 {
@@ -150,7 +151,7 @@
         return true;
     }
     if (!g_file_get_contents(options->token_file, token, NULL, &error)) {
-        GwCtl_Usage("%s", error->message);
+        GwCtl_UsageError("%s", error->message);
         g_error_free(error);
         return false;
     }
@@ -163,11 +164,11 @@
 {
     const Command *command = argc > 0 ? find_command(argv[0]) : NULL;
     if (command == NULL) {
-        return GwCtl_Usage("no such command: %s; try --help",
-                           argc > 0 ? argv[0] : "(none)");
+        return GwCtl_UsageError("unknown command: %s; try --help",
+                                argc > 0 ? argv[0] : "(none)");
     }
     if (argc - 1 < command->min_args || argc - 1 > command->max_args) {
-        return GwCtl_Usage("usage: %s %s", command->name, command->usage);
+        return GwCtl_UsageError("usage: %s %s", command->name, command->usage);
     }
     char *token = NULL;
     if (!read_token(options, &token)) {
--- a/lib/admin/ctl.h
+++ b/lib/admin/ctl.h
@@ -5,6 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* Exit codes. */
 typedef enum {
     GW_CTL_OK = 0,
     GW_CTL_REFUSED = 1,
@@ -13,7 +14,7 @@
     GW_CTL_UNREACHABLE = 4
 } GwCtlExit;
 
-/* Options as given on the command line; NULL and -1: not given. */
+/* Options of the command line; NULL and -1: not given. */
 typedef struct {
     char *admin_address;
     char *call_address;
@@ -33,10 +34,10 @@
     char *before;
 } GwCtlOptions;
 
-/* Runs a command; argv[0] is its name. */
+/* Runs a command; argv[0] is the name of the command. */
 GwCtlExit GwCtl_Run(const GwCtlOptions *options, int argc,
                     const char *const *argv);
-/* Prints the usage of a command, or of all when NULL or not known. */
+/* Prints the usage of a command; for NULL or an unknown name, lists all. */
 GwCtlExit GwCtl_Help(const char *command);
 
 #endif
--- a/lib/admin/ctl_apply.c
+++ b/lib/admin/ctl_apply.c
@@ -1,4 +1,4 @@
-/* Sending changes. */
+/* Commands that send a change, and the output of its result. */
 #include "admin/ctl_internal.h"
 #include "config/model.h"
 #include "godwitridge_errors.h"
@@ -59,8 +59,8 @@
                                                            : GW_CTL_REFUSED;
 }
 
-/* Sends the request, whose request id is set. Without a reply the change
- * may have been applied, so the operator is told how to find out. */
+/* Sends the request, whose request id must be set. Without a reply the change
+ * may have been applied, so the message names the command that checks. */
 static GwCtlExit
 send_apply(const GwCtl *ctl, const Gw__Admin__ApplyRequest *request)
 {
@@ -71,7 +71,7 @@
             &gw__admin__change_reply__descriptor, &error);
     if (reply == NULL) {
         (void)fprintf(stderr,
-                      "godwitctl: no reply; ask what became of it with "
+                      "godwitctl: no reply; check the outcome with "
                       "\"operation %s\"\n",
                       request->request_id);
         return GwCtl_Fail(error);
@@ -80,7 +80,7 @@
     uint64_t version = reply->version;
     gw__admin__change_reply__free_unpacked(reply, NULL);
     if (code == GW_CTL_OK && ctl->options->wait) {
-        code = GwCtl_Wait(ctl, version);
+        code = GwCtl_WaitForVersion(ctl, version);
     }
     return code;
 }
@@ -93,8 +93,8 @@
     char *id = o->request_id != NULL ? g_strdup(o->request_id)
                                      : g_uuid_string_random();
     if (o->base_version != NULL) {
-        if (!GwCtl_Number("--base", o->base_version, INT64_MAX,
-                          &base.version)) {
+        if (!GwCtl_ParseNumber("--base", o->base_version, INT64_MAX,
+                               &base.version)) {
             g_free(id);
             return GW_CTL_USAGE;
         }
@@ -128,7 +128,7 @@
     GError *error = NULL;
     char *text = NULL;
     if (!g_file_get_contents(ctl->argv[0], &text, NULL, &error)) {
-        GwCtl_Usage("%s", error->message);
+        GwCtl_UsageError("%s", error->message);
         g_error_free(error);
         return GW_CTL_USAGE;
     }
@@ -145,7 +145,8 @@
 {
     Gw__Admin__Rollback rollback = GW__ADMIN__ROLLBACK__INIT;
     Gw__Admin__ApplyRequest request = GW__ADMIN__APPLY_REQUEST__INIT;
-    if (!GwCtl_Number("VERSION", ctl->argv[0], INT64_MAX, &rollback.version)) {
+    if (!GwCtl_ParseNumber("VERSION", ctl->argv[0], INT64_MAX,
+                           &rollback.version)) {
         return GW_CTL_USAGE;
     }
     request.what_case = GW__ADMIN__APPLY_REQUEST__WHAT_ROLLBACK;
--- a/lib/admin/ctl_change.c
+++ b/lib/admin/ctl_change.c
@@ -1,11 +1,11 @@
-/* Commands that make one typed change. */
+/* Commands that send one typed change. */
 #include "admin/ctl_internal.h"
 
 #include <string.h>
 
-#define SMALL_MAX UINT32_MAX
+#define COUNT_MAX UINT32_MAX
 
-/* Whether the first argument is the word and the count fits. */
+/* Whether the first argument is `word` and the number of arguments `argc`. */
 static bool
 is_kind(const GwCtl *ctl, const char *word, int argc)
 {
@@ -19,10 +19,11 @@
 }
 
 static GwCtlExit
-bad_kind(const GwCtl *ctl)
+unknown_kind(const GwCtl *ctl)
 {
-    return GwCtl_Usage("\"%s\" with %d arguments; try --help", ctl->argv[0],
-                       ctl->argc - 1);
+    return GwCtl_UsageError(
+        "unknown kind \"%s\" with %d arguments; try --help", ctl->argv[0],
+        ctl->argc - 1);
 }
 
 static Gw__Admin__PlaceRef
@@ -44,22 +45,22 @@
 }
 
 static GwCtlExit
-drain(const GwCtl *ctl, Gw__Admin__Change__KindCase of_place,
-      Gw__Admin__Change__KindCase of_backend)
+drain(const GwCtl *ctl, Gw__Admin__Change__KindCase place_kind,
+      Gw__Admin__Change__KindCase backend_kind)
 {
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__PlaceRef place = place_ref(ctl);
     Gw__Admin__BackendRef backend = backend_ref(ctl);
     if (is_kind(ctl, "place", 3)) {
-        change.kind_case = of_place;
+        change.kind_case = place_kind;
         change.drain_place = &place;
     }
     else if (is_kind(ctl, "backend", 3)) {
-        change.kind_case = of_backend;
+        change.kind_case = backend_kind;
         change.drain_backend = &backend;
     }
     else {
-        return bad_kind(ctl);
+        return unknown_kind(ctl);
     }
     return GwCtl_ApplyChange(ctl, &change);
 }
@@ -84,7 +85,7 @@
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__Shift shift = GW__ADMIN__SHIFT__INIT;
     if (ctl->options->cap < 0) {
-        return GwCtl_Usage("--cap N must be given");
+        return GwCtl_UsageError("--cap N must be given");
     }
     shift.service = arg(ctl, 0);
     shift.from = arg(ctl, 1);
@@ -102,7 +103,7 @@
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__Link link = GW__ADMIN__LINK__INIT;
     if (ctl->options->cap < 0) {
-        return GwCtl_Usage("--cap N must be given");
+        return GwCtl_UsageError("--cap N must be given");
     }
     link.from = arg(ctl, 0);
     link.to = arg(ctl, 1);
@@ -118,7 +119,7 @@
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__BackendSlots slots = GW__ADMIN__BACKEND_SLOTS__INIT;
     uint64_t count = 0;
-    if (!GwCtl_Number("SLOTS", ctl->argv[2], SMALL_MAX, &count)) {
+    if (!GwCtl_ParseNumber("SLOTS", ctl->argv[2], COUNT_MAX, &count)) {
         return GW_CTL_USAGE;
     }
     slots.service = arg(ctl, 0);
@@ -135,7 +136,7 @@
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__WarmupStep warmup = GW__ADMIN__WARMUP_STEP__INIT;
     uint64_t step = 0;
-    if (!GwCtl_Number("STEP", ctl->argv[0], SMALL_MAX, &step)) {
+    if (!GwCtl_ParseNumber("STEP", ctl->argv[0], COUNT_MAX, &step)) {
         return GW_CTL_USAGE;
     }
     warmup.step = (uint32_t)step;
@@ -150,7 +151,7 @@
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__Region region = GW__ADMIN__REGION__INIT;
     uint64_t seats = 0;
-    if (!GwCtl_Number("SEATS", ctl->argv[2], SMALL_MAX, &seats)) {
+    if (!GwCtl_ParseNumber("SEATS", ctl->argv[2], COUNT_MAX, &seats)) {
         return GW_CTL_USAGE;
     }
     region.name = arg(ctl, 1);
@@ -160,15 +161,16 @@
     return GwCtl_ApplyChange(ctl, &change);
 }
 
-/* Operations of a service come with a whole document; until then each of its
- * calls counts as non-idempotent. */
+/* Creates a service without operations, which only a complete document can
+ * add; until then each of its calls counts as non-idempotent. */
 static GwCtlExit
 create_service(const GwCtl *ctl)
 {
     Gw__Admin__Change change = GW__ADMIN__CHANGE__INIT;
     Gw__Admin__Service service = GW__ADMIN__SERVICE__INIT;
     uint64_t deadline_ms = 0;
-    if (!GwCtl_Number("DEADLINE_MS", ctl->argv[2], SMALL_MAX, &deadline_ms)) {
+    if (!GwCtl_ParseNumber("DEADLINE_MS", ctl->argv[2], COUNT_MAX,
+                           &deadline_ms)) {
         return GW_CTL_USAGE;
     }
     service.name = arg(ctl, 1);
@@ -197,7 +199,7 @@
     Gw__Admin__AddBackend add = GW__ADMIN__ADD_BACKEND__INIT;
     Gw__Admin__Backend backend = GW__ADMIN__BACKEND__INIT;
     uint64_t slots = 0;
-    if (!GwCtl_Number("SLOTS", ctl->argv[5], SMALL_MAX, &slots)) {
+    if (!GwCtl_ParseNumber("SLOTS", ctl->argv[5], COUNT_MAX, &slots)) {
         return GW_CTL_USAGE;
     }
     add.service = arg(ctl, 1);
@@ -226,7 +228,7 @@
     if (is_kind(ctl, "backend", 6)) {
         return create_backend(ctl);
     }
-    return bad_kind(ctl);
+    return unknown_kind(ctl);
 }
 
 static GwCtlExit
@@ -246,7 +248,7 @@
         change.remove_service = &service;
     }
     else {
-        return bad_kind(ctl);
+        return unknown_kind(ctl);
     }
     return GwCtl_ApplyChange(ctl, &change);
 }
@@ -273,7 +275,7 @@
         change.remove_link = &link;
     }
     else {
-        return bad_kind(ctl);
+        return unknown_kind(ctl);
     }
     return GwCtl_ApplyChange(ctl, &change);
 }
@@ -300,5 +302,5 @@
     if (ctl->argc == 3) {
         return remove_pair(ctl);
     }
-    return is_kind(ctl, "shift", 4) ? remove_shift(ctl) : bad_kind(ctl);
+    return is_kind(ctl, "shift", 4) ? remove_shift(ctl) : unknown_kind(ctl);
 }
--- a/lib/admin/ctl_entry.c
+++ b/lib/admin/ctl_entry.c
@@ -1,5 +1,5 @@
-/* Commands for an entry on the users' platform: what it says of itself, its
- * servers, and what became of a request. */
+/* Commands for entries of godwitedge: status, servers, suspected requests, and
+ * the explanation of a request. */
 #include "admin/ctl_internal.h"
 #include "admin/explain.h"
 #include "common/json.h"
@@ -20,7 +20,7 @@
         "%s  region %s  failure domain %s\n"
         "%s, version %" PRId64 ", %" PRId64 " open requests, %" PRId64
         " servers\n"
-        "news of the servers %" PRId64 " ms ago%s%s; peers' loads at most "
+        "servers updated %" PRId64 " ms ago%s%s; peers' loads at most "
         "%" PRId64 " ms old\nmembers, %" PRId64 " of them live:\n",
         GwJson_Text(status, "name"), GwJson_Text(status, "region"),
         GwJson_Text(status, "failure_domain"), GwJson_Text(status, "state"),
@@ -29,11 +29,12 @@
         GwJson_Number(status, "news_ms_ago"),
         GwJson_Number(status, "reads_store") ? ", from the store"
                                              : ", from a peer",
-        GwJson_Number(status, "store_was_away") ? ", which was away" : "",
+        GwJson_Number(status, "store_was_away") ? ", which was unavailable"
+                                                : "",
         GwJson_Number(status, "loads_ms_ago"), GwJson_Number(status, "live"));
     for (size_t i = 0; i < json_object_array_length(members); i++) {
         struct json_object *item = json_object_array_get_idx(members, i);
-        printf("  %-28s %-12s heard %" PRId64 " ms ago%s\n",
+        printf("  %-28s %-12s last message %" PRId64 " ms ago%s\n",
                GwJson_Text(item, "name"), GwJson_Text(item, "state"),
                GwJson_Number(item, "heard_ms_ago"),
                GwJson_Number(item, "reads_store") ? "  reads the store" : "");
@@ -41,7 +42,7 @@
 }
 
 bool
-GwCtl_TryEntryStatus(const GwCtl *ctl)
+GwCtl_TryEdgeStatus(const GwCtl *ctl)
 {
     char *text = GwAdminClient_Page(ctl->client, "/status", NULL);
     struct json_object *status =
@@ -62,13 +63,13 @@
 /* ---- top ----------------------------------------------------------------- */
 
 static int64_t
-load_of(struct json_object *server)
+total_in_flight(struct json_object *server)
 {
     return GwJson_Number(server, "in_flight") +
            GwJson_Number(server, "peers_in_flight");
 }
 
-/* Ejected ones first, then the busiest. */
+/* Orders servers by `ejected_ms`, then by requests in flight, descending. */
 static int
 compare_servers(const void *a, const void *b)
 {
@@ -76,7 +77,7 @@
     struct json_object *y = *(struct json_object *const *)b;
     int64_t ejected =
         GwJson_Number(y, "ejected_ms") - GwJson_Number(x, "ejected_ms");
-    int64_t load = load_of(y) - load_of(x);
+    int64_t load = total_in_flight(y) - total_in_flight(x);
 
     if (ejected != 0) {
         return ejected > 0 ? 1 : -1;
@@ -130,7 +131,7 @@
     if (!json_object_is_type(servers, json_type_array)) {
         (void)fprintf(stderr,
                       "godwitctl: the dump of %s has no list of "
-                      "servers; is it an entry of godwitedge?\n",
+                      "servers; is this a godwitedge entry?\n",
                       ctl->options->admin_address);
         code = GW_CTL_REFUSED;
     }
@@ -211,13 +212,13 @@
     FILE *file = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
     char *source = g_path_get_basename(path);
     char *line = NULL;
-    size_t room = 0;
+    size_t capacity = 0;
 
     if (file == NULL) {
         g_free(source);
         return false;
     }
-    while (getline(&line, &room, file) >= 0) {
+    while (getline(&line, &capacity, file) >= 0) {
         line[strcspn(line, "\r\n")] = '\0';
         GwExplain_Add(ex, source, line);
     }
@@ -238,7 +239,7 @@
 
     for (int i = 1; i < ctl->argc && code == GW_CTL_OK; i++) {
         if (!read_log(ex, ctl->argv[i])) {
-            code = GwCtl_Usage("can't read %s", ctl->argv[i]);
+            code = GwCtl_UsageError("cannot read %s", ctl->argv[i]);
         }
     }
     if (code == GW_CTL_OK) {
--- a/lib/admin/ctl_internal.h
+++ b/lib/admin/ctl_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of godwitctl's commands. */
+/* Declarations shared by the commands of godwitctl. */
 #ifndef GW_ADMIN_CTL_INTERNAL_H
 #define GW_ADMIN_CTL_INTERNAL_H
 
@@ -9,25 +9,28 @@
 typedef struct {
     const GwCtlOptions *options;
     GwAdminClient *client;
-    int argc; /* arguments behind the name of the command */
+    int argc; /* arguments after the name of the command */
     const char *const *argv;
 } GwCtl;
 
 typedef GwCtlExit (*GwCtlCommand)(const GwCtl *ctl);
 
-/* Prints the error, frees it, and gives the exit code for it. */
+/* Prints and frees the error; returns its exit code. */
 GwCtlExit GwCtl_Fail(GError *error);
-/* Prints a fault of the command line. */
-GwCtlExit GwCtl_Usage(const char *format, ...)
+/* Prints an error of the command line; returns GW_CTL_USAGE. */
+GwCtlExit GwCtl_UsageError(const char *format, ...)
     __attribute__((format(printf, 1, 2)));
-/* Reads a whole number; false after a message. */
-bool GwCtl_Number(const char *what, const char *text, uint64_t max,
-                  uint64_t *out);
+/* Parses a whole number of at most `max`; prints an error on false. */
+bool GwCtl_ParseNumber(const char *what, const char *text, uint64_t max,
+                       uint64_t *out);
+/* Sends a change, with the request id, operator and base version of the
+ * options. */
 GwCtlExit GwCtl_Apply(const GwCtl *ctl, Gw__Admin__ApplyRequest *request);
 GwCtlExit GwCtl_ApplyChange(const GwCtl *ctl, Gw__Admin__Change *change);
-/* Waits until every live member has the version. */
-GwCtlExit GwCtl_Wait(const GwCtl *ctl, uint64_t version);
-/* Prints the reply to a change and gives the exit code for it. */
+/* Waits until every live member has the version; GW_CTL_PENDING after the
+ * option wait_ms. */
+GwCtlExit GwCtl_WaitForVersion(const GwCtl *ctl, uint64_t version);
+/* Prints the reply to a change; returns its exit code. */
 GwCtlExit GwCtl_ShowChange(const GwCtl *ctl, const char *request_id,
                            const Gw__Admin__ChangeReply *reply);
 
@@ -55,8 +58,9 @@
 GwCtlExit GwCtl_Suspects(const GwCtl *ctl);
 GwCtlExit GwCtl_Release(const GwCtl *ctl);
 GwCtlExit GwCtl_Explain(const GwCtl *ctl);
-/* Shows the status when an entry of godwitedge is asked; else false. */
-bool GwCtl_TryEntryStatus(const GwCtl *ctl);
+/* Prints the status if the admin address is that of a godwitedge entry; else
+ * returns false. */
+bool GwCtl_TryEdgeStatus(const GwCtl *ctl);
 GwCtlExit GwCtl_SettingsPage(const GwCtl *ctl);
 
 #endif
--- a/lib/admin/ctl_read.c
+++ b/lib/admin/ctl_read.c
@@ -1,4 +1,4 @@
-/* Commands that only read. */
+/* Commands that read and change nothing. */
 #include "admin/ctl_internal.h"
 #include "admin/diff.h"
 #include "config/model.h"
@@ -9,7 +9,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Turns a reply's code into an error; true when it is OK. */
+/* Sets `error` from a reply's code; true when the code is OK. */
 static bool
 check_code(uint32_t code, const char *message, GError **error)
 {
@@ -38,7 +38,8 @@
     return reply;
 }
 
-/* The document goes as text: it may hold comments, which JSON may not. */
+/* Prints the document as a JSON string: it may contain comments, which JSON
+ * does not allow. */
 static void
 show_document(const Gw__Admin__GetReply *reply)
 {
@@ -51,7 +52,7 @@
     json_object_put(out);
 }
 
-/* Prints lines of text as they are, or as a JSON array of texts. */
+/* Prints lines of text as they are, or as a JSON array of strings. */
 static void
 show_lines(const GwCtl *ctl, const char *text)
 {
@@ -77,7 +78,7 @@
     GError *error = NULL;
     uint64_t version = 0;
     if (ctl->argc == 1 &&
-        !GwCtl_Number("VERSION", ctl->argv[0], INT64_MAX, &version)) {
+        !GwCtl_ParseNumber("VERSION", ctl->argv[0], INT64_MAX, &version)) {
         return GW_CTL_USAGE;
     }
     Gw__Admin__GetReply *reply = read_document(ctl, version, snapshot, &error);
@@ -113,7 +114,7 @@
     GError *error = NULL;
     char *text = NULL;
     if (!g_file_get_contents(ctl->argv[0], &text, NULL, &error)) {
-        GwCtl_Usage("%s", error->message);
+        GwCtl_UsageError("%s", error->message);
         g_error_free(error);
         return GW_CTL_USAGE;
     }
@@ -186,8 +187,8 @@
     Gw__Admin__HistoryRequest request = GW__ADMIN__HISTORY_REQUEST__INIT;
     request.limit = (uint32_t)MAX(ctl->options->limit, 0);
     if (ctl->options->before != NULL &&
-        !GwCtl_Number("--before", ctl->options->before, INT64_MAX,
-                      &request.before)) {
+        !GwCtl_ParseNumber("--before", ctl->options->before, INT64_MAX,
+                           &request.before)) {
         return GW_CTL_USAGE;
     }
     Gw__Admin__HistoryReply *reply =
@@ -198,12 +199,12 @@
         return GwCtl_Fail(error);
     }
     show_history(ctl, reply);
-    bool good = check_code(reply->code, reply->code_name, &error);
+    bool is_ok = check_code(reply->code, reply->code_name, &error);
     gw__admin__history_reply__free_unpacked(reply, NULL);
-    return good ? GW_CTL_OK : GwCtl_Fail(error);
+    return is_ok ? GW_CTL_OK : GwCtl_Fail(error);
 }
 
-/* Prints the JSON of a call whose reply is text. */
+/* Runs a call whose reply is JSON text, and prints the text. */
 static GwCtlExit
 show_text(const GwCtl *ctl, const char *method,
           const ProtobufCMessage *request)
@@ -215,12 +216,12 @@
     if (reply == NULL) {
         return GwCtl_Fail(error);
     }
-    bool good = check_code(reply->code, reply->message, &error);
-    if (good) {
+    bool is_ok = check_code(reply->code, reply->message, &error);
+    if (is_ok) {
         puts(reply->json);
     }
     gw__admin__text_reply__free_unpacked(reply, NULL);
-    return good ? GW_CTL_OK : GwCtl_Fail(error);
+    return is_ok ? GW_CTL_OK : GwCtl_Fail(error);
 }
 
 GwCtlExit
@@ -241,8 +242,8 @@
     return code;
 }
 
-/* Samples of the exposition text as one object: the name with its labels,
- * and the value. */
+/* Prints the samples of the exposition text as one JSON object: each key is
+ * the name with its labels. */
 static void
 show_metrics(const char *text)
 {
@@ -292,7 +293,8 @@
     return show_page(ctl, "/metrics");
 }
 
-/* Through the callers' address when it is given, else by a call. */
+/* Uses the callers' address when the option gives one, else the admin
+ * address. */
 GwCtlExit
 GwCtl_Entries(const GwCtl *ctl)
 {
@@ -305,17 +307,17 @@
     char *service = g_uri_escape_string(ctl->argv[0], NULL, FALSE);
     char *url = g_strdup_printf("http://%s/v1/entries/%s",
                                 ctl->options->call_address, service);
-    const GwFetch fetch = {.method = "GET", .url = url};
-    GwFetched got = {0};
-    bool good = GwAdminClient_Fetch(ctl->client, &fetch, &got, &error);
-    bool found = good && got.status == 200;
-    if (good) {
-        puts(got.body->str);
+    const GwFetchRequest fetch = {.method = "GET", .url = url};
+    GwFetchResponse response = {0};
+    bool is_ok = GwAdminClient_Fetch(ctl->client, &fetch, &response, &error);
+    bool found = is_ok && response.status == 200;
+    if (is_ok) {
+        puts(response.body->str);
     }
-    GwFetched_Clear(&got);
+    GwFetchResponse_Clear(&response);
     g_free(url);
     g_free(service);
-    if (!good) {
+    if (!is_ok) {
         return GwCtl_Fail(error);
     }
     return found ? GW_CTL_OK : GW_CTL_REFUSED;
--- a/lib/admin/ctl_status.c
+++ b/lib/admin/ctl_status.c
@@ -1,4 +1,5 @@
-/* Which version each member has: status, and waiting for a change. */
+/* Configuration versions of the members: the command status, and the wait for
+ * a change. */
 #include "admin/ctl_internal.h"
 #include "common/json.h"
 
@@ -7,14 +8,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define POLL_US 200000
+#define POLL_INTERVAL_US 200000
 
-/* Finds the array "members" anywhere in the dump. */
+/* Finds the first array "members" in the dump, at any depth. */
 static struct json_object *
-find_members(struct json_object *at)
+find_members(struct json_object *node)
 {
-    if (json_object_is_type(at, json_type_object)) {
-        json_object_object_foreach(at, key, value)
+    if (json_object_is_type(node, json_type_object)) {
+        json_object_object_foreach(node, key, value)
         {
             if (strcmp(key, "members") == 0 &&
                 json_object_is_type(value, json_type_array)) {
@@ -36,7 +37,7 @@
         json_object_object_get(item, "config_version"));
 }
 
-/* Keys of a member that operators look at. */
+/* Copies the keys of a member that the status shows. */
 static struct json_object *
 copy_member(struct json_object *from)
 {
@@ -52,7 +53,8 @@
     return to;
 }
 
-/* The entry asked and all it knows; it does not list itself. */
+/* Lists the queried entry and the members that it knows: its dump may leave
+ * out the entry itself. */
 static struct json_object *
 all_members(struct json_object *status, struct json_object *dump)
 {
@@ -70,25 +72,25 @@
     return all;
 }
 
-/* Whether a change has to wait for it. A member that left or is held dead
- * stays listed for a while with the version that it had. */
+/* Whether a change must reach the member. A member that left or is considered
+ * dead stays listed for a while with its last version. */
 static bool
-counts(struct json_object *member)
+is_live(struct json_object *member)
 {
     const char *state = GwJson_Text(member, "state");
     return strcmp(state, "dead") != 0;
 }
 
-/* The counting member with the lowest version, the first of several; `live`
- * says how many count. The entry itself always does. */
+/* Returns the first live member with the lowest version and sets the number of
+ * live members, which include the queried entry. */
 static struct json_object *
-slowest(struct json_object *members, uint32_t *live)
+find_slowest(struct json_object *members, uint32_t *live)
 {
     struct json_object *lowest = NULL;
     *live = 0;
     for (size_t i = 0; i < json_object_array_length(members); i++) {
         struct json_object *item = json_object_array_get_idx(members, i);
-        if (!counts(item)) {
+        if (!is_live(item)) {
             continue;
         }
         ++*live;
@@ -99,7 +101,7 @@
     return lowest;
 }
 
-/* One look: the entry's state with "members", "live" and "slowest". NULL
+/* Reads the entry's state once and adds "members", "live" and "slowest". NULL
  * with `error`. */
 static struct json_object *
 read_status(const GwCtl *ctl, GError **error)
@@ -122,7 +124,7 @@
     g_free(text);
     uint32_t live = 0;
     struct json_object *members = all_members(status, dump);
-    struct json_object *lowest = slowest(members, &live);
+    struct json_object *lowest = find_slowest(members, &live);
     json_object_object_add(status, "live", json_object_new_int64(live));
     json_object_object_add(status, "slowest", json_object_get(lowest));
     json_object_object_add(status, "members", members);
@@ -137,7 +139,8 @@
     printf("  %-24s %-9s version %" PRIu64, GwJson_Text(member, "name"),
            GwJson_Text(member, "state"), version_of(member));
     if (heard != NULL) {
-        printf("  heard %" PRIu64 " ms ago", json_object_get_uint64(heard));
+        printf("  last message %" PRIu64 " ms ago",
+               json_object_get_uint64(heard));
     }
     putchar('\n');
 }
@@ -164,7 +167,7 @@
 GwCtl_Status(const GwCtl *ctl)
 {
     GError *error = NULL;
-    if (GwCtl_TryEntryStatus(ctl)) {
+    if (GwCtl_TryEdgeStatus(ctl)) {
         return GW_CTL_OK;
     }
     struct json_object *status = read_status(ctl, &error);
@@ -181,9 +184,10 @@
     return GW_CTL_OK;
 }
 
-/* Standard output keeps to the reply of the change, which may be JSON. */
+/* Reports on standard error: standard output holds only the reply to the
+ * change, which may be JSON. */
 GwCtlExit
-GwCtl_Wait(const GwCtl *ctl, uint64_t version)
+GwCtl_WaitForVersion(const GwCtl *ctl, uint64_t version)
 {
     int64_t begin = g_get_monotonic_time();
     int64_t limit = begin + (int64_t)ctl->options->wait_ms * 1000;
@@ -206,8 +210,9 @@
         }
         g_strlcpy(slow, GwJson_Text(lowest, "name"), sizeof(slow));
         json_object_put(status);
-        g_usleep(POLL_US);
+        g_usleep(POLL_INTERVAL_US);
     }
-    (void)fprintf(stderr, "not in force everywhere yet; slowest %s\n", slow);
+    (void)fprintf(stderr, "not yet in force at all live members; slowest %s\n",
+                  slow);
     return GW_CTL_PENDING;
 }
--- a/lib/admin/diff.c
+++ b/lib/admin/diff.c
@@ -6,12 +6,13 @@
 
 typedef struct json_object Json;
 
-/* The members that name an item, in the order they are shown. */
+/* Members that form the name of an item, in order. */
 static const char *const name_keys[] = {"service", "region", "from", "to",
                                         "method",  "path",   "name"};
 
-/* The name of an item, such as "vatdesk/ogre"; "" when it has none. A
- * backend server's address and the like are no part of it. */
+/* Returns the name of an item, such as "vatdesk/ogre", for g_free; "" when the
+ * item has none of the members. Other members, such as a backend server's
+ * address, are not part of the name. */
 static char *
 item_name(Json *item)
 {
@@ -42,9 +43,11 @@
     return NULL;
 }
 
-static void diff_value(GString *out, const char *path, Json *old, Json *now);
+static void diff_value(GString *out, const char *path, Json *old,
+                       Json *current);
 
-/* Items of both arrays, paired by name; `removed` says which way to look. */
+/* Pairs the items of two arrays by name. With `removed`, reports the items of
+ * `from` that `other` lacks, else the new and changed items of `from`. */
 static void
 diff_items(GString *out, const char *path, Json *from, Json *other,
            bool removed)
@@ -67,15 +70,15 @@
 }
 
 static void
-diff_members(GString *out, const char *path, Json *old, Json *now)
+diff_members(GString *out, const char *path, Json *old, Json *current)
 {
     json_object_object_foreach(old, key, value)
     {
         char *at = g_strdup_printf("%s%s%s", path, path[0] ? "." : "", key);
-        diff_value(out, at, value, json_object_object_get(now, key));
+        diff_value(out, at, value, json_object_object_get(current, key));
         g_free(at);
     }
-    json_object_object_foreach(now, new_key, new_value)
+    json_object_object_foreach(current, new_key, new_value)
     {
         if (!json_object_object_get_ex(old, new_key, NULL)) {
             char *at =
@@ -87,29 +90,29 @@
 }
 
 static void
-diff_value(GString *out, const char *path, Json *old, Json *now)
+diff_value(GString *out, const char *path, Json *old, Json *current)
 {
     if (json_object_is_type(old, json_type_object) &&
-        json_object_is_type(now, json_type_object)) {
-        diff_members(out, path, old, now);
+        json_object_is_type(current, json_type_object)) {
+        diff_members(out, path, old, current);
     }
     else if (json_object_is_type(old, json_type_array) &&
-             json_object_is_type(now, json_type_array)) {
-        diff_items(out, path, old, now, true);
-        diff_items(out, path, now, old, false);
+             json_object_is_type(current, json_type_array)) {
+        diff_items(out, path, old, current, true);
+        diff_items(out, path, current, old, false);
     }
     else if (old == NULL) {
         g_string_append_printf(out, "+ %s: %s\n", path,
-                               json_object_to_json_string(now));
+                               json_object_to_json_string(current));
     }
-    else if (now == NULL) {
+    else if (current == NULL) {
         g_string_append_printf(out, "- %s: %s\n", path,
                                json_object_to_json_string(old));
     }
-    else if (!json_object_equal(old, now)) {
+    else if (!json_object_equal(old, current)) {
         char *was = g_strdup(json_object_to_json_string(old));
         g_string_append_printf(out, "  %s: %s -> %s\n", path, was,
-                               json_object_to_json_string(now));
+                               json_object_to_json_string(current));
         g_free(was);
     }
 }
@@ -121,14 +124,14 @@
     if (old == NULL) {
         return NULL;
     }
-    Json *now = GwRead_Text(new_text, strlen(new_text), error);
-    if (now == NULL) {
+    Json *current = GwRead_Text(new_text, strlen(new_text), error);
+    if (current == NULL) {
         json_object_put(old);
         return NULL;
     }
     GString *out = g_string_new(NULL);
-    diff_value(out, "", old, now);
+    diff_value(out, "", old, current);
     json_object_put(old);
-    json_object_put(now);
+    json_object_put(current);
     return g_string_free(out, FALSE);
 }
--- a/lib/admin/edit.c
+++ b/lib/admin/edit.c
@@ -8,7 +8,7 @@
 typedef Gw__Admin__Change Change;
 typedef struct json_object Json;
 
-/* An item of an array is found by up to three of its string members. */
+/* Selects an item of an array by up to MATCH_MAX of its string members. */
 typedef struct {
     const char *key;
     const char *value;
@@ -23,16 +23,16 @@
 {
     va_list args;
     va_start(args, format);
-    char *what = g_strdup_vprintf(format, args);
+    char *message = g_strdup_vprintf(format, args);
     va_end(args);
-    g_set_error(error, GW_ERROR, (int)code, "%s", what);
-    g_free(what);
+    g_set_error(error, GW_ERROR, (int)code, "%s", message);
+    g_free(message);
     return false;
 }
 
-/* An array of the document, made when it is not there. */
+/* Returns an array of the object; adds an empty one if absent. */
 static Json *
-section(Json *object, const char *key)
+get_or_add_array(Json *object, const char *key)
 {
     Json *array = NULL;
     if (!json_object_object_get_ex(object, key, &array)) {
@@ -55,9 +55,9 @@
     return true;
 }
 
-/* The index of the item, or -1. */
+/* Returns the index of the item, or -1. */
 static int64_t
-find(Json *array, const Match *match)
+find_item(Json *array, const Match *match)
 {
     size_t count = json_object_array_length(array);
     for (size_t i = 0; i < count; i++) {
@@ -74,7 +74,7 @@
     json_object_object_add(item, key, json_object_new_boolean(value));
 }
 
-/* Makes an item with the matched members. */
+/* Creates an item with the members of the match. */
 static Json *
 new_item(const Match *match)
 {
@@ -102,19 +102,17 @@
 {
     char *text = match_text(match);
     fail(error, code, "%s: %s with %s", key,
-         code == GW_RESULT_DUPLICATE ? "there is already one"
-                                     : "there is none",
-         text);
+         code == GW_RESULT_DUPLICATE ? "duplicate item" : "no item", text);
     g_free(text);
     return false;
 }
 
-/* The item, or NULL with an error. */
+/* Returns the item, or NULL with an error. */
 static Json *
-must_find(Json *object, const char *key, const Match *match, GError **error)
+find_or_fail(Json *object, const char *key, const Match *match, GError **error)
 {
-    Json *array = section(object, key);
-    int64_t i = find(array, match);
+    Json *array = get_or_add_array(object, key);
+    int64_t i = find_item(array, match);
     if (i < 0) {
         fail_match(error, GW_RESULT_NOT_FOUND, key, match);
         return NULL;
@@ -122,12 +120,12 @@
     return json_object_array_get_idx(array, (size_t)i);
 }
 
-/* A new item at the end of the array, or NULL when there is one already. */
+/* Appends a new item; NULL with an error when the item exists already. */
 static Json *
-must_add(Json *object, const char *key, const Match *match, GError **error)
+add_or_fail(Json *object, const char *key, const Match *match, GError **error)
 {
-    Json *array = section(object, key);
-    if (find(array, match) >= 0) {
+    Json *array = get_or_add_array(object, key);
+    if (find_item(array, match) >= 0) {
         fail_match(error, GW_RESULT_DUPLICATE, key, match);
         return NULL;
     }
@@ -136,12 +134,12 @@
     return item;
 }
 
-/* The item, made at the end of the array when it is not there. */
+/* Returns the item; appends a new one if absent. */
 static Json *
 find_or_add(Json *object, const char *key, const Match *match)
 {
-    Json *array = section(object, key);
-    int64_t i = find(array, match);
+    Json *array = get_or_add_array(object, key);
+    int64_t i = find_item(array, match);
     if (i >= 0) {
         return json_object_array_get_idx(array, (size_t)i);
     }
@@ -151,10 +149,11 @@
 }
 
 static bool
-must_remove(Json *object, const char *key, const Match *match, GError **error)
+remove_or_fail(Json *object, const char *key, const Match *match,
+               GError **error)
 {
-    Json *array = section(object, key);
-    int64_t i = find(array, match);
+    Json *array = get_or_add_array(object, key);
+    int64_t i = find_item(array, match);
     if (i < 0) {
         return fail_match(error, GW_RESULT_NOT_FOUND, key, match);
     }
@@ -194,17 +193,18 @@
         }                                                                     \
     }
 
-/* The place that has the backend server, or NULL with an error. */
+/* Returns the place that has the backend server, or NULL with an error. */
 static Json *
 place_of_backend(Json *doc, const Gw__Admin__BackendRef *ref, GError **error)
 {
-    Json *places = section(doc, "places");
+    Json *places = get_or_add_array(doc, "places");
     size_t count = json_object_array_length(places);
     const Match service[MATCH_MAX] = {{"service", ref->service}};
     for (size_t i = 0; i < count; i++) {
         Json *place = json_object_array_get_idx(places, i);
         if (matches(place, service) &&
-            find(section(place, "backends"), NAME(ref->name)) >= 0) {
+            find_item(get_or_add_array(place, "backends"), NAME(ref->name)) >=
+                0) {
             return place;
         }
     }
@@ -220,14 +220,14 @@
     Json *place = place_of_backend(doc, ref, error);
     return place == NULL
                ? NULL
-               : must_find(place, "backends", NAME(ref->name), error);
+               : find_or_fail(place, "backends", NAME(ref->name), error);
 }
 
 static bool
 drain_place(Json *doc, const Gw__Admin__PlaceRef *ref, bool drain,
             GError **error)
 {
-    Json *place = must_find(doc, "places", PLACE(ref), error);
+    Json *place = find_or_fail(doc, "places", PLACE(ref), error);
     if (place == NULL) {
         return false;
     }
@@ -266,7 +266,7 @@
 static bool
 create_region(Json *doc, const Gw__Admin__Region *region, GError **error)
 {
-    Json *item = must_add(doc, "regions", NAME(region->name), error);
+    Json *item = add_or_fail(doc, "regions", NAME(region->name), error);
     if (item == NULL) {
         return false;
     }
@@ -277,13 +277,13 @@
 static bool
 create_service(Json *doc, const Gw__Admin__Service *service, GError **error)
 {
-    Json *item = must_add(doc, "services", NAME(service->name), error);
+    Json *item = add_or_fail(doc, "services", NAME(service->name), error);
     if (item == NULL) {
         return false;
     }
     GwJson_SetU64(item, "deadline_max_ms", service->deadline_max_ms);
     GwJson_SetU64(item, "hedge_percentile", service->hedge_percentile);
-    Json *operations = section(item, "operations");
+    Json *operations = get_or_add_array(item, "operations");
     for (size_t i = 0; i < service->n_operations; i++) {
         const Gw__Admin__Operation *op = service->operations[i];
         Json *entry = json_object_new_object();
@@ -306,18 +306,18 @@
         GwJson_SetU64(item, "connections", backend->connections);
     }
     set_bool(item, "drain", backend->drain);
-    json_object_array_add(section(place, "backends"), item);
+    json_object_array_add(get_or_add_array(place, "backends"), item);
 }
 
 static bool
 create_place(Json *doc, const Gw__Admin__Place *place, GError **error)
 {
-    Json *item = must_add(doc, "places", PLACE(place), error);
+    Json *item = add_or_fail(doc, "places", PLACE(place), error);
     if (item == NULL) {
         return false;
     }
     set_bool(item, "drain", place->drain);
-    section(item, "backends");
+    get_or_add_array(item, "backends");
     for (size_t i = 0; i < place->n_backends; i++) {
         append_backend(item, place->backends[i]);
     }
@@ -327,7 +327,7 @@
 static bool
 add_backend(Json *doc, const Gw__Admin__AddBackend *add, GError **error)
 {
-    Json *place = must_find(doc, "places", PLACE(add), error);
+    Json *place = find_or_fail(doc, "places", PLACE(add), error);
     if (place == NULL) {
         return false;
     }
@@ -343,7 +343,7 @@
 {
     Json *place = place_of_backend(doc, ref, error);
     return place != NULL &&
-           must_remove(place, "backends", NAME(ref->name), error);
+           remove_or_fail(place, "backends", NAME(ref->name), error);
 }
 
 static bool
@@ -360,7 +360,7 @@
 }
 
 static bool
-edit_one(Json *doc, const Change *c, GError **error)
+apply_change(Json *doc, const Change *c, GError **error)
 {
     switch (c->kind_case) {
     case GW__ADMIN__CHANGE__KIND_DRAIN_PLACE:
@@ -374,25 +374,25 @@
     case GW__ADMIN__CHANGE__KIND_SET_SHIFT:
         return set_shift(doc, c->set_shift);
     case GW__ADMIN__CHANGE__KIND_REMOVE_SHIFT:
-        return must_remove(doc, "shifts", SHIFT(c->remove_shift), error);
+        return remove_or_fail(doc, "shifts", SHIFT(c->remove_shift), error);
     case GW__ADMIN__CHANGE__KIND_SET_LINK:
         return set_link(doc, c->set_link);
     case GW__ADMIN__CHANGE__KIND_REMOVE_LINK:
-        return must_remove(doc, "links", LINK(c->remove_link), error);
+        return remove_or_fail(doc, "links", LINK(c->remove_link), error);
     case GW__ADMIN__CHANGE__KIND_CREATE_REGION:
         return create_region(doc, c->create_region, error);
     case GW__ADMIN__CHANGE__KIND_REMOVE_REGION:
-        return must_remove(doc, "regions", NAME(c->remove_region->name),
-                           error);
+        return remove_or_fail(doc, "regions", NAME(c->remove_region->name),
+                              error);
     case GW__ADMIN__CHANGE__KIND_CREATE_SERVICE:
         return create_service(doc, c->create_service, error);
     case GW__ADMIN__CHANGE__KIND_REMOVE_SERVICE:
-        return must_remove(doc, "services", NAME(c->remove_service->name),
-                           error);
+        return remove_or_fail(doc, "services", NAME(c->remove_service->name),
+                              error);
     case GW__ADMIN__CHANGE__KIND_CREATE_PLACE:
         return create_place(doc, c->create_place, error);
     case GW__ADMIN__CHANGE__KIND_REMOVE_PLACE:
-        return must_remove(doc, "places", PLACE(c->remove_place), error);
+        return remove_or_fail(doc, "places", PLACE(c->remove_place), error);
     case GW__ADMIN__CHANGE__KIND_ADD_BACKEND:
         return add_backend(doc, c->add_backend, error);
     case GW__ADMIN__CHANGE__KIND_REMOVE_BACKEND:
@@ -403,11 +403,10 @@
         GwJson_SetU64(doc, "warmup_step", c->set_warmup_step->step);
         return true;
     default:
-        return fail(error, GW_RESULT_INVALID, "no kind of change is named");
+        return fail(error, GW_RESULT_INVALID, "the change has no kind");
     }
 }
 
-/* Makes every change of the batch, in order, or none. */
 char *
 GwEdit_Make(void *ctx, const char *text, GError **error)
 {
@@ -417,20 +416,20 @@
         return NULL;
     }
     for (size_t i = 0; i < batch->n_changes; i++) {
-        if (!edit_one(doc, batch->changes[i], error)) {
+        if (!apply_change(doc, batch->changes[i], error)) {
             g_prefix_error(error, "changes[%zu]: ", i);
             json_object_put(doc);
             return NULL;
         }
     }
-    char *made = g_strdup(json_object_to_json_string_ext(
+    char *edited = g_strdup(json_object_to_json_string_ext(
         doc, JSON_C_TO_STRING_PRETTY | JSON_C_TO_STRING_NOSLASHESCAPE));
     json_object_put(doc);
-    return made;
+    return edited;
 }
 
 static void
-describe_one(GString *out, const Change *c)
+describe_change(GString *out, const Change *c)
 {
     const ProtobufCMessageDescriptor *d = c->base.descriptor;
     const ProtobufCFieldDescriptor *field =
@@ -457,14 +456,12 @@
     }
 }
 
-/* Such as "set_shift vatdesk riga ogre cap=12 percent=0", by the names of
- * the schema. */
 char *
 GwEdit_Describe(const Gw__Admin__Batch *batch)
 {
     GString *out = g_string_new(NULL);
     for (size_t i = 0; i < batch->n_changes && out->len < 400; i++) {
-        describe_one(out, batch->changes[i]);
+        describe_change(out, batch->changes[i]);
     }
     return g_string_free(out, FALSE);
 }
--- a/lib/admin/explain.c
+++ b/lib/admin/explain.c
@@ -9,8 +9,8 @@
 #include <string.h>
 
 /* Above this age the server list of an entry is reported as stale. Must be
- * longer than 6 s: a poll of the store returns after that time when nothing has
- * changed. */
+ * longer than 6 s: a poll of the store returns after that time when nothing
+ * has changed. */
 #define SERVER_LIST_STALE_MS 8000
 /* A change of a server is noted at a line of the request that follows within
  * this time. */
--- a/lib/admin/history.c
+++ b/lib/admin/history.c
@@ -1,4 +1,4 @@
-/* Get and History: what was in force, and who changed it. */
+/* Get and History: documents by version, and the log of changes. */
 #include "admin/rpc_internal.h"
 #include "common/json.h"
 #include "platform/snapshots.h"
@@ -19,7 +19,7 @@
     g_snprintf(key, GW_ROW_KEY_MAX, "%s%020" PRIu64, prefix, version);
 }
 
-/* The version that the head row names; 0 before the first change. */
+/* Reads the current version from the head row; 0 before the first change. */
 static GwResultCode
 read_head(const GwRpc *rpc, uint64_t *version)
 {
@@ -47,8 +47,8 @@
     out.message =
         (char *)(code == GW_RESULT_OK          ? ""
                  : code == GW_RESULT_NOT_FOUND ? "there is no such version"
-                                               : "the platform's table does "
-                                                 "not answer as it should");
+                                               : "the platform's table is "
+                                                 "unavailable or corrupt");
     out.version = version;
     out.document = (char *)document;
     GwRpc_Pack(&out.base, reply);
@@ -58,10 +58,10 @@
 get_version(const GwRpc *rpc, uint64_t version, GwRpcReply *reply)
 {
     char key[GW_ROW_KEY_MAX];
-    GwTableReply got;
+    GwTableReply row_reply;
     GwRow *row = NULL;
     make_key(key, GW_KEY_DOC_PREFIX, version);
-    if (!GwRpc_GetRow(rpc, key, &got, &row)) {
+    if (!GwRpc_GetRow(rpc, key, &row_reply, &row)) {
         pack_get(GW_RESULT_STORE_AWAY, version, "", reply);
     }
     else if (row == NULL) {
@@ -70,13 +70,13 @@
     else {
         pack_get(GW_RESULT_OK, version, row->value, reply);
     }
-    rpc->table_clear(&got);
+    rpc->table_clear(&row_reply);
 }
 
-/* The document in force comes from the table's head; while the table is
- * away, the one in force at this entry is given. */
+/* Returns the document that the table's head row names. While the table is
+ * unavailable or empty, returns the document in force at this entry. */
 static void
-get_present(const GwRpc *rpc, GwRpcReply *reply)
+get_current(const GwRpc *rpc, GwRpcReply *reply)
 {
     uint64_t version = 0;
     GwResultCode code = read_head(rpc, &version);
@@ -93,7 +93,8 @@
     pack_get(code == GW_RESULT_OK ? GW_RESULT_NOT_FOUND : code, 0, "", reply);
 }
 
-/* A document of the object store, for when the table has lost its rows. */
+/* Returns a document from the object store, for recovery when the table has
+ * lost its rows. */
 static void
 get_snapshot(const GwRpc *rpc, uint64_t at_most, GwRpcReply *reply)
 {
@@ -128,7 +129,7 @@
         get_snapshot(rpc, request->version, reply);
     }
     else if (request->version == 0) {
-        get_present(rpc, reply);
+        get_current(rpc, reply);
     }
     else {
         get_version(rpc, request->version, reply);
@@ -137,7 +138,7 @@
     return GW_RPC_DONE;
 }
 
-/* One log entry; NULL when the text is none. */
+/* Parses an entry of the change log; NULL when the text is malformed. */
 static Gw__Admin__HistoryEntry *
 parse_entry(uint64_t version, const char *text)
 {
@@ -166,21 +167,21 @@
     g_free(entry);
 }
 
-/* Reads from the version down. */
+/* Reads up to `limit` entries, from `version` downwards. */
 static GwResultCode
 read_entries(const GwRpc *rpc, uint64_t version, uint32_t limit,
              Gw__Admin__HistoryReply *out)
 {
     for (uint32_t i = 0; i < limit && version > 0; i++, version--) {
         char key[GW_ROW_KEY_MAX];
-        GwTableReply got;
+        GwTableReply row_reply;
         GwRow *row = NULL;
         make_key(key, GW_KEY_LOG_PREFIX, version);
-        bool answered = GwRpc_GetRow(rpc, key, &got, &row);
+        bool has_answered = GwRpc_GetRow(rpc, key, &row_reply, &row);
         Gw__Admin__HistoryEntry *entry =
             row != NULL ? parse_entry(version, row->value) : NULL;
-        rpc->table_clear(&got);
-        if (!answered) {
+        rpc->table_clear(&row_reply);
+        if (!has_answered) {
             return GW_RESULT_STORE_AWAY;
         }
         if (entry == NULL) {
--- a/lib/admin/http.c
+++ b/lib/admin/http.c
@@ -7,9 +7,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define THREADS    "16"
-#define TIMEOUT_MS "10000"
-#define BEARER     "Bearer "
+#define SERVER_THREADS     "16"
+#define REQUEST_TIMEOUT_MS "10000"
+#define BEARER             "Bearer "
 
 struct GwAdmin_s {
     GwAdminHost host;
@@ -17,9 +17,9 @@
     struct mg_context *http;
 };
 
-/* Compares in a time that depends on the header's length only: a comparison
- * that stops at the first difference would tell a guesser how far a token
- * is right. An empty token allows nobody. */
+/* Compares in a time that depends only on the header's length: a comparison
+ * that stops at the first difference would reveal how many leading bytes of a
+ * guessed token are correct. An empty token allows nobody. */
 bool
 GwAdminHttp_IsAllowed(const char *token, const char *header)
 {
@@ -27,12 +27,12 @@
         !g_str_has_prefix(header, BEARER)) {
         return false;
     }
-    const char *shown = header + strlen(BEARER);
-    size_t len = strlen(shown);
+    const char *presented = header + strlen(BEARER);
+    size_t len = strlen(presented);
     size_t token_len = strlen(token);
     unsigned char differs = len != token_len;
     for (size_t i = 0; i < len; i++) {
-        differs |= (unsigned char)(shown[i] ^ token[i % token_len]);
+        differs |= (unsigned char)(presented[i] ^ token[i % token_len]);
     }
     return differs == 0;
 }
@@ -71,8 +71,8 @@
     return false;
 }
 
-/* Reads the whole body; false when it is longer than allowed or cut off.
- * *body is for g_free in both cases. */
+/* Reads the whole body; false when the body is too long, truncated or of
+ * unknown length. *body is for g_free in both cases. */
 static bool
 read_body(struct mg_connection *conn, uint8_t **body, uint32_t *len)
 {
@@ -108,7 +108,7 @@
     else {
         send_text(conn, (int)status,
                   status == GW_RPC_NO_METHOD ? "no such method\n"
-                                             : "the body can't be read\n");
+                                             : "malformed request body\n");
     }
     g_free(out);
     return (int)status;
@@ -121,14 +121,15 @@
     uint8_t *body = NULL;
     uint32_t len = 0;
     if (strcmp(mg_get_request_info(conn)->request_method, "POST") != 0) {
-        return send_text(conn, 405, "POST only\n");
+        return send_text(conn, 405, "method not allowed: use POST\n");
     }
     if (!check_token(admin, conn)) {
         return 401;
     }
-    int status = read_body(conn, &body, &len)
-                     ? run_rpc(admin, conn, body, len)
-                     : send_text(conn, 413, "the body is too large\n");
+    int status =
+        read_body(conn, &body, &len)
+            ? run_rpc(admin, conn, body, len)
+            : send_text(conn, 413, "request body too large or truncated\n");
     g_free(body);
     return status;
 }
@@ -146,7 +147,7 @@
     return status;
 }
 
-/* Counters hold nothing secret, so collectors need no token. */
+/* Metrics contain no secrets, so collectors need no token. */
 static int
 on_metrics(struct mg_connection *conn, void *data)
 {
@@ -158,16 +159,15 @@
     return status;
 }
 
-/* Takes connections until GwAdmin_Stop. */
 GwAdmin *
 GwAdminHttp_Start(const GwRpc *rpc, const char *address, GError **error)
 {
     const char *options[] = {"listening_ports",
                              address,
                              "num_threads",
-                             THREADS,
+                             SERVER_THREADS,
                              "request_timeout_ms",
-                             TIMEOUT_MS,
+                             REQUEST_TIMEOUT_MS,
                              "enable_keep_alive",
                              "yes",
                              "keep_alive_timeout_ms",
@@ -193,7 +193,6 @@
     return admin;
 }
 
-/* The port in use; needed when the address asked for any. */
 uint32_t
 GwAdminHttp_Port(const GwAdmin *admin)
 {
@@ -203,7 +202,6 @@
                : 0;
 }
 
-/* Waits for calls that run; NULL is fine. */
 void
 GwAdmin_Stop(GwAdmin *admin)
 {
--- a/lib/admin/rpc.c
+++ b/lib/admin/rpc.c
@@ -2,7 +2,6 @@
 
 #include <string.h>
 
-/* Packs a reply into memory for g_free. */
 void
 GwRpc_Pack(const ProtobufCMessage *message, GwRpcReply *reply)
 {
@@ -11,8 +10,6 @@
     reply->len = (uint32_t)protobuf_c_message_pack(message, reply->data);
 }
 
-/* Reads one row: *row is NULL when it is absent. False when the table did
- * not answer. The caller clears the reply. */
 bool
 GwRpc_GetRow(const GwRpc *rpc, const char *key, GwTableReply *reply,
              GwRow **row)
--- a/lib/admin/rpc.h
+++ b/lib/admin/rpc.h
@@ -1,12 +1,12 @@
-/* The remote procedure calls of operators, apart from HTTP. */
+/* Remote procedure calls of operators, independent of HTTP. */
 #ifndef GW_ADMIN_RPC_H
 #define GW_ADMIN_RPC_H
 
 #include "admin/admin.h"
 
-#define GW_RPC_BODY_MAX (2u << 20)
+#define GW_RPC_BODY_MAX (2u << 20) /* bytes */
 
-/* What a call works with; the functions may be called from any thread. */
+/* Dependencies of a call. Every function may be called from any thread. */
 typedef struct {
     const GwAdminHost *host;
     void *table;
@@ -14,7 +14,7 @@
                      GwTableReply *reply);
     void (*table_clear)(GwTableReply *reply);
     void (*log)(uint32_t event, const char *text);
-    int64_t (*now_ms)(void); /* of the wall clock, for the log of changes */
+    int64_t (*now_ms)(void); /* wall clock, for the log of changes */
 } GwRpc;
 
 typedef enum {
@@ -23,7 +23,7 @@
     GW_RPC_NO_METHOD = 404
 } GwRpcStatus;
 
-/* Runs one call. DONE: `out` holds the packed reply, for g_free. */
+/* Runs one call. With DONE, `out` holds the packed reply, for g_free. */
 GwRpcStatus GwRpc_Handle(const GwRpc *rpc, const char *method,
                          const uint8_t *body, uint32_t len, uint8_t **out,
                          uint32_t *out_len);
--- a/lib/admin/rpc_internal.h
+++ b/lib/admin/rpc_internal.h
@@ -13,7 +13,10 @@
 typedef GwRpcStatus (*GwRpcMethod)(const GwRpc *rpc, const uint8_t *body,
                                    uint32_t len, GwRpcReply *reply);
 
+/* Packs a message into memory for g_free. */
 void GwRpc_Pack(const ProtobufCMessage *message, GwRpcReply *reply);
+/* Reads one row; *row is NULL when the row is absent. False when the table did
+ * not answer. The caller clears the reply in both cases. */
 bool GwRpc_GetRow(const GwRpc *rpc, const char *key, GwTableReply *reply,
                   GwRow **row);
 
--- a/tests/unit/test_ctl.c
+++ b/tests/unit/test_ctl.c
@@ -1,3 +1,5 @@
+/* Commands of godwitctl against an admin server: exit codes, and differences
+ * of documents. */
 #include "admin/ctl.h"
 #include "admin/diff.h"
 #include "fakes/admin_server.h"
@@ -63,7 +65,7 @@
                           .limit = -1};
 }
 
-/* Runs a command line of words; DOC stands for the file. */
+/* Runs a command line; the word DOC is replaced by the document's path. */
 static GwCtlExit
 run(const GwCtlOptions *o, const char *line)
 {
@@ -136,7 +138,7 @@
     }
 }
 
-Test(ctl, a_base_version_guards_against_a_race)
+Test(ctl, outdated_base_version_is_refused)
 {
     GwCtlOptions o = options();
     cr_expect_eq(run(&o, "apply DOC"), GW_CTL_OK);
@@ -148,7 +150,7 @@
     cr_expect_eq(run(&o, "warmup 9"), GW_CTL_USAGE);
 }
 
-Test(ctl, pending_and_unreachable_are_told_apart)
+Test(ctl, pending_and_unreachable_have_their_own_exit_codes)
 {
     GwCtlOptions o = options();
     o.request_id = (char *)"mine";
@@ -162,7 +164,7 @@
     cr_expect_eq(run(&o, "status"), GW_CTL_UNREACHABLE);
 }
 
-Test(ctl, history_goes_back_before_a_version)
+Test(ctl, history_accepts_a_version_to_start_before)
 {
     GwCtlOptions o = options();
     cr_expect_eq(run(&o, "apply DOC"), GW_CTL_OK);
@@ -174,7 +176,7 @@
     cr_expect_eq(run(&o, "history"), GW_CTL_USAGE);
 }
 
-Test(ctl, wait_ends_when_every_live_member_has_the_version)
+Test(ctl, wait_returns_when_every_live_member_has_the_version)
 {
     GwCtlOptions o = options();
     o.wait = 1;
--- a/tests/unit/test_edit.c
+++ b/tests/unit/test_edit.c
@@ -1,3 +1,4 @@
+/* Typed changes of a document: each kind applied and undone; error texts. */
 #include "admin/edit.h"
 #include "godwitridge_errors.h"
 
@@ -11,7 +12,7 @@
     "[{\"name\": \"vd-1\", \"address\": \"127.0.0.1:9001\", \"slots\": "      \
     "6}]}]}"
 
-/* One change, by its field and message. */
+/* A change of one kind; `field` is the member of the union. */
 #define CHANGE(FIELD, field, ...)                                             \
     {                                                                         \
         .base = PROTOBUF_C_MESSAGE_INIT(&gw__admin__change__descriptor),      \
@@ -75,8 +76,8 @@
 /* clang-format on */
 
 static char *
-make(Gw__Admin__Change *changes, size_t count, const char *text,
-     GError **error)
+edit_document(Gw__Admin__Change *changes, size_t count, const char *text,
+              GError **error)
 {
     Gw__Admin__Change *list[16];
     Gw__Admin__Batch batch = GW__ADMIN__BATCH__INIT;
@@ -97,9 +98,9 @@
     return c;
 }
 
-Test(edit, every_kind_of_change_is_made_and_undone)
+Test(edit, every_kind_of_change_is_applied_and_undone)
 {
-    char *grown = make(grow, G_N_ELEMENTS(grow), DOC, NULL);
+    char *grown = edit_document(grow, G_N_ELEMENTS(grow), DOC, NULL);
     cr_assert_not_null(grown);
     GwConfig *c = parse(grown);
     cr_expect_eq(c->region_count, 2);
@@ -114,7 +115,7 @@
     cr_expect_eq(c->warmup_step, 8);
     cr_expect(GwConfig_IsIdempotent(c, 1, "GET", "/recipes/1"));
     GwConfig_Free(c);
-    char *shrunk = make(shrink, G_N_ELEMENTS(shrink), grown, NULL);
+    char *shrunk = edit_document(shrink, G_N_ELEMENTS(shrink), grown, NULL);
     cr_assert_not_null(shrunk);
     c = parse(shrunk);
     cr_expect_eq(c->region_count, 1);
@@ -129,8 +130,7 @@
     g_free(shrunk);
 }
 
-/* Each change alone, where what it names is missing or there already. */
-Test(edit, what_is_missing_or_there_already_is_refused)
+Test(edit, absent_and_duplicate_items_are_refused)
 {
     static const struct {
         Gw__Admin__Change *change;
@@ -138,15 +138,15 @@
     } cases[] = {
         {&shrink[1], "changes[0]: places: service vatdesk has no backend "
                      "server vd-2"},
-        {&shrink[2], "changes[0]: shifts: there is none with service vatdesk, "
+        {&shrink[2], "changes[0]: shifts: no item with service vatdesk, "
                      "from riga, to ogre"},
-        {&shrink[5], "changes[0]: places: there is none with service lotgate, "
+        {&shrink[5], "changes[0]: places: no item with service lotgate, "
                      "region riga"},
-        {&shrink[7], "changes[0]: regions: there is none with name riga"},
+        {&shrink[7], "changes[0]: regions: no item with name riga"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         GError *error = NULL;
-        cr_expect_null(make(cases[i].change, 1, DOC, &error));
+        cr_expect_null(edit_document(cases[i].change, 1, DOC, &error));
         cr_assert_not_null(error);
         cr_expect_eq(error->code, GW_RESULT_NOT_FOUND);
         cr_expect_str_eq(error->message, cases[i].message);
@@ -154,20 +154,19 @@
     }
     GError *error = NULL;
     Gw__Admin__Change twice[] = {grow[0], grow[0]};
-    cr_expect_null(make(twice, 2, DOC, &error));
+    cr_expect_null(edit_document(twice, 2, DOC, &error));
     cr_assert_not_null(error);
-    cr_expect_str_eq(
-        error->message,
-        "changes[1]: regions: there is already one with name riga");
+    cr_expect_str_eq(error->message,
+                     "changes[1]: regions: duplicate item with name riga");
     g_clear_error(&error);
     Gw__Admin__Change none = GW__ADMIN__CHANGE__INIT;
-    cr_expect_null(make(&none, 1, DOC, &error));
+    cr_expect_null(edit_document(&none, 1, DOC, &error));
     cr_assert_not_null(error);
     cr_expect_eq(error->code, GW_RESULT_INVALID);
     g_clear_error(&error);
 }
 
-Test(edit, the_log_line_has_the_names_of_the_schema)
+Test(edit, log_line_uses_the_names_of_the_schema)
 {
     Gw__Admin__Change *list[] = {&grow[5], &grow[7]};
     Gw__Admin__Batch batch = GW__ADMIN__BATCH__INIT;
