--- a/lib/common/actions.c
+++ b/lib/common/actions.c
@@ -1,12 +1,12 @@
-/* The list of actions that a step gives back. */
+/* The list of actions that a step of the decision code returns. */
 #include "godwitridge.h"
 
 #include <glib.h>
 #include <stdarg.h>
 #include <string.h>
 
-/* Appends a zeroed action of the kind and returns it; valid until the next
- * append. The list keeps its memory between steps. */
+/* Appends a zeroed action of the kind. The returned pointer is valid until the
+ * next append. */
 GwAction *
 GwActions_Add(GwActions *actions, GwActionKind kind)
 {
@@ -43,8 +43,9 @@
     g_free(request);
 }
 
-/* Frees what the actions own and empties the list. A host that takes over a
- * message or table request sets its pointer to NULL first. */
+/* Frees the messages and table requests of the actions and empties the list,
+ * keeping its memory for the next step. A host that takes ownership of a
+ * message or table request sets the pointer to NULL first. */
 void
 GwActions_Clear(GwActions *actions)
 {
@@ -60,7 +61,7 @@
     actions->count = 0;
 }
 
-/* Clears the list and gives its memory back. */
+/* Clears the list and frees its memory. */
 void
 GwActions_Free(GwActions *actions)
 {
--- a/lib/common/command.h
+++ b/lib/common/command.h
@@ -1,4 +1,4 @@
-/* What the command lines of the daemons have in common. */
+/* Command line parsing and exit codes shared by the daemons. */
 #ifndef GW_COMMON_COMMAND_H
 #define GW_COMMON_COMMAND_H
 
@@ -7,22 +7,23 @@
 
 /* Exit codes of the daemons. */
 typedef enum {
-    GW_EXIT_OK = 0,      /* graceful stop, or a question was answered */
+    GW_EXIT_OK = 0,      /* graceful stop, or a query was answered */
     GW_EXIT_RUNTIME = 1, /* failure at run time */
     GW_EXIT_USAGE = 2,
-    GW_EXIT_SETTINGS = 3 /* the settings were refused */
+    GW_EXIT_SETTINGS = 3 /* the settings are invalid */
 } GwExit;
 
 typedef struct {
-    const char *name; /* of the program, for messages */
+    const char *name; /* program name, for error messages */
     struct poptOption *options;
-    /* Whether what was read is enough; NULL: anything is. */
+    /* Returns whether all required options were given; NULL if none is
+     * required. */
     bool (*is_complete)(const void *arguments);
     const void *arguments;
 } GwCommand;
 
-/* Reads the options; there are no other arguments. OK, or USAGE after a
- * message on standard error. */
+/* Parses the options; positional arguments are rejected. Returns GW_EXIT_OK,
+ * or GW_EXIT_USAGE after writing a message to standard error. */
 GwExit GwCommand_Parse(const GwCommand *command, int argc, const char **argv);
 
 #endif
--- a/lib/common/fingerprint.c
+++ b/lib/common/fingerprint.c
@@ -4,11 +4,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DIGITS 16 /* of each half */
+#define HALF_DIGITS 16 /* hexadecimal digits of 64 bits */
 
-/* Each part follows its length, so that none can run into the next. */
+/* Hashes the length before the part, so that moving bytes from one part to the
+ * next changes the digest. */
 static void
-add(GChecksum *sum, const char *part, size_t len)
+hash_part(GChecksum *sum, const char *part, size_t len)
 {
     uint64_t size = GUINT64_TO_LE((uint64_t)len);
 
@@ -24,11 +25,11 @@
     gsize len = sizeof(digest);
     GwFingerprint f;
 
-    add(sum, parts->method, strlen(parts->method));
-    add(sum, parts->host, strlen(parts->host));
-    add(sum, parts->target, strlen(parts->target));
-    add(sum, parts->caller, strlen(parts->caller));
-    add(sum, parts->body, parts->body_len);
+    hash_part(sum, parts->method, strlen(parts->method));
+    hash_part(sum, parts->host, strlen(parts->host));
+    hash_part(sum, parts->target, strlen(parts->target));
+    hash_part(sum, parts->caller, strlen(parts->caller));
+    hash_part(sum, parts->body, parts->body_len);
     g_checksum_get_digest(sum, digest, &len);
     g_checksum_free(sum);
     memcpy(&f, digest, sizeof(f));
@@ -65,14 +66,14 @@
 bool
 GwFingerprint_Read(const char *text, GwFingerprint *out)
 {
-    char half[DIGITS + 1];
+    char half[HALF_DIGITS + 1];
 
-    if (strspn(text, "0123456789abcdefABCDEF") != 2 * DIGITS ||
-        text[2 * DIGITS] != '\0') {
+    if (strspn(text, "0123456789abcdefABCDEF") != 2 * HALF_DIGITS ||
+        text[2 * HALF_DIGITS] != '\0') {
         return false;
     }
     g_strlcpy(half, text, sizeof(half));
     out->hi = strtoull(half, NULL, 16);
-    out->lo = strtoull(text + DIGITS, NULL, 16);
+    out->lo = strtoull(text + HALF_DIGITS, NULL, 16);
     return true;
 }
--- a/lib/common/fingerprint.h
+++ b/lib/common/fingerprint.h
@@ -1,7 +1,8 @@
-/* Identifies what a caller asks for, whichever attempt, address and entry it
- * comes by. Two requests share a fingerprint if method, host, target, caller
- * and body are the same. The digest is wide and of a cryptographic hash: nobody
- * can make a request that is taken for another caller's. */
+/* Identifies a request independently of the attempt, address and entry that it
+ * arrives through. Two requests share a fingerprint if method, host, target,
+ * caller and body are equal. The fingerprint is 128 bits of a cryptographic
+ * hash, so that a caller can't craft a request that collides with another
+ * caller's. */
 #ifndef GW_COMMON_FINGERPRINT_H
 #define GW_COMMON_FINGERPRINT_H
 
@@ -19,22 +20,22 @@
     const char *method;
     const char *host;
     const char *target; /* path and query */
-    const char *caller; /* its credentials; "" where it shows none */
+    const char *caller; /* credentials; "" when the request has none */
     const char *body;
     size_t body_len;
 } GwFingerprintParts;
 
 GwFingerprint GwFingerprint_Make(const GwFingerprintParts *parts);
 bool GwFingerprint_Equal(const GwFingerprint *a, const GwFingerprint *b);
-/* For GHashTable, with a GwFingerprint as key. */
+/* Hash and equality functions for a GHashTable keyed by GwFingerprint. */
 guint GwFingerprint_Hash(gconstpointer fingerprint);
 gboolean GwFingerprint_EqualKeys(gconstpointer a, gconstpointer b);
 
-/* 32 hexadecimal digits and a NUL. */
+/* Buffer size of the text form: 32 hexadecimal digits and a NUL. */
 #define GW_FINGERPRINT_TEXT 33
 void GwFingerprint_Write(const GwFingerprint *f,
                          char text[GW_FINGERPRINT_TEXT]);
-/* False where the text is no fingerprint. */
+/* Returns false unless the text is exactly 32 hexadecimal digits. */
 bool GwFingerprint_Read(const char *text, GwFingerprint *out);
 
 #endif
--- a/lib/common/heap.c
+++ b/lib/common/heap.c
@@ -4,35 +4,35 @@
 #include <glib.h>
 
 static void
-put(GwHeap *heap, uint32_t at, GwHeapSlot slot)
+set_slot(GwHeap *heap, uint32_t i, GwHeapSlot slot)
 {
-    heap->slots[at] = slot;
-    *slot.place = at;
+    heap->slots[i] = slot;
+    *slot.position = i;
 }
 
 static void
-sift_up(GwHeap *heap, uint32_t at)
+sift_up(GwHeap *heap, uint32_t i)
 {
-    GwHeapSlot slot = heap->slots[at];
+    GwHeapSlot slot = heap->slots[i];
 
-    while (at > 0) {
-        uint32_t parent = (at - 1) / 2;
+    while (i > 0) {
+        uint32_t parent = (i - 1) / 2;
         if (heap->slots[parent].key <= slot.key) {
             break;
         }
-        put(heap, at, heap->slots[parent]);
-        at = parent;
+        set_slot(heap, i, heap->slots[parent]);
+        i = parent;
     }
-    put(heap, at, slot);
+    set_slot(heap, i, slot);
 }
 
 static void
-sift_down(GwHeap *heap, uint32_t at)
+sift_down(GwHeap *heap, uint32_t i)
 {
-    GwHeapSlot slot = heap->slots[at];
+    GwHeapSlot slot = heap->slots[i];
 
     for (;;) {
-        uint32_t child = 2 * at + 1;
+        uint32_t child = 2 * i + 1;
         if (child >= heap->count) {
             break;
         }
@@ -43,52 +43,53 @@
         if (slot.key <= heap->slots[child].key) {
             break;
         }
-        put(heap, at, heap->slots[child]);
-        at = child;
+        set_slot(heap, i, heap->slots[child]);
+        i = child;
     }
-    put(heap, at, slot);
+    set_slot(heap, i, slot);
 }
 
-/* Adds an item; *place must outlive its stay in the heap. */
+/* Adds an item. *position must stay valid until the item is removed. */
 void
-GwHeap_Push(GwHeap *heap, int64_t key, void *item, uint32_t *place)
+GwHeap_Push(GwHeap *heap, int64_t key, void *item, uint32_t *position)
 {
     if (heap->count == heap->capacity) {
         heap->capacity = heap->capacity == 0 ? 64 : heap->capacity * 2;
         heap->slots = g_renew(GwHeapSlot, heap->slots, heap->capacity);
     }
-    uint32_t at = heap->count++;
-    put(heap, at, (GwHeapSlot){.key = key, .item = item, .place = place});
-    sift_up(heap, at);
+    uint32_t i = heap->count++;
+    set_slot(heap, i,
+             (GwHeapSlot){.key = key, .item = item, .position = position});
+    sift_up(heap, i);
 }
 
-/* Takes the item at *place out and sets *place to GW_HEAP_OUT; does nothing
- * for an item that is in no heap. */
+/* Removes the item at *position and sets *position to GW_HEAP_OUT. Does
+ * nothing for an item that is in no heap. */
 void
-GwHeap_Remove(GwHeap *heap, uint32_t *place)
+GwHeap_Remove(GwHeap *heap, uint32_t *position)
 {
-    if (*place == GW_HEAP_OUT) {
+    if (*position == GW_HEAP_OUT) {
         return;
     }
-    uint32_t at = *place;
-    assert(at < heap->count && heap->slots[at].place == place);
+    uint32_t i = *position;
+    assert(i < heap->count && heap->slots[i].position == position);
     heap->count--;
-    if (at != heap->count) {
-        put(heap, at, heap->slots[heap->count]);
-        sift_up(heap, at);
-        sift_down(heap, at);
+    if (i != heap->count) {
+        set_slot(heap, i, heap->slots[heap->count]);
+        sift_up(heap, i);
+        sift_down(heap, i);
     }
-    *place = GW_HEAP_OUT;
+    *position = GW_HEAP_OUT;
 }
 
-/* Gives the item at *place another key. */
+/* Changes the key of the item at *position. */
 void
-GwHeap_Move(GwHeap *heap, uint32_t *place, int64_t key)
+GwHeap_Move(GwHeap *heap, uint32_t *position, int64_t key)
 {
-    assert(*place < heap->count);
-    heap->slots[*place].key = key;
-    sift_up(heap, *place);
-    sift_down(heap, *place);
+    assert(*position < heap->count);
+    heap->slots[*position].key = key;
+    sift_up(heap, *position);
+    sift_down(heap, *position);
 }
 
 void *
@@ -104,7 +105,7 @@
     return heap->count == 0 ? INT64_MAX : heap->slots[0].key;
 }
 
-/* Frees the heap, not its items. */
+/* Frees the heap but not its items. */
 void
 GwHeap_Free(GwHeap *heap)
 {
--- a/lib/common/json.h
+++ b/lib/common/json.h
@@ -1,4 +1,4 @@
-/* Members of JSON objects, set and read in one call. */
+/* Helpers that set or read one member of a JSON object. */
 #ifndef GW_COMMON_JSON_H
 #define GW_COMMON_JSON_H
 
@@ -13,9 +13,10 @@
                    uint64_t value);
 void GwJson_SetBool(struct json_object *object, const char *key, bool value);
 
-/* A member as text, "" when there is none; valid as long as the object. */
+/* The member as text, "" when absent; valid until the object changes or is
+ * freed. */
 const char *GwJson_Text(struct json_object *object, const char *key);
-/* A member as a number, 0 when there is none. */
+/* The member as an integer, 0 when absent. */
 int64_t GwJson_Number(struct json_object *object, const char *key);
 
 #endif
--- a/lib/common/log.c
+++ b/lib/common/log.c
@@ -12,16 +12,16 @@
 #include <unistd.h>
 
 #define LOG_LINE_MAX 1024
-#define EVENTS_MAX   1000 /* numbers are below */
-/* Lines of some seconds at a hundred requests a second. */
+#define EVENTS_MAX   1000 /* event numbers are smaller */
+/* Holds the lines of some seconds at 100 requests per second. */
 #define LOG_RING_BYTES (256u << 10)
 
 static log4c_category_t *category;
-/* log4c's appenders keep no lock of their own, and two threads would tear
- * each other's lines. */
+/* Serialises writes: log4c's appenders take no lock, and lines of concurrent
+ * threads would be interleaved. */
 static pthread_mutex_t line_mutex = PTHREAD_MUTEX_INITIALIZER;
 
-/* The whole line is made by GwLog_Event; the layout adds the time. */
+/* Prefixes the line that GwLog_Event formatted with its time. */
 static const char *
 format_line(const log4c_layout_t *layout, const log4c_logging_event_t *event)
 {
@@ -77,7 +77,7 @@
 }
 
 static int
-start(const char *level, const log4c_appender_type_t *type)
+start_log4c(const char *level, const log4c_appender_type_t *type)
 {
     if (log4c_init() != 0) {
         return -1;
@@ -98,14 +98,14 @@
 int
 GwLog_Start(const char *level)
 {
-    return start(level, &stderr_appender);
+    return start_log4c(level, &stderr_appender);
 }
 
 int
 GwLog_StartBuffered(const char *level)
 {
     GwLogRing_Init(&ring, LOG_RING_BYTES);
-    return start(level, &ring_appender);
+    return start_log4c(level, &ring_appender);
 }
 
 void
@@ -122,7 +122,7 @@
     return ring.dropped_total;
 }
 
-/* Threads that log must have ended. */
+/* All threads that log must have exited. */
 void
 GwLog_Stop(void)
 {
@@ -148,9 +148,10 @@
     return LOG4C_PRIORITY_INFO;
 }
 
-/* With line_mutex. */
+/* Applies the rate limit of the event. When lines were suppressed since the
+ * last one, logs their number first. The caller holds line_mutex. */
 static bool
-may_write(uint32_t event)
+is_within_rate(uint32_t event)
 {
     static GwLogRate rates[EVENTS_MAX];
     uint64_t suppressed;
@@ -169,8 +170,8 @@
     return true;
 }
 
-/* Does nothing before GwLog_Start: tests and tools are silent. A level that is
- * not written costs no formatting either. */
+/* Does nothing before GwLog_Start, so that tests and tools log nothing.
+ * Returns before formatting when the event's level is disabled. */
 void
 GwLog_Event(uint32_t event, const char *format, ...)
 {
@@ -187,7 +188,7 @@
     g_vsnprintf(line + len, sizeof(line) - (gulong)len, format, args);
     va_end(args);
     pthread_mutex_lock(&line_mutex);
-    if (may_write(event)) {
+    if (is_within_rate(event)) {
         log4c_category_log(category, priority_of_event(event), "%s", line);
     }
     pthread_mutex_unlock(&line_mutex);
--- a/lib/common/log_events.c
+++ b/lib/common/log_events.c
@@ -1,6 +1,7 @@
 #include "common/log_events.h"
 
-/* The symbol of an event, as log lines carry it beside the number. */
+/* The symbolic name that log lines give beside the number; "UNNUMBERED" for a
+ * number that is not in the table. */
 const char *
 GwLogEvent_Name(uint32_t event)
 {
@@ -15,7 +16,8 @@
     }
 }
 
-/* The level an event is logged at; unnumbered ones are errors. */
+/* The level of the event; GW_LEVEL_ERROR for a number that is not in the
+ * table. */
 GwLogLevel
 GwLogEvent_Level(uint32_t event)
 {
--- a/lib/common/log_events.h
+++ b/lib/common/log_events.h
@@ -1,6 +1,6 @@
-/* Numbered log events. docs/EVENTS.md is the catalogue for operators; a test
- * holds the two against each other. Numbers are grouped by concern and are
- * never reused. X(symbol, number, level, meaning) */
+/* Numbered log events. docs/EVENTS.md lists them for operators; a test checks
+ * that it matches this table. Numbers are grouped by subject and are never
+ * reused. X(symbol, number, level, meaning) */
 #ifndef GW_COMMON_LOG_EVENTS_H
 #define GW_COMMON_LOG_EVENTS_H
 
@@ -11,53 +11,53 @@
     /* 100: the process */ \
     X(START, 100, INFO, "the process started") \
     X(STOP_BEGIN, 101, INFO, "a graceful stop began") \
-    X(STOP_DONE, 102, INFO, "the graceful stop is over") \
-    X(SETTINGS_BAD, 103, ERROR, "the settings were refused") \
-    X(SETTINGS_AGAIN, 104, INFO, "the settings are to be read again") \
-    X(STOP_LISTENING, 105, INFO, "a stopping process takes no new connection") \
-    X(LOOP_LATE, 106, WARN, "a turn of the event loop took long") \
-    X(CONTROL_COST, 107, INFO, "bytes spent on other entries, by kind") \
+    X(STOP_DONE, 102, INFO, "the graceful stop is complete") \
+    X(SETTINGS_BAD, 103, ERROR, "the settings were rejected") \
+    X(SETTINGS_AGAIN, 104, INFO, "the settings are reloaded") \
+    X(STOP_LISTENING, 105, INFO, "a stopping process closed its listener") \
+    X(LOOP_LATE, 106, WARN, "an event loop iteration took too long") \
+    X(CONTROL_COST, 107, INFO, "control traffic with other entries, by kind") \
     /* 200: configuration */ \
-    X(CONFIG_IN_FORCE, 200, INFO, "a configuration version is in force") \
-    X(CONFIG_REFUSED, 201, ERROR, "a configuration document was refused") \
-    X(ROWS_TAKEN, 202, INFO, "rows of operators came by a read of its own") \
+    X(CONFIG_IN_FORCE, 200, INFO, "a configuration version took effect") \
+    X(CONFIG_REFUSED, 201, ERROR, "a configuration document was rejected") \
+    X(ROWS_TAKEN, 202, INFO, "operator rows arrived by a separate read") \
     /* 300: membership */ \
     X(MEMBER_UP, 300, INFO, "a member is alive") \
     X(MEMBER_SUSPECT, 301, WARN, "a member is suspected") \
-    X(MEMBER_DEAD, 302, WARN, "a member is held dead") \
+    X(MEMBER_DEAD, 302, WARN, "a member is declared dead") \
     X(MEMBER_LEAVING, 303, INFO, "a member is leaving") \
     /* 400: seats */ \
     X(SEAT_CLAIMED, 400, INFO, "a seat was claimed") \
-    X(SEAT_LOST, 401, WARN, "a seat is held by another") \
-    X(SEAT_FENCED, 402, WARN, "paused too long: units are not used") \
-    X(SEAT_RECLAIM, 403, WARN, "a gone holder's seat is being reclaimed") \
+    X(SEAT_LOST, 401, WARN, "a seat was lost to another holder") \
+    X(SEAT_FENCED, 402, WARN, "paused too long: held units are fenced off") \
+    X(SEAT_RECLAIM, 403, WARN, "the seat of an absent holder is reclaimed") \
     X(SEAT_GIVEN, 404, INFO, "a seat was handed to a peer") \
     /* 500: steering */ \
-    X(BACKEND_EJECTED, 500, WARN, "a backend server is passed over") \
-    X(BACKEND_BACK, 501, INFO, "a backend server takes work again") \
+    X(BACKEND_EJECTED, 500, WARN, "a backend server is ejected") \
+    X(BACKEND_BACK, 501, INFO, "an ejected backend server is used again") \
     X(BACKEND_DRAINING, 502, INFO, "a backend server is draining") \
-    X(BACKEND_GONE, 503, INFO, "a backend server left the registry") \
-    X(EVACUATION, 504, INFO, "a failure domain is evacuated or taken back") \
-    X(REQUEST_SUSPECT, 505, WARN, "servers crashed that ran a request") \
-    X(REQUEST_HELD, 506, ERROR, "a request is refused: it crashes servers") \
-    X(REQUEST_CLEARED, 507, INFO, "a request is no longer under suspicion") \
-    X(SERVER_LIMIT, 508, WARN, "a backend server names a limit") \
-    X(SERVER_UNLIMITED, 509, INFO, "a backend server names no limit any more") \
+    X(BACKEND_GONE, 503, INFO, "a backend server was unregistered") \
+    X(EVACUATION, 504, INFO, "a failure domain is evacuated or restored") \
+    X(REQUEST_SUSPECT, 505, WARN, "servers crashed while running a request") \
+    X(REQUEST_HELD, 506, ERROR, "a server-crashing request is quarantined") \
+    X(REQUEST_CLEARED, 507, INFO, "a request is no longer suspected") \
+    X(SERVER_LIMIT, 508, WARN, "a backend server announced a rate limit") \
+    X(SERVER_UNLIMITED, 509, INFO, "a backend server lifted its rate limit") \
     /* 600: calls */ \
     X(CALL_UNKNOWN, 600, WARN, "a call ended with an unknown outcome") \
-    X(REQUEST_REPLIED, 601, INFO, "a request got an answer of our own") \
-    X(REQUEST_ANSWERED, 602, INFO, "a request got a backend server's answer") \
-    X(REQUEST_LEFT, 603, INFO, "a caller left before its answer") \
+    X(REQUEST_REPLIED, 601, INFO, "the entry itself answered a request") \
+    X(REQUEST_ANSWERED, 602, INFO, "a backend server answered a request") \
+    X(REQUEST_LEFT, 603, INFO, "a caller disconnected before its answer") \
     X(ATTEMPT_FAILED, 604, WARN, "an attempt ended without an answer") \
-    X(REQUEST_CUT, 605, WARN, "the entry ended before a request's answer") \
-    X(REQUEST_DROPPED, 606, INFO, "a request came behind a close, unanswered") \
+    X(REQUEST_CUT, 605, WARN, "the entry stopped before a request's answer") \
+    X(REQUEST_DROPPED, 606, INFO, "a request after a close was not answered") \
     /* 700: platform */ \
-    X(STORE_AWAY, 700, WARN, "the platform's table does not answer") \
-    X(STORE_BACK, 701, INFO, "the platform's table answers again") \
+    X(STORE_AWAY, 700, WARN, "the platform's table is unavailable") \
+    X(STORE_BACK, 701, INFO, "the platform's table is available again") \
     /* 800: administration */ \
     X(ADMIN_ACCEPTED, 800, INFO, "a change was accepted") \
     X(ADMIN_REFUSED, 801, INFO, "a change was refused") \
-    X(ADMIN_PENDING, 802, WARN, "a change's outcome is not known yet") \
+    X(ADMIN_PENDING, 802, WARN, "the outcome of a change is not known yet") \
     X(ADMIN_DENIED, 803, WARN, "a request without the token was denied") \
     X(SNAPSHOT_FAILED, 804, WARN, "a snapshot could not be written")
 /* clang-format on */
--- a/lib/common/log_rate.c
+++ b/lib/common/log_rate.c
@@ -1,25 +1,25 @@
 #include "common/log_rate.h"
 
 static void
-fill(GwLogRate *rate, int64_t now_us)
+refill(GwLogRate *rate, int64_t now_us)
 {
-    if (rate->at_us == 0) {
+    if (rate->refilled_us == 0) {
         rate->tokens = GW_LOG_RATE_BURST;
     }
-    else if (now_us > rate->at_us) {
+    else if (now_us > rate->refilled_us) {
         rate->tokens +=
-            GW_LOG_RATE_PER_S * (double)(now_us - rate->at_us) / 1e6;
+            GW_LOG_RATE_PER_S * (double)(now_us - rate->refilled_us) / 1e6;
     }
     if (rate->tokens > GW_LOG_RATE_BURST) {
         rate->tokens = GW_LOG_RATE_BURST;
     }
-    rate->at_us = now_us;
+    rate->refilled_us = now_us;
 }
 
 bool
 GwLogRate_Take(GwLogRate *rate, int64_t now_us, uint64_t *suppressed)
 {
-    fill(rate, now_us);
+    refill(rate, now_us);
     if (rate->tokens < 1) {
         rate->suppressed++;
         return false;
--- a/lib/common/log_ring.c
+++ b/lib/common/log_ring.c
@@ -38,20 +38,21 @@
 }
 
 static bool
-takes_now(int fd)
+is_writable(int fd)
 {
     struct pollfd p = {.fd = fd, .events = POLLOUT};
 
     return poll(&p, 1, 0) == 1 && (p.revents & POLLOUT) != 0;
 }
 
-/* A pipe that is writable takes PIPE_BUF bytes without blocking. */
+/* Writes at most PIPE_BUF bytes per poll: a writable pipe accepts that many
+ * without blocking. */
 void
 GwLogRing_Flush(GwLogRing *ring, int fd)
 {
     gsize done = 0;
 
-    while (done < ring->bytes->len && takes_now(fd)) {
+    while (done < ring->bytes->len && is_writable(fd)) {
         gsize piece = MIN(ring->bytes->len - done, PIPE_BUF);
         ssize_t len = write(fd, ring->bytes->str + done, piece);
         if (len <= 0) {
--- a/lib/common/log_ring.h
+++ b/lib/common/log_ring.h
@@ -1,9 +1,9 @@
-/* Log lines kept until their reader takes them.
+/* Bounded buffer of log lines that are written without blocking.
  *
- * A reader of standard output that stops reading must not stop the process:
- * lines go into a ring of bounded size and are written by pieces that the
- * descriptor takes without blocking. A line that finds no room is dropped and
- * counted; the next line that finds room tells how many were. */
+ * A reader of standard output that stops reading must not block the process:
+ * lines are buffered and written in pieces that the descriptor accepts without
+ * blocking. A line that does not fit is dropped and counted; a line with the
+ * number of dropped lines precedes the next line that fits. */
 #ifndef GW_COMMON_LOG_RING_H
 #define GW_COMMON_LOG_RING_H
 
@@ -14,15 +14,15 @@
 typedef struct {
     GString *bytes; /* whole lines, oldest first */
     gsize bytes_max;
-    uint64_t dropped; /* since the last line that had room */
+    uint64_t dropped; /* lines since the last one that was added */
     uint64_t dropped_total;
 } GwLogRing;
 
 void GwLogRing_Init(GwLogRing *ring, gsize bytes_max);
 void GwLogRing_Clear(GwLogRing *ring);
-/* Appends a line, which ends with a newline. */
+/* Appends a line, which must end with a newline, or drops it when full. */
 void GwLogRing_Add(GwLogRing *ring, const char *line);
-/* Writes what `fd` takes without blocking. */
+/* Writes as many bytes as `fd` accepts without blocking. */
 void GwLogRing_Flush(GwLogRing *ring, int fd);
 
 #endif
--- a/lib/common/metrics.c
+++ b/lib/common/metrics.c
@@ -14,10 +14,11 @@
     return atomic_load_explicit(&c->value, memory_order_relaxed);
 }
 
-/* Values below GW_HIST_SUB have a bucket each; above, the top bit names the
- * octave and the next GW_HIST_SUB_BITS bits the bucket within it. */
+/* Each value below GW_HIST_SUB has a bucket of its own. For larger values the
+ * highest set bit selects the octave, and the next GW_HIST_SUB_BITS bits the
+ * bucket within the octave. */
 static uint32_t
-bucket_of(uint64_t value)
+bucket_index(uint64_t value)
 {
     if (value < GW_HIST_SUB) {
         return (uint32_t)value;
@@ -29,7 +30,7 @@
     return octave * GW_HIST_SUB + sub;
 }
 
-/* The largest value that falls into the bucket. */
+/* The largest value in the bucket. */
 static uint64_t
 bucket_top(uint32_t bucket)
 {
@@ -44,14 +45,14 @@
 void
 GwHistogram_Add(GwHistogram *h, uint64_t value)
 {
-    atomic_fetch_add_explicit(&h->buckets[bucket_of(value)], 1,
+    atomic_fetch_add_explicit(&h->buckets[bucket_index(value)], 1,
                               memory_order_relaxed);
     atomic_fetch_add_explicit(&h->sum, value, memory_order_relaxed);
     atomic_fetch_add_explicit(&h->count, 1, memory_order_relaxed);
 }
 
 static uint64_t
-load(const atomic_uint_fast64_t *value)
+load_relaxed(const atomic_uint_fast64_t *value)
 {
     return atomic_load_explicit(value, memory_order_relaxed);
 }
@@ -60,22 +61,22 @@
 GwHistogram_Merge(GwHistogram *into, const GwHistogram *from)
 {
     for (uint32_t i = 0; i < GW_HIST_BUCKETS; i++) {
-        uint64_t n = load(&from->buckets[i]);
+        uint64_t n = load_relaxed(&from->buckets[i]);
         if (n != 0) {
             atomic_fetch_add_explicit(&into->buckets[i], n,
                                       memory_order_relaxed);
             atomic_fetch_add_explicit(&into->count, n, memory_order_relaxed);
         }
     }
-    atomic_fetch_add_explicit(&into->sum, load(&from->sum),
+    atomic_fetch_add_explicit(&into->sum, load_relaxed(&from->sum),
                               memory_order_relaxed);
 }
 
-/* Nearest rank: the sample number ceil(q * count). */
+/* The nearest rank is ceil(q * count), at least 1. */
 uint64_t
 GwHistogram_Quantile(const GwHistogram *h, double q)
 {
-    uint64_t count = load(&h->count);
+    uint64_t count = load_relaxed(&h->count);
     if (count == 0) {
         return 0;
     }
@@ -87,7 +88,7 @@
     uint64_t seen = 0;
     uint32_t last = 0;
     for (uint32_t i = 0; i < GW_HIST_BUCKETS; i++) {
-        uint64_t n = load(&h->buckets[i]);
+        uint64_t n = load_relaxed(&h->buckets[i]);
         seen += n;
         last = n != 0 ? i : last;
         if (seen >= rank) {
@@ -98,7 +99,8 @@
 }
 
 static void
-put_head(GString *out, const char *name, const char *help, const char *type)
+append_header(GString *out, const char *name, const char *help,
+              const char *type)
 {
     g_string_append_printf(out, "# HELP %s %s\n# TYPE %s %s\n", name, help,
                            name, type);
@@ -108,7 +110,7 @@
 GwMetrics_Counter(GString *out, const char *name, const char *help,
                   uint64_t value)
 {
-    put_head(out, name, help, "counter");
+    append_header(out, name, help, "counter");
     g_string_append_printf(out, "%s %" G_GUINT64_FORMAT "\n", name, value);
 }
 
@@ -116,7 +118,7 @@
 GwMetrics_Gauge(GString *out, const char *name, const char *help,
                 uint64_t value)
 {
-    put_head(out, name, help, "gauge");
+    append_header(out, name, help, "gauge");
     g_string_append_printf(out, "%s %" G_GUINT64_FORMAT "\n", name, value);
 }
 
@@ -126,7 +128,7 @@
 {
     static const char *const quantiles[] = {"0.5", "0.9", "0.99", "0.999"};
 
-    put_head(out, name, help, "summary");
+    append_header(out, name, help, "summary");
     for (size_t i = 0; i < G_N_ELEMENTS(quantiles); i++) {
         double q = g_ascii_strtod(quantiles[i], NULL);
         g_string_append_printf(out,
@@ -134,7 +136,7 @@
                                name, quantiles[i], GwHistogram_Quantile(h, q));
     }
     g_string_append_printf(out, "%s_sum %" G_GUINT64_FORMAT "\n", name,
-                           load(&h->sum));
+                           load_relaxed(&h->sum));
     g_string_append_printf(out, "%s_count %" G_GUINT64_FORMAT "\n", name,
-                           load(&h->count));
+                           load_relaxed(&h->count));
 }
--- a/lib/common/metrics.h
+++ b/lib/common/metrics.h
@@ -1,4 +1,4 @@
-/* Counters and histograms of the process, and their text exposition. */
+/* Counters and histograms, and their text exposition format. */
 #ifndef GW_COMMON_METRICS_H
 #define GW_COMMON_METRICS_H
 
@@ -13,9 +13,10 @@
 void GwCounter_Add(GwCounter *c, uint64_t n);
 uint64_t GwCounter_Get(const GwCounter *c);
 
-/* Log-linear histogram: each power of two is cut into GW_HIST_SUB equal
- * buckets, so a quantile is off by at most 1/GW_HIST_SUB of its value.
- * Add is thread-safe; Merge and Quantile read a moving target. */
+/* Log-linear histogram: each power of two is divided into GW_HIST_SUB equal
+ * buckets, so the relative error of a quantile is at most 1/GW_HIST_SUB.
+ * Add is thread-safe; Merge and Quantile may run concurrently with Add, but
+ * don't read a consistent snapshot. */
 #define GW_HIST_SUB_BITS 5
 #define GW_HIST_SUB      (1u << GW_HIST_SUB_BITS)
 #define GW_HIST_BUCKETS  ((64 - GW_HIST_SUB_BITS + 1) * GW_HIST_SUB)
@@ -28,11 +29,13 @@
 
 void GwHistogram_Add(GwHistogram *h, uint64_t value);
 void GwHistogram_Merge(GwHistogram *into, const GwHistogram *from);
-/* The value below which the share q (0..1) of the samples lies; 0 when
- * empty. Never below the true sample by more than the relative error. */
+/* The q-quantile (q from 0 to 1) by nearest rank, rounded up to the largest
+ * value of its bucket: at least the true sample, and above it by at most the
+ * relative error. 0 when empty. */
 uint64_t GwHistogram_Quantile(const GwHistogram *h, double q);
 
-/* Appends `# TYPE name counter` and the value, or a summary. */
+/* Append the HELP and TYPE lines of a metric and its value or values. A
+ * summary has quantiles, sum and count. */
 void GwMetrics_Counter(GString *out, const char *name, const char *help,
                        uint64_t value);
 void GwMetrics_Gauge(GString *out, const char *name, const char *help,
--- a/lib/common/names.c
+++ b/lib/common/names.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The word a caller reads in the GW-Outcome header. */
+/* The value of the GW-Outcome header. */
 const char *
 GwOutcome_Name(GwOutcome outcome)
 {
@@ -20,7 +20,7 @@
     return "unknown";
 }
 
-/* The word a caller reads in the GW-Reason header. */
+/* The value of the GW-Reason header. */
 const char *
 GwReason_Name(GwReason reason)
 {
@@ -34,14 +34,13 @@
     return "unnumbered";
 }
 
-/* The identity of a named thing across processes and versions. */
+/* XXH64 with seed 0. Processes of all versions must compute the same value. */
 uint64_t
 GwName_Hash64(const char *name)
 {
     return XXH64(name, strlen(name), 0);
 }
 
-/* The lower half, where a message has room for little. */
 uint32_t
 GwName_Hash32(const char *name)
 {
--- a/lib/common/names.h
+++ b/lib/common/names.h
@@ -1,10 +1,11 @@
-/* Hashes of names: what goes on the wire and into tables in their place. */
+/* Hashes of names, which stand for the names on the wire and in tables. */
 #ifndef GW_COMMON_NAMES_H
 #define GW_COMMON_NAMES_H
 
 #include <stdint.h>
 
-/* Lower half of the hash: of a region's or a failure domain's name. */
+/* Lower half of GwName_Hash64: the short form that messages use for regions
+ * and failure domains. */
 uint32_t GwName_Hash32(const char *name);
 uint64_t GwName_Hash64(const char *name);
 
--- a/lib/common/result.c
+++ b/lib/common/result.c
@@ -1,20 +1,21 @@
 #include "godwitridge_errors.h"
 
-/* Whether the value carries a result code in place of a size. */
+/* Whether the result is an error code rather than a size. */
 int
 GwResult_IsError(GwResult r)
 {
     return r < 0;
 }
 
-/* The code carried by a result; GW_RESULT_OK for a size. */
+/* The error code of a result; GW_RESULT_OK for a size. */
 GwResultCode
 GwResult_Code(GwResult r)
 {
     return r < 0 ? (GwResultCode)(-r) : GW_RESULT_OK;
 }
 
-/* The stable lower-case name of a code, as admin replies spell it. */
+/* The stable lower-case name of a code, as used in admin replies; "unnumbered"
+ * for a code that is not in the table. */
 const char *
 GwResult_Name(GwResultCode code)
 {
--- a/lib/common/rng.c
+++ b/lib/common/rng.c
@@ -2,7 +2,7 @@
 
 #include <assert.h>
 
-/* The mixer of splitmix64. */
+/* The finalizer of splitmix64. */
 uint64_t
 GwRng_Mix(uint64_t x)
 {
@@ -11,14 +11,14 @@
     return x ^ (x >> 31);
 }
 
-/* Starts a generator; any seed is good, zero included. */
+/* Any seed is valid, 0 included. */
 GwRng
 GwRng_Make(uint64_t seed)
 {
     return (GwRng){.state = seed};
 }
 
-/* The next 64 bits: a Weyl sequence through a bit mixer. */
+/* splitmix64: a Weyl sequence passed through the mixer. */
 uint64_t
 GwRng_Next(GwRng *rng)
 {
@@ -26,7 +26,8 @@
     return GwRng_Mix(rng->state);
 }
 
-/* A number in [0, bound); the bias of the multiply is below 2^-32. */
+/* A number in [0, bound), bound > 0. The bias of the multiplication is below
+ * 2^-32. */
 uint32_t
 GwRng_Below(GwRng *rng, uint32_t bound)
 {
@@ -34,7 +35,7 @@
     return (uint32_t)(((GwRng_Next(rng) >> 32) * bound) >> 32);
 }
 
-/* A number in [base, base + spread); spread 0 gives base. */
+/* A number in [base, base + spread); base when spread is not positive. */
 int64_t
 GwRng_Jitter(GwRng *rng, int64_t base, int64_t spread)
 {
--- a/lib/common/rng.h
+++ b/lib/common/rng.h
@@ -1,6 +1,6 @@
-/* Seeded pseudo-random numbers for the decision code. Decisions never read a
- * random source of the machine: the same seed and events give the same
- * actions, so that a failing run can be repeated. */
+/* Seeded pseudo-random numbers for the decision code, which never reads the
+ * machine's entropy source: the same seed and events produce the same actions,
+ * so that a failing run can be reproduced. */
 #ifndef GW_COMMON_RNG_H
 #define GW_COMMON_RNG_H
 
@@ -10,7 +10,7 @@
     uint64_t state;
 } GwRng;
 
-/* Spreads what tells two numbers apart over all bits; 0 stays 0. */
+/* Bijective mixer: each input bit affects all output bits. Maps 0 to 0. */
 uint64_t GwRng_Mix(uint64_t x);
 GwRng GwRng_Make(uint64_t seed);
 uint64_t GwRng_Next(GwRng *rng);
