--- a/lib/blocks/blocks.h
+++ b/lib/blocks/blocks.h
@@ -1,10 +1,10 @@
-/* Client blocks: from a client's address to the site that should serve it.
+/* Client blocks: map a client's address to the site that should serve it.
  *
- * A block is an address prefix, IPv4 or IPv6 up to /64, with a site. The
- * longest prefix that holds the address decides. A GwBlockMap is immutable:
- * it is built from a GwBlockSet, published, and replaced as a whole, so that
- * look-ups take no lock. Snapshots and deltas are checked byte for byte; a
- * truncated or corrupt one changes nothing.
+ * A block assigns a site to an address prefix, IPv4 or IPv6 up to /64. The
+ * longest matching prefix wins. A GwBlockMap is immutable: it is built from a
+ * GwBlockSet, published, and replaced as a whole, so that look-ups take no
+ * lock. Snapshots and deltas are validated completely before they are applied;
+ * a truncated or corrupt one leaves the set unchanged.
  *
  *     GwBlockSet *set = GwBlockSet_Create();
  *     GwBlockSet_ApplySnapshot(set, bytes, len);
@@ -24,9 +24,9 @@
 #define GW_SITES_MAX  1024
 #define GW_BLOCKS_MAX 4000000u
 
-/* An address: IPv4 in the upper 32 bits of `bits`, or the upper 64 bits of
- * an IPv6 address. Longer IPv6 prefixes than /64 name single networks and
- * are not steered by. */
+/* An IPv4 address in the upper 32 bits of `bits`, or the upper 64 bits of an
+ * IPv6 address. IPv6 prefixes longer than /64 lie within one network and are
+ * not used for steering. */
 typedef struct {
     bool v6;
     uint64_t bits;
@@ -36,14 +36,15 @@
     bool v6;
     uint8_t length; /* prefix length: 0 to 32, or 0 to 64 */
     uint16_t site;
-    uint64_t bits; /* zero below the prefix */
+    uint64_t bits; /* the bits below the prefix are zero */
 } GwBlock;
 
-/* GW_ERR(PARSE) when the text is no address or block. */
+/* Parse an address, or a block as "address/length". GW_ERR(PARSE) for other
+ * text. */
 GwResult GwAddress_Parse(const char *text, GwAddress *out);
 GwResult GwBlock_Parse(const char *text, uint16_t site, GwBlock *out);
 
-/* ---- the set, which changes ---- */
+/* ---- GwBlockSet: the mutable, ordered set of blocks ---- */
 
 typedef struct GwBlockSet_s GwBlockSet;
 
@@ -52,35 +53,37 @@
 uint64_t GwBlockSet_Version(const GwBlockSet *set);
 uint32_t GwBlockSet_Count(const GwBlockSet *set);
 
-/* Replaces the set. GW_ERR(CORRUPT) for a wrong length, checksum, order or
- * field; GW_ERR(STALE) for a version not above the present one. */
+/* Replaces the set and returns the number of blocks. GW_ERR(CORRUPT) for a
+ * wrong length, checksum, order or field; GW_ERR(STALE) for a version that is
+ * not above the current one. */
 GwResult GwBlockSet_ApplySnapshot(GwBlockSet *set, const uint8_t *bytes,
                                   size_t len);
-/* Changes the set. GW_ERR(CONFLICT) when the delta is not based on the
- * present version; else as above. */
+/* Adds, replaces and removes blocks and returns the number of changes.
+ * GW_ERR(CONFLICT) when the delta is not based on the current version; other
+ * errors as for a snapshot. */
 GwResult GwBlockSet_ApplyDelta(GwBlockSet *set, const uint8_t *bytes,
                                size_t len);
 
-/* Encoders, for tools and tests. Blocks need not be ordered. A delta block
- * with site GW_SITE_NONE is removed. The result is freed with g_free. */
+/* Encoders for tools and tests. Blocks may be in any order. In a delta, site
+ * GW_SITE_NONE removes the block. The caller frees the result with g_free. */
 uint8_t *GwBlocks_EncodeSnapshot(uint64_t version, const GwBlock *blocks,
                                  uint32_t count, size_t *len);
 uint8_t *GwBlocks_EncodeDelta(uint64_t base, uint64_t version,
                               const GwBlock *blocks, uint32_t count,
                               size_t *len);
 
-/* ---- the map, which does not ---- */
+/* ---- GwBlockMap: the immutable look-up table ---- */
 
 typedef struct GwBlockMap_s GwBlockMap;
 
 GwBlockMap *GwBlockMap_Build(const GwBlockSet *set);
 void GwBlockMap_Free(GwBlockMap *map);
-/* The site of the longest block that holds the address, else
- * GW_SITE_NONE. */
+/* The site of the longest matching block; GW_SITE_NONE when none matches. */
 uint16_t GwBlockMap_Find(const GwBlockMap *map, GwAddress address);
-/* The same by plain binary search over all ranges: the baseline that
- * bench/blocks.c measures against. */
+/* Same result by binary search over all ranges, without the index. The
+ * baseline of bench/blocks.c. */
 uint16_t GwBlockMap_FindPlain(const GwBlockMap *map, GwAddress address);
+/* Memory of the map in bytes, index included. */
 size_t GwBlockMap_Bytes(const GwBlockMap *map);
 uint32_t GwBlockMap_Ranges(const GwBlockMap *map);
 uint64_t GwBlockMap_Version(const GwBlockMap *map);
--- a/lib/blocks/blocks_internal.h
+++ b/lib/blocks/blocks_internal.h
@@ -1,19 +1,20 @@
-/* Private to the package of client blocks. */
+/* Internal header of lib/blocks. */
 #ifndef GW_BLOCKS_BLOCKS_INTERNAL_H
 #define GW_BLOCKS_BLOCKS_INTERNAL_H
 
 #include "blocks/blocks.h"
 
-/* Ordered by family, bits, then length, without two of one prefix: an outer
- * block comes before those inside it. */
+/* Blocks are sorted by GwBlock_Compare and have distinct prefixes, so that an
+ * enclosing block precedes the blocks nested in it. */
 struct GwBlockSet_s {
     uint64_t version;
     uint32_t count;
     GwBlock *blocks;
 };
 
+/* Orders by address family (IPv4 first), bits, then prefix length. */
 int GwBlock_Compare(const GwBlock *a, const GwBlock *b);
-/* Last address of the block's range. */
+/* The last address of the block, as GwAddress.bits. */
 uint64_t GwBlock_Last(const GwBlock *block);
 
 #endif
--- a/lib/blocks/map.c
+++ b/lib/blocks/map.c
@@ -1,13 +1,12 @@
-/* The look-up table: address ranges in order, and an index by their upper
- * bits.
+/* The look-up table: sorted address ranges and an index by their upper bits.
  *
- * Nested blocks are flattened into ranges that do not overlap, each with one
- * site. An address is found among the few ranges that share its upper
- * INDEX_BITS bits. Weighed against a multi-bit trie: that is faster by a few
- * cache misses, but a look-up here costs tens of nanoseconds, hundreds of times
- * below what the caller's HTTP request costs, and the flat table is built in
- * one pass and checked by eye. bench/blocks.c measures both this and a plain
- * binary search. */
+ * Nested blocks are flattened into disjoint ranges with one site each. A
+ * look-up does a binary search among the few ranges that share the upper
+ * INDEX_BITS bits of the address. A multi-bit trie would save a few cache
+ * misses, but a look-up here takes tens of nanoseconds, hundreds of times less
+ * than the caller's HTTP request, and the flat table is built in one pass and
+ * is easy to verify. bench/blocks.c compares it with a binary search over all
+ * ranges. */
 #include "blocks/blocks_internal.h"
 
 #include <assert.h>
@@ -15,14 +14,18 @@
 
 #define INDEX_BITS  16
 #define INDEX_COUNT (1u << INDEX_BITS)
-#define DEPTH_MAX   66 /* nested prefixes of one address: 0 to 64, and none */
+#define DEPTH_MAX   66 /* nested prefixes of lengths 0 to 64, and a spare */
 
-/* Ranges of one family. Range i reaches from starts[i] to starts[i + 1]. */
+/* Ranges of one address family. Range i covers starts[i] up to, but not
+ * including, starts[i + 1]. */
 typedef struct {
     uint32_t count;
     uint64_t *starts;
     uint16_t *sites;
-    uint32_t *first; /* INDEX_COUNT + 1: last range starting at or below */
+    /* For each value of the upper bits, the last range that starts at or below
+     * its first address; then the last range of all. INDEX_COUNT + 1
+     * entries. */
+    uint32_t *index;
 } RangeTable;
 
 struct GwBlockMap_s {
@@ -34,18 +37,18 @@
 typedef struct {
     uint64_t last;
     uint16_t site;
-} Open;
+} OpenBlock;
 
 typedef struct {
     RangeTable *table;
     uint32_t depth;
-    Open open[DEPTH_MAX];
+    OpenBlock open[DEPTH_MAX];
 } Builder;
 
-/* Begins a range, unless it only goes on with the site before it. A range that
- * would be empty is overwritten. */
+/* Starts a range, or extends the previous range when it has the same site. An
+ * empty previous range is overwritten. */
 static void
-begin_range(RangeTable *table, uint64_t start, uint16_t site)
+start_range(RangeTable *table, uint64_t start, uint16_t site)
 {
     if (table->count > 0 && table->starts[table->count - 1] == start) {
         table->count--;
@@ -58,7 +61,7 @@
     table->count++;
 }
 
-/* Closes open blocks that end before `start`. */
+/* Closes the open blocks that end before `start`. */
 static void
 close_before(Builder *b, uint64_t start)
 {
@@ -67,7 +70,7 @@
         b->depth--;
         uint16_t outer =
             b->depth > 0 ? b->open[b->depth - 1].site : GW_SITE_NONE;
-        begin_range(b->table, next, outer);
+        start_range(b->table, next, outer);
     }
 }
 
@@ -75,14 +78,14 @@
 add_block(Builder *b, const GwBlock *block)
 {
     close_before(b, block->bits);
-    begin_range(b->table, block->bits, block->site);
+    start_range(b->table, block->bits, block->site);
     assert(b->depth < DEPTH_MAX);
     b->open[b->depth++] =
-        (Open){.last = GwBlock_Last(block), .site = block->site};
+        (OpenBlock){.last = GwBlock_Last(block), .site = block->site};
 }
 
-/* Closes what is still open. A block that ends at the last address of all has
- * nothing after it. */
+/* Closes all open blocks. No range follows a block that ends at the last
+ * address of the family. */
 static void
 close_all(Builder *b)
 {
@@ -92,7 +95,7 @@
         if (last != UINT64_MAX) {
             uint16_t outer =
                 b->depth > 0 ? b->open[b->depth - 1].site : GW_SITE_NONE;
-            begin_range(b->table, last + 1, outer);
+            start_range(b->table, last + 1, outer);
         }
     }
 }
@@ -102,15 +105,15 @@
 {
     uint32_t range = 0;
 
-    table->first = g_new(uint32_t, INDEX_COUNT + 1);
+    table->index = g_new(uint32_t, INDEX_COUNT + 1);
     for (uint32_t i = 0; i < INDEX_COUNT; i++) {
         uint64_t start = (uint64_t)i << (64 - INDEX_BITS);
         while (range + 1 < table->count && table->starts[range + 1] <= start) {
             range++;
         }
-        table->first[i] = range;
+        table->index[i] = range;
     }
-    table->first[INDEX_COUNT] = table->count - 1;
+    table->index[INDEX_COUNT] = table->count - 1;
 }
 
 static void
@@ -118,10 +121,10 @@
 {
     Builder b = {.table = table};
 
-    /* Each block begins one range and ends in at most one more. */
+    /* Each block starts one range, and at most one more follows its end. */
     table->starts = g_new(uint64_t, 2 * (size_t)set->count + 1);
     table->sites = g_new(uint16_t, 2 * (size_t)set->count + 1);
-    begin_range(table, 0, GW_SITE_NONE);
+    start_range(table, 0, GW_SITE_NONE);
     for (uint32_t i = 0; i < set->count; i++) {
         if (set->blocks[i].v6 == v6) {
             add_block(&b, &set->blocks[i]);
@@ -133,7 +136,6 @@
     build_index(table);
 }
 
-/* Builds the table in one pass over the ordered set. */
 GwBlockMap *
 GwBlockMap_Build(const GwBlockSet *set)
 {
@@ -149,7 +151,7 @@
 {
     g_free(table->starts);
     g_free(table->sites);
-    g_free(table->first);
+    g_free(table->index);
 }
 
 void
@@ -169,12 +171,12 @@
                  uint64_t bits)
 {
     while (low < high) {
-        uint32_t middle = low + (high - low + 1) / 2;
-        if (table->starts[middle] <= bits) {
-            low = middle;
+        uint32_t mid = low + (high - low + 1) / 2;
+        if (table->starts[mid] <= bits) {
+            low = mid;
         }
         else {
-            high = middle - 1;
+            high = mid - 1;
         }
     }
     return low;
@@ -185,7 +187,7 @@
 {
     const RangeTable *table = address.v6 ? &map->v6 : &map->v4;
     uint32_t i = (uint32_t)(address.bits >> (64 - INDEX_BITS));
-    uint32_t at = last_at_or_below(table, table->first[i], table->first[i + 1],
+    uint32_t at = last_at_or_below(table, table->index[i], table->index[i + 1],
                                    address.bits);
     return table->sites[at];
 }
@@ -205,7 +207,6 @@
            (INDEX_COUNT + 1) * sizeof(uint32_t);
 }
 
-/* Memory of the map, index included. */
 size_t
 GwBlockMap_Bytes(const GwBlockMap *map)
 {
--- a/lib/blocks/set.c
+++ b/lib/blocks/set.c
@@ -1,12 +1,12 @@
-/* The set of blocks, and its formats.
+/* The set of blocks and its binary formats.
  *
  * All numbers are big-endian. A snapshot:
  *     "GWB1" version:8 count:4 { block }* xxh64:8
  * A delta:
  *     "GWD1" base:8 version:8 count:4 { block }* xxh64:8
- * A block, 12 bytes: flags:1 (bit 0: IPv6) length:1 site:2 bits:8. The checksum
- * covers all before it. Blocks are in order and without repetition, which
- * the reader checks, so that it never sorts what it was sent. */
+ * A block, 12 bytes: flags:1 (bit 0: IPv6) length:1 site:2 bits:8. The
+ * checksum covers all bytes before it. Blocks are sorted and have distinct
+ * prefixes; the reader checks this and never sorts received blocks. */
 #include "blocks/blocks_internal.h"
 
 #include <arpa/inet.h>
@@ -15,12 +15,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define BLOCK_BYTES    12
-#define CHECKSUM_BYTES 8
-#define SNAPSHOT_HEAD  16
-#define DELTA_HEAD     24
+#define BLOCK_BYTES     12
+#define CHECKSUM_BYTES  8
+#define SNAPSHOT_HEADER 16
+#define DELTA_HEADER    24
 
-/* ---- text ------------------------------------------------------------------- */
+/* ---- text --------------------------------------------------------------- */
 
 GwResult
 GwAddress_Parse(const char *text, GwAddress *out)
@@ -47,8 +47,8 @@
     return length == 0 ? 0 : UINT64_MAX << (64 - length);
 }
 
-/* Reads "address/length". Bits below the prefix are an error: they mostly
- * mean that the length is wrong. */
+/* Address bits below the prefix are an error, because they usually mean that
+ * the prefix length is wrong. */
 GwResult
 GwBlock_Parse(const char *text, uint16_t site, GwBlock *out)
 {
@@ -83,7 +83,7 @@
     return 0;
 }
 
-/* ---- the set ------------------------------------------------------------------ */
+/* ---- set ---------------------------------------------------------------- */
 
 int
 GwBlock_Compare(const GwBlock *a, const GwBlock *b)
@@ -130,7 +130,7 @@
     return set->count;
 }
 
-/* ---- reading ------------------------------------------------------------------ */
+/* ---- decoding ----------------------------------------------------------- */
 
 static uint64_t
 read_be(const uint8_t *at, int bytes)
@@ -142,16 +142,18 @@
     return value;
 }
 
-/* Length, magic and checksum, then the block count. */
+/* Checks length, magic and checksum. Returns the block count or
+ * GW_ERR(CORRUPT). */
 static GwResult
-check_frame(const uint8_t *bytes, size_t len, const char *magic, size_t head)
+check_frame(const uint8_t *bytes, size_t len, const char *magic,
+            size_t header_len)
 {
-    if (len < head + CHECKSUM_BYTES || memcmp(bytes, magic, 4) != 0) {
+    if (len < header_len + CHECKSUM_BYTES || memcmp(bytes, magic, 4) != 0) {
         return GW_ERR(CORRUPT);
     }
-    uint64_t count = read_be(bytes + head - 4, 4);
+    uint64_t count = read_be(bytes + header_len - 4, 4);
     if (count > GW_BLOCKS_MAX ||
-        len != head + count * BLOCK_BYTES + CHECKSUM_BYTES) {
+        len != header_len + count * BLOCK_BYTES + CHECKSUM_BYTES) {
         return GW_ERR(CORRUPT);
     }
     uint64_t sum = read_be(bytes + len - CHECKSUM_BYTES, CHECKSUM_BYTES);
@@ -162,31 +164,32 @@
 }
 
 static bool
-read_block(const uint8_t *at, bool removal_allowed, GwBlock *out)
+read_block(const uint8_t *at, bool may_remove, GwBlock *out)
 {
     out->v6 = at[0] == 1;
     out->length = at[1];
     out->site = (uint16_t)read_be(at + 2, 2);
     out->bits = read_be(at + 4, 8);
 
-    bool removal = removal_allowed && out->site == GW_SITE_NONE;
+    bool is_removal = may_remove && out->site == GW_SITE_NONE;
     return at[0] <= 1 && out->length <= (out->v6 ? 64 : 32) &&
-           (out->site < GW_SITES_MAX || removal) &&
+           (out->site < GW_SITES_MAX || is_removal) &&
            (out->bits & ~prefix_mask(out->length)) == 0;
 }
 
-/* All blocks or NULL; the checksum has been checked, so a NULL here means a
- * writer with a fault. */
+/* Decodes and validates all blocks. Returns NULL when one is invalid or out of
+ * order; as the checksum has already matched, that is a fault of the
+ * writer. */
 static GwBlock *
-read_blocks(const uint8_t *at, uint32_t count, bool removal_allowed)
+read_blocks(const uint8_t *at, uint32_t count, bool may_remove)
 {
     GwBlock *blocks = g_new(GwBlock, (size_t)count + 1);
 
     for (uint32_t i = 0; i < count; i++, at += BLOCK_BYTES) {
-        bool good =
-            read_block(at, removal_allowed, &blocks[i]) &&
+        bool is_valid =
+            read_block(at, may_remove, &blocks[i]) &&
             (i == 0 || GwBlock_Compare(&blocks[i - 1], &blocks[i]) < 0);
-        if (!good) {
+        if (!is_valid) {
             g_free(blocks);
             return NULL;
         }
@@ -197,7 +200,7 @@
 GwResult
 GwBlockSet_ApplySnapshot(GwBlockSet *set, const uint8_t *bytes, size_t len)
 {
-    GwResult count = check_frame(bytes, len, "GWB1", SNAPSHOT_HEAD);
+    GwResult count = check_frame(bytes, len, "GWB1", SNAPSHOT_HEADER);
     if (GwResult_IsError(count)) {
         return count;
     }
@@ -206,7 +209,7 @@
         return GW_ERR(STALE);
     }
     GwBlock *blocks =
-        read_blocks(bytes + SNAPSHOT_HEAD, (uint32_t)count, false);
+        read_blocks(bytes + SNAPSHOT_HEADER, (uint32_t)count, false);
     if (blocks == NULL) {
         return GW_ERR(CORRUPT);
     }
@@ -217,9 +220,10 @@
     return count;
 }
 
-/* Merges two ordered lists; of equal prefixes the change wins. */
+/* Merges the sorted changes into the set. A change replaces the block with the
+ * same prefix, or removes it when the site is GW_SITE_NONE. */
 static void
-merge(GwBlockSet *set, const GwBlock *changes, uint32_t change_count)
+merge_changes(GwBlockSet *set, const GwBlock *changes, uint32_t change_count)
 {
     GwBlock *merged = g_new(GwBlock, (size_t)set->count + change_count + 1);
     uint32_t count = 0;
@@ -249,7 +253,7 @@
 GwResult
 GwBlockSet_ApplyDelta(GwBlockSet *set, const uint8_t *bytes, size_t len)
 {
-    GwResult count = check_frame(bytes, len, "GWD1", DELTA_HEAD);
+    GwResult count = check_frame(bytes, len, "GWD1", DELTA_HEADER);
     if (GwResult_IsError(count)) {
         return count;
     }
@@ -261,17 +265,18 @@
     if (base != set->version || version <= base) {
         return GW_ERR(CONFLICT);
     }
-    GwBlock *changes = read_blocks(bytes + DELTA_HEAD, (uint32_t)count, true);
+    GwBlock *changes =
+        read_blocks(bytes + DELTA_HEADER, (uint32_t)count, true);
     if (changes == NULL) {
         return GW_ERR(CORRUPT);
     }
-    merge(set, changes, (uint32_t)count);
+    merge_changes(set, changes, (uint32_t)count);
     set->version = version;
     g_free(changes);
     return count;
 }
 
-/* ---- writing ------------------------------------------------------------------ */
+/* ---- encoding ----------------------------------------------------------- */
 
 static void
 write_be(GByteArray *out, uint64_t value, int bytes)
