--- a/lib/wire/codec.c
+++ b/lib/wire/codec.c
@@ -6,7 +6,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* Uppercase letters only, as registered HTTP methods are. */
+/* 1 to 7 uppercase letters: registered HTTP methods use no others. */
 bool
 GwText_IsMethod(const char *s)
 {
@@ -14,7 +14,7 @@
     return len > 0 && len < 8 && s[len] == '\0';
 }
 
-/* Absolute path, printable ASCII without spaces. */
+/* An absolute path of printable ASCII characters without spaces. */
 bool
 GwText_IsTarget(const char *s)
 {
@@ -29,7 +29,7 @@
     return true;
 }
 
-/* Printable ASCII with spaces. */
+/* Printable ASCII characters and spaces. */
 bool
 GwText_IsHeaderValue(const char *s)
 {
@@ -42,10 +42,10 @@
 }
 
 bool
-GwCodec_GetText(const char *from, char *to, size_t room)
+GwCodec_GetText(const char *from, char *to, size_t size)
 {
     size_t len = strlen(from);
-    if (len >= room || !g_utf8_validate(from, (gssize)len, NULL)) {
+    if (len >= size || !g_utf8_validate(from, (gssize)len, NULL)) {
         return false;
     }
     for (size_t i = 0; i < len; i++) {
@@ -200,7 +200,6 @@
     return GwCodec_PackFrame(&env, len);
 }
 
-/* The envelope keeps what it owns. */
 uint8_t *
 GwCodec_Frame(const GwEnvelope *envelope, size_t *len)
 {
@@ -371,7 +370,6 @@
     return r;
 }
 
-/* Frees what the envelope owns; a taker of a pointer sets it to NULL. */
 void
 GwEnvelope_Clear(GwEnvelope *envelope)
 {
--- a/lib/wire/codec.h
+++ b/lib/wire/codec.h
@@ -1,6 +1,6 @@
-/* GwMessage and relayed calls to protobuf bytes and back. Everything that
- * comes in is checked against the bounds of wire/message.h; a message that
- * breaks one is refused whole. */
+/* Encodes control messages (GwMessage) and relayed calls as protobuf frames
+ * and decodes them. Decoding checks every bound of wire/message.h and rejects
+ * the whole message when one is exceeded. */
 #ifndef GW_WIRE_CODEC_H
 #define GW_WIRE_CODEC_H
 
@@ -11,10 +11,10 @@
 #define GW_TARGET_MAX   1024
 #define GW_NONCE_LEN    32
 #define GW_MAC_LEN      32
-#define GW_DEADLINE_CAP 3600000 /* ms: no call may ask for more */
+#define GW_DEADLINE_CAP 3600000 /* ms; longest deadline of a call */
 
 typedef struct {
-    uint64_t id; /* of the sender */
+    uint64_t id; /* assigned by the sender */
     char service[GW_NAME_MAX];
     char method[8];
     char target[GW_TARGET_MAX]; /* path and query */
@@ -28,7 +28,7 @@
 } GwCallRequest;
 
 typedef struct {
-    uint64_t id; /* of the request */
+    uint64_t id; /* id of the request */
     GwOutcome outcome;
     GwReason reason;
     uint32_t retry_after_ms;
@@ -69,16 +69,21 @@
     } u;
 } GwEnvelope;
 
-/* A whole frame, head included; free with g_free. */
+/* Encodes a whole frame, header included. The caller frees it with g_free. The
+ * envelope keeps ownership of its members. */
 uint8_t *GwCodec_Frame(const GwEnvelope *envelope, size_t *len);
-/* The payload of one frame. GW_ERR(PARSE) when it is no envelope,
- * GW_ERR(OUT_OF_BOUNDS) when a bound is broken; then `out` owns nothing. */
+/* Decodes the payload of one frame. GW_ERR(PARSE) when it is not a valid
+ * envelope, GW_ERR(OUT_OF_BOUNDS) when a bound is exceeded; `out` is then
+ * zeroed and owns nothing. */
 GwResult GwCodec_Parse(const uint8_t *payload, size_t len, GwEnvelope *out);
-/* Whether the text may stand in an HTTP request line or header: a caller or
- * peer must not be able to put a second header or request into ours. */
+/* Whether the text is valid in an HTTP request line or header. Prevents a
+ * caller or peer from injecting a header or request into one that this entry
+ * sends. */
 bool GwText_IsMethod(const char *s);
 bool GwText_IsTarget(const char *s);
 bool GwText_IsHeaderValue(const char *s);
+/* Frees the members that the envelope owns and zeroes it. Code that takes
+ * ownership of a pointer sets it to NULL first. */
 void GwEnvelope_Clear(GwEnvelope *envelope);
 
 #endif
--- a/lib/wire/codec_control.c
+++ b/lib/wire/codec_control.c
@@ -1,11 +1,11 @@
-/* The half of the codec for messages between the decision code of nodes. */
+/* Codec of control messages, which the decision code of entries exchanges. */
 #include "wire/codec_internal.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* Room for every nested message of one heartbeat, so that packing allocates
- * nothing but the frame. */
+/* Storage for all nested messages of a heartbeat, so that packing allocates
+ * only the frame. */
 typedef struct {
     Gw__Inner__MemberInfo updates[GW_UPDATES_MAX];
     Gw__Inner__NodeId update_ids[GW_UPDATES_MAX];
@@ -16,12 +16,12 @@
     Gw__Inner__DrainHint drains[GW_DRAINS_MAX];
     Gw__Inner__DrainHint *drain_refs[GW_DRAINS_MAX];
     Gw__Inner__NodeId target;
-} HeartbeatRoom;
+} HeartbeatStorage;
 
 typedef struct {
     Gw__Inner__Unit units[GW_UNITS_MAX];
     Gw__Inner__Unit *refs[GW_UNITS_MAX];
-} UnitRoom;
+} UnitStorage;
 
 static void
 put_update(const GwMemberInfo *from, Gw__Inner__MemberInfo *to,
@@ -54,32 +54,34 @@
 
 static void
 put_heartbeat(const GwHeartbeat *h, Gw__Inner__Heartbeat *pb,
-              HeartbeatRoom *room)
+              HeartbeatStorage *storage)
 {
     for (uint32_t i = 0; i < h->update_count; i++) {
-        put_update(&h->updates[i], &room->updates[i], &room->update_ids[i]);
-        room->update_refs[i] = &room->updates[i];
+        put_update(&h->updates[i], &storage->updates[i],
+                   &storage->update_ids[i]);
+        storage->update_refs[i] = &storage->updates[i];
     }
     for (uint32_t i = 0; i < h->digest_count; i++) {
-        put_digest(&h->digests[i], &room->digests[i], &room->digest_ids[i]);
-        room->digest_refs[i] = &room->digests[i];
+        put_digest(&h->digests[i], &storage->digests[i],
+                   &storage->digest_ids[i]);
+        storage->digest_refs[i] = &storage->digests[i];
     }
     for (uint32_t i = 0; i < h->drain_count; i++) {
-        gw__inner__drain_hint__init(&room->drains[i]);
-        room->drains[i].backend = h->drains[i].backend;
-        room->drains[i].ttl_ms = h->drains[i].ttl_ms;
-        room->drain_refs[i] = &room->drains[i];
+        gw__inner__drain_hint__init(&storage->drains[i]);
+        storage->drains[i].backend = h->drains[i].backend;
+        storage->drains[i].ttl_ms = h->drains[i].ttl_ms;
+        storage->drain_refs[i] = &storage->drains[i];
     }
-    room->target = GwCodec_PutNodeId(h->target);
+    storage->target = GwCodec_PutNodeId(h->target);
     pb->seq = h->seq;
-    pb->target = &room->target;
+    pb->target = &storage->target;
     pb->config_version = h->config_version;
     pb->n_updates = h->update_count;
-    pb->updates = room->update_refs;
+    pb->updates = storage->update_refs;
     pb->n_digests = h->digest_count;
-    pb->digests = room->digest_refs;
+    pb->digests = storage->digest_refs;
     pb->n_drains = h->drain_count;
-    pb->drains = room->drain_refs;
+    pb->drains = storage->drain_refs;
 }
 
 static uint8_t *
@@ -97,10 +99,10 @@
 static uint8_t *
 frame_heartbeat(const GwMessage *msg, size_t *len)
 {
-    HeartbeatRoom room;
+    HeartbeatStorage storage;
     Gw__Inner__Heartbeat pb = GW__INNER__HEARTBEAT__INIT;
     Gw__Inner__Control control = GW__INNER__CONTROL__INIT;
-    put_heartbeat(&msg->u.heartbeat, &pb, &room);
+    put_heartbeat(&msg->u.heartbeat, &pb, &storage);
     control.body_case = GW__INNER__CONTROL__BODY_HEARTBEAT;
     control.heartbeat = &pb;
     return frame_control(&control, msg, len);
@@ -148,14 +150,14 @@
 }
 
 static void
-put_units(const GwUnit *units, uint32_t count, UnitRoom *room)
+put_units(const GwUnit *units, uint32_t count, UnitStorage *storage)
 {
     for (uint32_t i = 0; i < count; i++) {
-        gw__inner__unit__init(&room->units[i]);
-        room->units[i].kind = units[i].kind;
-        room->units[i].owner = units[i].owner;
-        room->units[i].index = units[i].index;
-        room->refs[i] = &room->units[i];
+        gw__inner__unit__init(&storage->units[i]);
+        storage->units[i].kind = units[i].kind;
+        storage->units[i].owner = units[i].owner;
+        storage->units[i].index = units[i].index;
+        storage->refs[i] = &storage->units[i];
     }
 }
 
@@ -163,17 +165,17 @@
 frame_give(const GwMessage *msg, size_t *len)
 {
     const GwLoanGive *give = &msg->u.give;
-    UnitRoom room;
+    UnitStorage storage;
     Gw__Inner__LoanGive pb = GW__INNER__LOAN_GIVE__INIT;
     Gw__Inner__Control control = GW__INNER__CONTROL__INIT;
-    put_units(give->units, give->unit_count, &room);
+    put_units(give->units, give->unit_count, &storage);
     pb.seq = give->seq;
     pb.loan = give->loan;
     pb.service = give->service;
     pb.term_ms = give->term_ms;
     pb.kind = give->kind;
     pb.n_units = give->unit_count;
-    pb.units = room.refs;
+    pb.units = storage.refs;
     control.body_case = GW__INNER__CONTROL__BODY_GIVE;
     control.give = &pb;
     return frame_control(&control, msg, len);
@@ -183,13 +185,13 @@
 frame_return(const GwMessage *msg, size_t *len)
 {
     const GwLoanReturn *giveback = &msg->u.giveback;
-    UnitRoom room;
+    UnitStorage storage;
     Gw__Inner__LoanReturn pb = GW__INNER__LOAN_RETURN__INIT;
     Gw__Inner__Control control = GW__INNER__CONTROL__INIT;
-    put_units(giveback->units, giveback->unit_count, &room);
+    put_units(giveback->units, giveback->unit_count, &storage);
     pb.loan = giveback->loan;
     pb.n_units = giveback->unit_count;
-    pb.units = room.refs;
+    pb.units = storage.refs;
     control.body_case = GW__INNER__CONTROL__BODY_GIVEBACK;
     control.giveback = &pb;
     return frame_control(&control, msg, len);
@@ -364,8 +366,8 @@
     return get_units(pb->n_units, pb->units, giveback->units);
 }
 
-/* The body that goes with a kind: a PROBE that carries a document, say, must
- * not reach code that reads the other member of the union. */
+/* The body that a message kind must have. A mismatch, such as a PROBE with a
+ * document, must not reach code that reads another member of the union. */
 static Gw__Inner__Control__BodyCase
 body_of_kind(uint32_t kind)
 {
--- a/lib/wire/frame.c
+++ b/lib/wire/frame.c
@@ -3,9 +3,10 @@
 #include <glib.h>
 #include <string.h>
 
-/* Drops what was consumed, so that the buffer grows with one frame only. */
+/* Discards consumed bytes, so that the buffer doesn't grow beyond the unread
+ * bytes. */
 static void
-compact(GwFrameDecoder *d)
+discard_consumed(GwFrameDecoder *d)
 {
     if (d->start == 0) {
         return;
@@ -15,14 +16,13 @@
     d->start = 0;
 }
 
-/* Invalidates payloads given out before. */
 void
 GwFrame_Feed(GwFrameDecoder *d, const uint8_t *bytes, size_t len)
 {
     if (len == 0) {
         return;
     }
-    compact(d);
+    discard_consumed(d);
     if (d->len + len > d->capacity) {
         d->capacity = MAX(d->len + len, d->capacity * 2);
         d->bytes = g_realloc(d->bytes, d->capacity);
@@ -31,32 +31,33 @@
     d->len += len;
 }
 
-/* The announced length is checked before a byte of the payload is awaited: a
- * peer that lies about it would otherwise make this process buffer until it
- * is out of memory. */
+/* Checks the announced length before waiting for the payload: otherwise a peer
+ * that announces a huge frame could make this process buffer data until it
+ * runs out of memory. */
 GwResult
 GwFrame_Next(GwFrameDecoder *d, const uint8_t **payload, uint32_t *len)
 {
-    size_t have = d->len - d->start;
-    if (have < GW_FRAME_HEAD) {
+    size_t available = d->len - d->start;
+    if (available < GW_FRAME_HEAD) {
         return 0;
     }
-    const uint8_t *h = d->bytes + d->start;
-    uint32_t size = (uint32_t)h[0] << 24 | (uint32_t)h[1] << 16 |
-                    (uint32_t)h[2] << 8 | h[3];
-    if (size > GW_FRAME_MAX) {
+    const uint8_t *header = d->bytes + d->start;
+    uint32_t payload_len = (uint32_t)header[0] << 24 |
+                           (uint32_t)header[1] << 16 |
+                           (uint32_t)header[2] << 8 | header[3];
+    if (payload_len > GW_FRAME_MAX) {
         return GW_ERR(TOO_LARGE);
     }
-    if (have - GW_FRAME_HEAD < size) {
+    if (available - GW_FRAME_HEAD < payload_len) {
         return 0;
     }
-    *payload = h + GW_FRAME_HEAD;
-    *len = size;
-    d->start += GW_FRAME_HEAD + size;
+    *payload = header + GW_FRAME_HEAD;
+    *len = payload_len;
+    d->start += GW_FRAME_HEAD + payload_len;
     return 1;
 }
 
-/* Gives the memory back; the decoder may be used again. */
+/* Frees the buffer. The decoder may be used again. */
 void
 GwFrame_Free(GwFrameDecoder *d)
 {
@@ -64,7 +65,6 @@
     *d = (GwFrameDecoder){0};
 }
 
-/* Writes the length of a payload in front of it. */
 void
 GwFrame_PutHead(uint8_t out[GW_FRAME_HEAD], uint32_t len)
 {
--- a/lib/wire/frame.h
+++ b/lib/wire/frame.h
@@ -7,25 +7,28 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define GW_FRAME_HEAD 4
-#define GW_FRAME_MAX  (2u << 20)
+#define GW_FRAME_HEAD 4          /* bytes of the header */
+#define GW_FRAME_MAX  (2u << 20) /* bytes of the payload */
 
-/* Bytes received so far; zero-initialised. The payload of a frame given out
- * stays valid until the next Feed. */
+/* Buffers received bytes until a frame is complete. Starts
+ * zero-initialised. */
 typedef struct {
     uint8_t *bytes;
     size_t len;
-    size_t start;
+    size_t start; /* offset of the first unread byte */
     size_t capacity;
 } GwFrameDecoder;
 
-/* Appends received bytes. */
+/* Appends received bytes. Invalidates payloads returned before. */
 void GwFrame_Feed(GwFrameDecoder *d, const uint8_t *bytes, size_t len);
-/* 1 and the payload when a whole frame is there, 0 when more bytes are
- * needed, GW_ERR(TOO_LARGE) when the peer announced too much: close it. */
+/* Returns 1 and the payload of the next frame, which stays valid until the
+ * next GwFrame_Feed; 0 when more bytes are needed; or GW_ERR(TOO_LARGE) when
+ * the announced length exceeds GW_FRAME_MAX and the connection must be
+ * closed. */
 GwResult GwFrame_Next(GwFrameDecoder *d, const uint8_t **payload,
                       uint32_t *len);
 void GwFrame_Free(GwFrameDecoder *d);
+/* Writes the header of a frame with `len` bytes of payload. */
 void GwFrame_PutHead(uint8_t out[GW_FRAME_HEAD], uint32_t len);
 
 #endif
--- a/lib/wire/handshake.c
+++ b/lib/wire/handshake.c
@@ -3,19 +3,19 @@
 #include <glib.h>
 
 static void
-add_number(GHmac *hmac, uint64_t number)
+hash_number(GHmac *hmac, uint64_t number)
 {
     uint64_t be = GUINT64_TO_BE(number);
     g_hmac_update(hmac, (const guchar *)&be, sizeof(be));
 }
 
 static void
-add_hello(GHmac *hmac, const GwHello *hello)
+hash_hello(GHmac *hmac, const GwHello *hello)
 {
     g_hmac_update(hmac, hello->nonce, GW_NONCE_LEN);
-    add_number(hmac, hello->from.node);
-    add_number(hmac, hello->from.start);
-    add_number(hmac, (uint64_t)hello->region << 32 | hello->domain);
+    hash_number(hmac, hello->from.node);
+    hash_number(hmac, hello->from.start);
+    hash_number(hmac, (uint64_t)hello->region << 32 | hello->domain);
 }
 
 void
@@ -27,8 +27,8 @@
     gsize len = GW_MAC_LEN;
 
     g_hmac_update(hmac, &role, 1);
-    add_hello(hmac, connector);
-    add_hello(hmac, acceptor);
+    hash_hello(hmac, connector);
+    hash_hello(hmac, acceptor);
     g_hmac_get_digest(hmac, mac, &len);
     g_hmac_unref(hmac);
 }
@@ -37,12 +37,12 @@
 GwHandshake_Check(GwKey key, GwRole prover, const GwHello *connector,
                   const GwHello *acceptor, const uint8_t mac[GW_MAC_LEN])
 {
-    uint8_t want[GW_MAC_LEN];
+    uint8_t expected[GW_MAC_LEN];
     uint8_t diff = 0;
 
-    GwHandshake_Prove(key, prover, connector, acceptor, want);
+    GwHandshake_Prove(key, prover, connector, acceptor, expected);
     for (uint32_t i = 0; i < GW_MAC_LEN; i++) {
-        diff |= want[i] ^ mac[i];
+        diff |= expected[i] ^ mac[i];
     }
     return diff == 0;
 }
--- a/lib/wire/handshake.h
+++ b/lib/wire/handshake.h
@@ -1,10 +1,11 @@
-/* The proof of the cluster's key that opens every inner connection. */
+/* Mutual authentication by the cluster key at the start of every inner
+ * connection. */
 #ifndef GW_WIRE_HANDSHAKE_H
 #define GW_WIRE_HANDSHAKE_H
 
 #include "wire/codec.h"
 
-/* Who proves: the side that connected, or the one that accepted. */
+/* The side that proves: the one that connected or the one that accepted. */
 typedef enum { GW_ROLE_CONNECTOR = 'C', GW_ROLE_ACCEPTOR = 'A' } GwRole;
 
 typedef struct {
@@ -12,12 +13,13 @@
     size_t len;
 } GwKey;
 
-/* HMAC-SHA256 over the prover's role, both nonces and both ids. The nonces
- * make a recorded proof useless on another connection; the role keeps a
- * prover's own proof from being sent back to it as an answer. */
+/* Computes HMAC-SHA256 over the prover's role and both hellos (nonce, id,
+ * region and failure domain). The nonces make a recorded proof invalid on any
+ * other connection (replay); the role prevents a proof from being sent back to
+ * its prover (reflection). */
 void GwHandshake_Prove(GwKey key, GwRole prover, const GwHello *connector,
                        const GwHello *acceptor, uint8_t mac[GW_MAC_LEN]);
-/* In constant time. */
+/* Whether `mac` is the prover's proof. Compares in constant time. */
 bool GwHandshake_Check(GwKey key, GwRole prover, const GwHello *connector,
                        const GwHello *acceptor, const uint8_t mac[GW_MAC_LEN]);
 
--- a/lib/wire/message.c
+++ b/lib/wire/message.c
@@ -3,14 +3,14 @@
 #include <glib.h>
 #include <string.h>
 
-/* Same instance and same start. */
+/* Whether both ids name the same start of the same instance. */
 bool
 GwNodeId_Equal(GwNodeId a, GwNodeId b)
 {
     return a.node == b.node && a.start == b.start;
 }
 
-/* A zeroed message of the kind; free it with GwMessage_Free. */
+/* Creates a zeroed message of the kind. Free it with GwMessage_Free. */
 GwMessage *
 GwMessage_Create(GwMessageKind kind, GwNodeId from)
 {
@@ -20,7 +20,7 @@
     return msg;
 }
 
-/* A deep copy: the configuration text, if any, is copied too. */
+/* Makes a deep copy, including the text of a CONFIG_DOC. */
 GwMessage *
 GwMessage_Copy(const GwMessage *msg)
 {
@@ -32,7 +32,7 @@
     return copy;
 }
 
-/* Frees the message and what it owns; NULL is allowed. */
+/* Frees the message and its configuration text; NULL is allowed. */
 void
 GwMessage_Free(GwMessage *msg)
 {
--- a/lib/wire/message.h
+++ b/lib/wire/message.h
@@ -1,8 +1,8 @@
-/* The messages of the inner protocol as the decision code sees them: plain
- * values with bounded arrays, no pointers but the configuration text. The
- * codec (wire/codec.h) maps them to protobuf-c and back and enforces every
- * bound on the way in. Relayed calls carry bodies and are framed by the
- * runtime; decision code never sees them as messages. */
+/* Control messages of the inner protocol, as the decision code handles them:
+ * plain values with bounded arrays and no pointers except the configuration
+ * text. The codec (wire/codec.h) converts them to and from protobuf and checks
+ * every bound when decoding. Relayed calls carry bodies and are handled by the
+ * runtime; they are not GwMessages. */
 #ifndef GW_WIRE_MESSAGE_H
 #define GW_WIRE_MESSAGE_H
 
@@ -11,15 +11,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Heartbeats are bounded, so that the cost of a node does not grow with the
- * number of nodes: this many membership updates and digests each. */
+/* Bounds of the arrays in a message. Heartbeats are bounded so that the cost
+ * per node doesn't grow with the number of nodes. */
 #define GW_UPDATES_MAX 12
 #define GW_DIGESTS_MAX 16
 #define GW_UNITS_MAX   32
 #define GW_DRAINS_MAX  8
 
-/* A process of the system: the instance (hash of its name) and the nonce of
- * this start. A later start of one instance has the larger nonce. */
+/* Identifies an entry: the hash of its instance's name and the nonce of this
+ * start. Later starts of an instance have larger nonces. */
 typedef struct {
     uint64_t node;
     uint64_t start;
@@ -32,8 +32,8 @@
     GW_MEMBER_DEAD = 4
 } GwMemberState;
 
-/* What one node says of a member. Precedence: larger start, then larger
- * incarnation, then the larger state. */
+/* A membership update. Of two updates for a member, the larger start takes
+ * precedence, then the larger incarnation, then the larger state. */
 typedef struct {
     GwNodeId id;
     uint32_t incarnation;
@@ -41,21 +41,21 @@
     uint32_t region;                /* hash of the region's name */
     char domain[GW_NAME_MAX];       /* the failure domain's name */
     char name[GW_NAME_MAX];         /* the instance's name */
-    char peer_address[GW_ADDR_MAX]; /* inner protocol, ip:port */
-    char call_address[GW_ADDR_MAX]; /* callers' HTTP, ip:port */
+    char peer_address[GW_ADDR_MAX]; /* of the inner protocol, ip:port */
+    char call_address[GW_ADDR_MAX]; /* of HTTP for callers, ip:port */
 } GwMemberInfo;
 
-/* Load of one entry for one service, as it says itself. */
+/* Load of one entry for one service, as reported by that entry. */
 typedef struct {
     GwNodeId id;
     uint64_t service;    /* hash of the service's name */
-    uint32_t free_slots; /* own idle slots that could be lent */
+    uint32_t free_slots; /* own idle slots that can be lent */
     uint32_t in_flight;
     uint32_t queued;
-    uint64_t seq; /* newer replaces older */
+    uint64_t seq; /* a digest with a larger seq replaces an older one */
 } GwDigest;
 
-/* A backend server seen draining. */
+/* A backend server that was observed draining. */
 typedef struct {
     uint64_t backend;
     uint32_t ttl_ms;
@@ -64,7 +64,7 @@
 /* Carried by PROBE, ACK and PING_REQ. */
 typedef struct {
     uint64_t seq;
-    GwNodeId target; /* of an indirect probe */
+    GwNodeId target; /* member to probe, of an indirect probe */
     uint64_t config_version;
     uint32_t update_count;
     uint32_t digest_count;
@@ -74,7 +74,7 @@
     GwDrainHint drains[GW_DRAINS_MAX];
 } GwHeartbeat;
 
-/* A unit: the right to one request in flight. kind says of what. */
+/* A unit: the right to have one request in flight. */
 typedef enum {
     GW_UNIT_SLOT = 1,  /* owner: backend id; index: slot number */
     GW_UNIT_SHIFT = 2, /* owner: hash of service, from, to; index: of cap */
@@ -87,20 +87,21 @@
     uint32_t index;
 } GwUnit;
 
-/* Ask a peer of one's region for idle slots, or a peer of another region
- * for the right to send it calls. */
+/* Requests idle slots from a peer in the same region, or from a peer in
+ * another region the right to send calls there. */
 typedef struct {
     uint64_t seq;
     uint64_t service;
-    uint32_t from_region; /* hash; for grants */
+    uint32_t from_region; /* hash of the region's name; for grants */
     uint32_t count;
     GwUnitKind kind;
 } GwLoanAsk;
 
-/* The units lent. The lender counts them out for term_ms plus a margin, the
- * borrower uses them for term_ms less a margin, from when it asked. */
+/* Lends units. The lender reserves them for term_ms plus a margin; the
+ * borrower uses them for term_ms minus a margin, counted from its request, so
+ * that both never use a unit at the same time. */
 typedef struct {
-    uint64_t seq; /* of the ask */
+    uint64_t seq; /* seq of the GwLoanAsk */
     uint64_t loan;
     uint64_t service;
     uint32_t term_ms;
@@ -115,10 +116,11 @@
     GwUnit units[GW_UNITS_MAX];
 } GwLoanReturn;
 
-/* A leaving or over-full entry hands an idle seat to a peer. */
+/* Hands an idle seat to a peer; sent by an entry that is leaving or has more
+ * seats than its share. */
 typedef struct {
     uint32_t seat;
-    uint64_t claim; /* of the row the giver held */
+    uint64_t claim; /* claim of the sender's row */
     uint64_t row_version;
 } GwSeatHandover;
 
@@ -147,7 +149,7 @@
     GwNodeId from;
     union {
         GwHeartbeat heartbeat;   /* PROBE, ACK, PING_REQ */
-        uint64_t config_version; /* CONFIG_ASK: the version the asker has */
+        uint64_t config_version; /* CONFIG_ASK: the requester's version */
         GwConfigDoc doc;
         GwLoanAsk ask;
         GwLoanGive give;
