--- a/tests/unit/test_blocks.c
+++ b/tests/unit/test_blocks.c
@@ -1,3 +1,4 @@
+/* Client blocks: look-ups, deltas, and rejection of invalid input. */
 #include "blocks/blocks.h"
 #include "common/rng.h"
 
@@ -5,7 +6,7 @@
 #include <glib.h>
 
 static GwBlockSet *
-set_of(const GwBlock *blocks, uint32_t count)
+create_set(const GwBlock *blocks, uint32_t count)
 {
     size_t len = 0;
     uint8_t *bytes = GwBlocks_EncodeSnapshot(1, blocks, count, &len);
@@ -23,7 +24,7 @@
     return b;
 }
 
-Test(blocks, the_longest_prefix_decides)
+Test(blocks, the_longest_prefix_wins)
 {
     const GwBlock blocks[] = {
         block("10.0.0.0/8", 1),         block("10.1.0.0/16", 2),
@@ -48,7 +49,7 @@
         {"2001:db8:1::1", 7},
         {"2001:db9::", GW_SITE_NONE},
     };
-    GwBlockSet *set = set_of(blocks, G_N_ELEMENTS(blocks));
+    GwBlockSet *set = create_set(blocks, G_N_ELEMENTS(blocks));
     GwBlockMap *map = GwBlockMap_Build(set);
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -61,7 +62,7 @@
     GwBlockSet_Free(set);
 }
 
-/* The slow way: every block is asked. */
+/* Reference implementation: a linear scan over all blocks. */
 static uint16_t
 find_by_scan(const GwBlock *blocks, uint32_t count, GwAddress address)
 {
@@ -94,25 +95,26 @@
                      .bits = ((uint64_t)GwRng_Below(rng, 64) << 58 |
                               (uint64_t)GwRng_Below(rng, 4) << 32) &
                              mask};
-        bool twice = false;
+        bool is_duplicate = false;
         for (uint32_t j = 0; j < count; j++) {
-            twice |= blocks[j].bits == b.bits && blocks[j].length == b.length;
+            is_duplicate |=
+                blocks[j].bits == b.bits && blocks[j].length == b.length;
         }
-        if (!twice) {
+        if (!is_duplicate) {
             blocks[count++] = b;
         }
     }
     return count;
 }
 
-Test(blocks, map_and_scan_agree_on_seeded_sets)
+Test(blocks, map_agrees_with_a_linear_scan)
 {
     GwRng rng = GwRng_Make(86);
 
     for (int round = 0; round < 200; round++) {
         GwBlock blocks[64];
         uint32_t count = random_blocks(&rng, blocks, 64);
-        GwBlockSet *set = set_of(blocks, count);
+        GwBlockSet *set = create_set(blocks, count);
         GwBlockMap *map = GwBlockMap_Build(set);
         for (int i = 0; i < 200; i++) {
             GwAddress a = {.bits = (uint64_t)GwRng_Below(&rng, 64) << 58 |
@@ -132,7 +134,7 @@
     const GwBlock change[] = {block("10.0.0.0/8", 9),
                               block("11.0.0.0/8", GW_SITE_NONE),
                               block("12.0.0.0/8", 3)};
-    GwBlockSet *set = set_of(first, 2);
+    GwBlockSet *set = create_set(first, 2);
     size_t len = 0;
     uint8_t *delta = GwBlocks_EncodeDelta(1, 2, change, 3, &len);
 
@@ -147,14 +149,14 @@
     GwBlockSet_Free(set);
 }
 
-/* A node reads a snapshot that was cut off or changed on its way. Its present
- * table must stay in force: a wrong one sends callers to the wrong sites. */
-Test(blocks, no_damaged_snapshot_is_taken)
+/* A snapshot that was truncated or corrupted in transit must be rejected and
+ * the current set kept: a wrong one would send callers to the wrong sites. */
+Test(blocks, a_damaged_snapshot_is_rejected)
 {
     const GwBlock blocks[] = {block("10.0.0.0/8", 1), block("11.0.0.0/8", 2)};
     size_t len = 0;
     uint8_t *bytes = GwBlocks_EncodeSnapshot(2, blocks, 2, &len);
-    GwBlockSet *set = set_of(blocks, 1);
+    GwBlockSet *set = create_set(blocks, 1);
 
     for (size_t cut = 0; cut < len; cut++) {
         cr_assert(GwResult_IsError(GwBlockSet_ApplySnapshot(set, bytes, cut)));
@@ -170,7 +172,7 @@
     GwBlockSet_Free(set);
 }
 
-Test(blocks, bad_texts_are_refused)
+Test(blocks, invalid_texts_are_rejected)
 {
     const char *const cases[] = {
         "",      "10.0.0.0",  "10.0.0.0/33", "10.0.0.1/8", "x/8",     "::1/64",
--- a/tests/unit/test_codec.c
+++ b/tests/unit/test_codec.c
@@ -1,5 +1,5 @@
-/* Bytes from peers: what goes out comes back the same, and what breaks a
- * bound is refused whole. */
+/* Codec, frames and handshake of the inner protocol: messages survive a round
+ * trip, and input that exceeds a bound is rejected whole. */
 #include "wire/codec.h"
 #include "wire/codec_internal.h"
 #include "wire/frame.h"
@@ -54,7 +54,7 @@
 }
 
 static void
-fill(GwMessage *msg)
+fill_message(GwMessage *msg)
 {
     switch (msg->kind) {
     case GW_MSG_PROBE:
@@ -90,11 +90,11 @@
     }
 }
 
-Test(codec, every_kind_comes_back_the_same)
+Test(codec, every_kind_survives_a_round_trip)
 {
     for (int kind = GW_MSG_PROBE; kind <= GW_MSG_SEAT_TAKEN; kind++) {
         GwMessage *msg = GwMessage_Create((GwMessageKind)kind, self);
-        fill(msg);
+        fill_message(msg);
         GwMessage *back = round_trip(msg);
         if (kind == GW_MSG_CONFIG_DOC) {
             cr_expect_str_eq(back->u.doc.text, "{ }");
@@ -140,16 +140,16 @@
     return r;
 }
 
-/* A peer's call becomes an HTTP request of ours: a line break or a space in
- * it would let the peer write a second one. */
-Test(codec, calls_that_break_a_bound_are_refused)
+/* A relayed call becomes an HTTP request to a backend server: a line break or
+ * a space in it would let the peer inject a second request. */
+Test(codec, calls_that_exceed_a_bound_are_rejected)
 {
     static const struct {
         const char *method;
         const char *target;
         const char *content_type;
         uint32_t body_len;
-        bool good;
+        bool is_valid;
     } cases[] = {
         {"POST", "/slots?day=1", "text/plain", 2, true},
         {"post", "/slots", "", 0, false},
@@ -172,14 +172,14 @@
         call.body = body;
         call.body_len = cases[i].body_len;
         GwResult r = parse_call(&call);
-        cr_expect_eq(r, cases[i].good ? 0 : GW_ERR(OUT_OF_BOUNDS), "case %zu",
-                     i);
+        cr_expect_eq(r, cases[i].is_valid ? 0 : GW_ERR(OUT_OF_BOUNDS),
+                     "case %zu", i);
     }
     g_free(body);
 }
 
-/* A kind with the body of another would be read through the wrong member of
- * the union. */
+/* A message with the body of another kind would be read through the wrong
+ * member of the union. */
 Test(codec, kind_and_body_must_agree)
 {
     Gw__Inner__ConfigAsk ask = GW__INNER__CONFIG_ASK__INIT;
@@ -195,8 +195,9 @@
     cr_expect_eq(error, GW_ERR(PARSE));
 }
 
-/* Frames cut at every place come out whole and in order. */
-Test(frame, any_cut)
+/* Frames are decoded whole and in order wherever the received bytes are
+ * split. */
+Test(frame, frames_may_be_split_anywhere)
 {
     uint8_t bytes[2 * GW_FRAME_HEAD + 8];
     GwFrame_PutHead(bytes, 3);
@@ -223,7 +224,7 @@
     }
 }
 
-Test(frame, too_large_is_refused_at_once)
+Test(frame, too_large_a_length_is_rejected_at_once)
 {
     GwFrameDecoder d = {0};
     uint8_t head[GW_FRAME_HEAD];
@@ -236,8 +237,8 @@
     GwFrame_Free(&d);
 }
 
-/* A stranger records a proof and plays it back: on another connection, with
- * other nonces, or as the proof of the other side. None is accepted. */
+/* An attacker who recorded a proof must not be able to replay it on another
+ * connection, with other nonces, or as the proof of the other side. */
 Test(handshake, proof_is_bound_to_key_nonces_and_role)
 {
     GwKey key = {(const uint8_t *)"0123456789abcdef", 16};
--- a/tests/unit/test_docs.c
+++ b/tests/unit/test_docs.c
@@ -1,4 +1,4 @@
-/* The tables of the pages against those of the code, both ways. */
+/* The tables in docs/ must have exactly the rows of the tables in the code. */
 #include "common/log_events.h"
 #include "godwitridge.h"
 #include "router/router.h"
@@ -14,7 +14,7 @@
     return page;
 }
 
-/* Lines of the page that begin like a numbered row. */
+/* Counts the rows of the page's tables that begin with a number. */
 static uint32_t
 count_rows(const char *page)
 {
@@ -33,7 +33,7 @@
     g_free(line);
 }
 
-Test(docs, results_and_reasons_are_those_of_the_code)
+Test(docs, results_and_reasons_match_the_code)
 {
     static const struct {
         uint32_t number;
@@ -54,7 +54,7 @@
     g_free(page);
 }
 
-Test(docs, reasons_of_the_platforms_entry_are_those_of_the_code)
+Test(docs, reasons_of_the_platforms_entry_match_the_code)
 {
     char *page = read_page("docs/OPERATIONS.md");
     for (GwWhy why = GW_WHY_NONE; why < GW_WHY_COUNT; why++) {
@@ -65,7 +65,7 @@
     g_free(page);
 }
 
-Test(docs, events_are_those_of_the_code)
+Test(docs, events_match_the_code)
 {
     static const struct {
         uint32_t number;
--- a/tests/unit/test_fingerprint.c
+++ b/tests/unit/test_fingerprint.c
@@ -1,11 +1,11 @@
-/* What makes two attempts the same request. */
+/* The parts of a request that its fingerprint covers, and its text form. */
 #include "common/fingerprint.h"
 
 #include <criterion/criterion.h>
 #include <string.h>
 
 static GwFingerprintParts
-parts(void)
+sample_parts(void)
 {
     return (GwFingerprintParts){
         .method = "GET",
@@ -17,11 +17,12 @@
     };
 }
 
-Test(fingerprint, every_part_counts)
+Test(fingerprint, every_part_changes_it)
 {
-    GwFingerprintParts same = parts();
-    GwFingerprintParts others[] = {parts(), parts(), parts(), parts(),
-                                   parts(), parts(), parts(), parts()};
+    GwFingerprintParts same = sample_parts();
+    GwFingerprintParts others[] = {
+        sample_parts(), sample_parts(), sample_parts(), sample_parts(),
+        sample_parts(), sample_parts(), sample_parts(), sample_parts()};
     GwFingerprint f = GwFingerprint_Make(&same);
     GwFingerprint again = GwFingerprint_Make(&same);
 
@@ -31,7 +32,8 @@
     others[3].caller = "10.0.0.2";
     others[4].body = "xz";
     others[5].body_len = 1;
-    others[6].host = "h/a"; /* what is left of one part joins no other */
+    /* Same bytes as `same`, split between host and target elsewhere. */
+    others[6].host = "h/a";
     others[6].target = "/b";
     others[7].body_len = 0;
     cr_expect(GwFingerprint_Equal(&f, &again));
@@ -41,7 +43,7 @@
     }
 }
 
-Test(fingerprint, its_text_can_be_read_back)
+Test(fingerprint, text_form_survives_a_round_trip)
 {
     static const char *const bad[] = {"",
                                       "0",
--- a/tests/unit/test_log_rate.c
+++ b/tests/unit/test_log_rate.c
@@ -1,10 +1,11 @@
+/* Rate limit of the log lines of one event. */
 #include "common/log_rate.h"
 
 #include <criterion/criterion.h>
 
-/* A flood of one event: the burst is written, then the rate, and the number of
- * those left out is told once, with the next line. */
-Test(log_rate, a_flood_is_counted_and_told_once)
+/* Under a flood of one event, lines pass up to the burst and then at the rate.
+ * The number of suppressed lines is reported once, with the next line. */
+Test(log_rate, suppressed_lines_are_reported_once)
 {
     GwLogRate rate = {0};
     uint64_t suppressed = 99;
@@ -25,8 +26,7 @@
     cr_expect_eq(suppressed, 1);
 }
 
-/* What comes at an ordinary rate is never left out. */
-Test(log_rate, an_ordinary_rate_is_written_whole)
+Test(log_rate, no_line_is_suppressed_at_the_rate)
 {
     GwLogRate rate = {0};
     uint64_t suppressed;
--- a/tests/unit/test_log_ring.c
+++ b/tests/unit/test_log_ring.c
@@ -1,3 +1,4 @@
+/* The ring of log lines in front of standard output. */
 #include "common/log_ring.h"
 
 #include <criterion/criterion.h>
@@ -5,9 +6,9 @@
 #include <string.h>
 #include <unistd.h>
 
-/* The reader of the log stops reading: the process must go on, keep what
- * fits, and say afterwards how much did not. */
-Test(log_ring, a_reader_that_stops_blocks_nobody)
+/* When the reader of the log stops reading, the process must not block. The
+ * ring keeps the lines that fit and then logs how many were dropped. */
+Test(log_ring, a_stalled_reader_does_not_block_the_process)
 {
     GwLogRing ring;
     int fds[2];
--- a/tests/unit/test_metrics.c
+++ b/tests/unit/test_metrics.c
@@ -1,3 +1,4 @@
+/* Histogram quantiles and the text exposition format. */
 #include "common/metrics.h"
 #include "common/rng.h"
 
@@ -13,8 +14,9 @@
     return (x > y) - (x < y);
 }
 
-/* Quantiles of the histogram against the sorted samples, at every scale. */
-Test(metrics, quantiles_are_within_the_stated_error)
+/* Compares quantiles with those of the sorted samples, for samples of 1 to 61
+ * bits. */
+Test(metrics, quantiles_are_within_the_documented_error)
 {
     static const double qs[] = {0.0, 0.01, 0.5, 0.9, 0.99, 0.999, 1.0};
     enum { COUNT = 5000 };
@@ -33,11 +35,11 @@
         for (size_t i = 0; i < G_N_ELEMENTS(qs); i++) {
             uint64_t rank = (uint64_t)(qs[i] * COUNT);
             rank += (double)rank < qs[i] * COUNT || rank == 0;
-            uint64_t want = samples[rank - 1];
-            uint64_t got = GwHistogram_Quantile(h, qs[i]);
-            cr_expect_geq(got, want, "bits %u q %f", bits, qs[i]);
-            cr_expect_leq(got - want, want / GW_HIST_SUB, "bits %u q %f", bits,
-                          qs[i]);
+            uint64_t expected = samples[rank - 1];
+            uint64_t actual = GwHistogram_Quantile(h, qs[i]);
+            cr_expect_geq(actual, expected, "bits %u q %f", bits, qs[i]);
+            cr_expect_leq(actual - expected, expected / GW_HIST_SUB,
+                          "bits %u q %f", bits, qs[i]);
         }
         g_free(h);
         g_free(half);
@@ -45,7 +47,7 @@
     g_free(samples);
 }
 
-Test(metrics, extremes_have_a_bucket)
+Test(metrics, boundary_values_have_a_bucket)
 {
     static const uint64_t values[] = {0, 1, 31, 32, 63, 64, UINT64_MAX};
     for (size_t i = 0; i < G_N_ELEMENTS(values); i++) {
--- a/tests/unit/test_names.c
+++ b/tests/unit/test_names.c
@@ -1,3 +1,4 @@
+/* Names of result codes and log events. */
 #include "common/log_events.h"
 #include "godwitridge.h"
 
