--- a/lib/common/rng.c
+++ b/lib/common/rng.c
@@ -18,7 +18,7 @@
     return (GwRng){.state = seed};
 }
 
-/* splitmix64: a Weyl sequence passed through the mixer. */
+/* The next 64 bits, by splitmix64: a Weyl sequence through the mixer. */
 uint64_t
 GwRng_Next(GwRng *rng)
 {
