--- a/lib/runtime/net.c
+++ b/lib/runtime/net.c
@@ -462,7 +462,7 @@
 }
 
 void
-GwNet_Send(GwNet *net, const char *address, uint8_t *frame, size_t len)
+GwNet_SendControl(GwNet *net, const char *address, uint8_t *frame, size_t len)
 {
     Frame *f = g_new0(Frame, 1);
     *f = (Frame){.bytes = frame, .len = len, .control = true};
@@ -470,8 +470,8 @@
 }
 
 bool
-GwNet_Call(GwNet *net, const char *address, GwNodeId to, uint64_t id,
-           uint8_t *frame, size_t len)
+GwNet_SendCall(GwNet *net, const char *address, GwNodeId to, uint64_t id,
+               uint8_t *frame, size_t len)
 {
     Frame *f = g_new0(Frame, 1);
     *f = (Frame){.bytes = frame, .len = len, .call = id, .to = to};
@@ -479,7 +479,7 @@
 }
 
 void
-GwNet_Reply(GwNet *net, uint64_t link, uint8_t *frame, size_t len)
+GwNet_SendReply(GwNet *net, uint64_t link, uint8_t *frame, size_t len)
 {
     Frame *f = g_new0(Frame, 1);
     *f = (Frame){.bytes = frame, .len = len};
--- a/lib/runtime/net.h
+++ b/lib/runtime/net.h
@@ -21,7 +21,7 @@
     void (*call)(void *ctx, uint64_t link, GwNodeId from, GwCallRequest *call);
     void (*reply)(void *ctx, GwCallReply *reply);
     void (*cancel)(void *ctx, uint64_t link, uint64_t id);
-    /* A call queued by GwNet_Call will get no reply. sent: the whole frame
+    /* A call queued by GwNet_SendCall will get no reply. sent: the whole frame
      * was written, so the peer may have run the call. */
     void (*call_lost)(void *ctx, uint64_t id, bool sent);
 } GwNetHost;
@@ -56,14 +56,15 @@
 /* Queues a control frame for the peer at the address and takes ownership of
  * the frame. Best effort: dropped when the peer is unreachable or its queue
  * is full. */
-void GwNet_Send(GwNet *net, const char *address, uint8_t *frame, size_t len);
+void GwNet_SendControl(GwNet *net, const char *address, uint8_t *frame,
+                       size_t len);
 /* Queues a relayed call for the process `to`; no other process at the address
  * receives it. id must not be 0. Returns false, without calling call_lost,
  * when the queue or the connection table is full. */
-bool GwNet_Call(GwNet *net, const char *address, GwNodeId to, uint64_t id,
-                uint8_t *frame, size_t len);
+bool GwNet_SendCall(GwNet *net, const char *address, GwNodeId to, uint64_t id,
+                    uint8_t *frame, size_t len);
 /* Queues a reply on the connection of the call; dropped if that is closed. */
-void GwNet_Reply(GwNet *net, uint64_t link, uint8_t *frame, size_t len);
+void GwNet_SendReply(GwNet *net, uint64_t link, uint8_t *frame, size_t len);
 
 typedef struct {
     uint32_t links;
--- a/lib/runtime/relay.c
+++ b/lib/runtime/relay.c
@@ -117,8 +117,8 @@
         uint64_t id = relay->id;
         uint8_t *frame = encode_call(call, action, id, &len);
         GwCounter_Add(&rt->metrics.relays_out, 1);
-        if (!GwNet_Call(rt->net, action->address, action->to, id, frame,
-                        len)) {
+        if (!GwNet_SendCall(rt->net, action->address, action->to, id, frame,
+                            len)) {
             Relay_OnLost(rt, id, false);
         }
     }
@@ -136,7 +136,7 @@
     };
     size_t len;
     uint8_t *frame = GwCodec_Frame(&envelope, &len);
-    GwNet_Send(rt->net, relay->address, frame, len);
+    GwNet_SendControl(rt->net, relay->address, frame, len);
 }
 
 typedef bool (*RelayFilter)(const Relay *relay, const void *arg);
@@ -268,7 +268,7 @@
     GwEnvelope envelope = {.kind = GW_ENVELOPE_REPLY, .u.reply = *reply};
     size_t len;
     uint8_t *frame = GwCodec_Frame(&envelope, &len);
-    GwNet_Reply(rt->net, link, frame, len);
+    GwNet_SendReply(rt->net, link, frame, len);
 }
 
 /* Refuses a call before its ticket is checked. A call sent to this process as
--- a/lib/runtime/runtime.c
+++ b/lib/runtime/runtime.c
@@ -23,7 +23,7 @@
             .u.control = action->u.send.message,
         };
         uint8_t *frame = GwCodec_Frame(&envelope, &len);
-        GwNet_Send(rt->net, action->u.send.address, frame, len);
+        GwNet_SendControl(rt->net, action->u.send.address, frame, len);
         break;
     }
     case GW_ACTION_DISPATCH:
@@ -258,7 +258,7 @@
 }
 
 void
-GwRuntime_Leave(GwRuntime *rt)
+GwRuntime_BeginStop(GwRuntime *rt)
 {
     GwEvent event = {.kind = GW_EVENT_LEAVE};
 
--- a/lib/runtime/runtime.h
+++ b/lib/runtime/runtime.h
@@ -10,7 +10,7 @@
  * runtime. Returns NULL with *error set on failure. */
 GwRuntime *GwRuntime_Start(const GwSettings *settings, GError **error);
 /* Begins a graceful stop; GwRuntime_IsStopped returns true when it ends. */
-void GwRuntime_Leave(GwRuntime *rt);
+void GwRuntime_BeginStop(GwRuntime *rt);
 bool GwRuntime_IsStopped(GwRuntime *rt);
 /* Returns the state of the process as JSON; free with g_free. */
 char *GwRuntime_Dump(GwRuntime *rt);
--- a/programs/godwitd.c
+++ b/programs/godwitd.c
@@ -71,7 +71,7 @@
                 return;
             }
             leaving = true;
-            GwRuntime_Leave(rt);
+            GwRuntime_BeginStop(rt);
         }
     }
 }
--- a/tests/stress/calls.c
+++ b/tests/stress/calls.c
@@ -248,7 +248,7 @@
         g_usleep(1000);
     }
     atomic_store(&w->stop, true);
-    GwRuntime_Leave(w->entry.rt);
+    GwRuntime_BeginStop(w->entry.rt);
     for (uint32_t i = 0; i < CALLERS; i++) {
         pthread_join(callers[i], NULL);
     }
--- a/tests/stress/net.c
+++ b/tests/stress/net.c
@@ -53,7 +53,7 @@
     size_t len;
     uint8_t *frame = GwCodec_Frame(&envelope, &len);
     atomic_fetch_add(&arrived[call->id], 1);
-    GwNet_Reply(*(GwNet **)ctx, link, frame, len);
+    GwNet_SendReply(*(GwNet **)ctx, link, frame, len);
 }
 
 static void
@@ -113,7 +113,7 @@
         GwNodeId to = {2, atomic_load(&far_start)};
         size_t len;
         uint8_t *frame = GwCodec_Frame(&envelope, &len);
-        if (!GwNet_Call(near_net, far_address, to, id, frame, len)) {
+        if (!GwNet_SendCall(near_net, far_address, to, id, frame, len)) {
             atomic_store(&unsent[id], 1);
             end_call(id);
         }
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -132,7 +132,7 @@
     GwEnvelope envelope = {.kind = GW_ENVELOPE_CONTROL, .u.control = msg};
     size_t len;
     uint8_t *frame = GwCodec_Frame(&envelope, &len);
-    GwNet_Send(from->net, to->address, frame, len);
+    GwNet_SendControl(from->net, to->address, frame, len);
     GwMessage_Free(msg);
 }
 
@@ -148,7 +148,7 @@
     };
     size_t len;
     uint8_t *frame = GwCodec_Frame(&envelope, &len);
-    cr_assert(GwNet_Call(from->net, to->address, id, call, frame, len));
+    cr_assert(GwNet_SendCall(from->net, to->address, id, call, frame, len));
 }
 
 static void
@@ -160,7 +160,7 @@
     };
     size_t len;
     uint8_t *frame = GwCodec_Frame(&envelope, &len);
-    GwNet_Reply(from->net, from->call_link, frame, len);
+    GwNet_SendReply(from->net, from->call_link, frame, len);
 }
 
 #define KEY "0123456789abcdef"
