--- a/fuzz/fuzz_explain.c
+++ b/fuzz/fuzz_explain.c
@@ -34,7 +34,7 @@
     if (lines[0] != NULL) {
         GwExplain *ex = GwExplain_Create(lines[0]);
         for (char **line = lines + 1; *line != NULL; line++) {
-            GwExplain_Add(ex, "a.log", *line);
+            GwExplain_AddLine(ex, "a.log", *line);
         }
         GwExplain_Write(ex, out);
         if (out->len == 0) {
--- a/lib/admin/admin.h
+++ b/lib/admin/admin.h
@@ -25,8 +25,8 @@
     char *(*config_text)(void *ctx, uint64_t *version);
     /* Puts an accepted document in force in this process and sends it to the
      * peers at once. */
-    void (*offer_config)(void *ctx, uint64_t version, const char *text,
-                         uint32_t len);
+    void (*publish_config)(void *ctx, uint64_t version, const char *text,
+                           uint32_t len);
     char *(*status)(void *ctx); /* JSON */
     /* Returns the look-up answer for a service as JSON, or NULL when the
      * service is unknown; the callback is optional. */
--- a/lib/admin/apply.c
+++ b/lib/admin/apply.c
@@ -159,9 +159,9 @@
 put_in_force(const GwRpc *rpc, const GwChangeResult *result)
 {
     if (result->outcome == GW_CHANGE_ACCEPTED && result->document != NULL) {
-        rpc->host->offer_config(rpc->host->ctx, result->version,
-                                result->document,
-                                (uint32_t)strlen(result->document));
+        rpc->host->publish_config(rpc->host->ctx, result->version,
+                                  result->document,
+                                  (uint32_t)strlen(result->document));
     }
 }
 
--- a/lib/admin/ctl_entry.c
+++ b/lib/admin/ctl_entry.c
@@ -220,7 +220,7 @@
     }
     while (getline(&line, &capacity, file) >= 0) {
         line[strcspn(line, "\r\n")] = '\0';
-        GwExplain_Add(ex, source, line);
+        GwExplain_AddLine(ex, source, line);
     }
     free(line);
     if (file != stdin) {
@@ -251,7 +251,7 @@
             GwExplain_Write(ex, out);
         }
         (void)fputs(out->str, stdout);
-        code = GwExplain_Count(ex) > 0 ? GW_CTL_OK : GW_CTL_REFUSED;
+        code = GwExplain_LineCount(ex) > 0 ? GW_CTL_OK : GW_CTL_REFUSED;
     }
     g_string_free(out, TRUE);
     GwExplain_Free(ex);
--- a/lib/admin/explain.c
+++ b/lib/admin/explain.c
@@ -297,7 +297,7 @@
 }
 
 void
-GwExplain_Add(GwExplain *ex, const char *source, const char *line)
+GwExplain_AddLine(GwExplain *ex, const char *source, const char *line)
 {
     const char *start = strstr(line, "time_ms=");
 
@@ -331,7 +331,7 @@
 }
 
 uint32_t
-GwExplain_Count(const GwExplain *ex)
+GwExplain_LineCount(const GwExplain *ex)
 {
     return ex->steps->len;
 }
--- a/lib/admin/explain.h
+++ b/lib/admin/explain.h
@@ -18,9 +18,9 @@
 /* Adds one line of a log. The last word before `time_ms=` is the name of the
  * entry; without such a word the name is `source`. Lines of one entry must be
  * added in order. */
-void GwExplain_Add(GwExplain *ex, const char *source, const char *line);
+void GwExplain_AddLine(GwExplain *ex, const char *source, const char *line);
 /* Returns the number of lines of the request. */
-uint32_t GwExplain_Count(const GwExplain *ex);
+uint32_t GwExplain_LineCount(const GwExplain *ex);
 /* Appends the explanation as text or as JSON. The conclusion is the last line
  * of the text, or the member "conclusion". */
 void GwExplain_Write(GwExplain *ex, GString *out);
--- a/lib/godwitridge.h
+++ b/lib/godwitridge.h
@@ -168,12 +168,12 @@
     char name[GW_NAME_MAX];
     char peer_address[GW_ADDR_MAX];
     bool leaving;
-} GwListed;
+} GwInstanceListItem;
 
 typedef struct {
     uint32_t count;
-    GwListed *items;
-} GwListEvent;
+    GwInstanceListItem *items;
+} GwInstanceList;
 
 typedef enum {
     GW_EVENT_TICK = 1, /* every GW_TICK_US, and at once after start */
@@ -198,7 +198,7 @@
         GwAttemptEvent attempt;
         GwHealthEvent health;
         const GwTableReply *table;
-        const GwListEvent *list;
+        const GwInstanceList *list;
     } u;
 } GwEvent;
 
--- a/lib/member/member.h
+++ b/lib/member/member.h
@@ -42,8 +42,8 @@
                        const GwPiggyback *piggyback, GwActions *out);
 /* Replaces the platform's list of instances: names and addresses to join
  * through. A "leaving" mark takes effect at once. */
-void GwMembers_ApplyList(GwMembers *m, int64_t now_us, const GwListEvent *list,
-                         GwActions *out);
+void GwMembers_ApplyList(GwMembers *m, int64_t now_us,
+                         const GwInstanceList *list, GwActions *out);
 /* Announces that this node is leaving to its whole region and to some
  * members of other regions. */
 void GwMembers_AnnounceLeaving(GwMembers *m, int64_t now_us,
--- a/lib/member/member_internal.h
+++ b/lib/member/member_internal.h
@@ -96,7 +96,7 @@
     GwForeignDigests foreign[GW_MAX_REGIONS];
     uint32_t foreign_count;
     GHashTable *listed; /* set of name hashes */
-    GArray *seeds;      /* GwListed */
+    GArray *seeds;      /* GwInstanceListItem */
     int64_t list_read_us;
 };
 
--- a/lib/member/members.c
+++ b/lib/member/members.c
@@ -31,7 +31,7 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     m->unconfirmed = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     m->round = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    m->seeds = g_array_new(FALSE, FALSE, sizeof(GwListed));
+    m->seeds = g_array_new(FALSE, FALSE, sizeof(GwInstanceListItem));
     return m;
 }
 
@@ -157,8 +157,8 @@
  * if a correct mark were ignored, requests would be cut off. A later "live"
  * only withdraws the list's own mark. */
 static void
-apply_listed_state(GwMembers *m, int64_t now_us, const GwListed *item,
-                   GwActions *out)
+apply_listed_state(GwMembers *m, int64_t now_us,
+                   const GwInstanceListItem *item, GwActions *out)
 {
     GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(item->name));
 
@@ -170,7 +170,7 @@
 
 /* Replaces the platform's list of instances; see member.h. */
 void
-GwMembers_ApplyList(GwMembers *m, int64_t now_us, const GwListEvent *list,
+GwMembers_ApplyList(GwMembers *m, int64_t now_us, const GwInstanceList *list,
                     GwActions *out)
 {
     bool first = m->list_read_us == 0;
@@ -179,7 +179,7 @@
     g_hash_table_remove_all(m->listed);
     g_array_set_size(m->seeds, 0);
     for (uint32_t i = 0; i < list->count && i < GW_LIST_MAX; i++) {
-        const GwListed *item = &list->items[i];
+        const GwInstanceListItem *item = &list->items[i];
         uint64_t *hash = g_new(uint64_t, 1);
         *hash = GwName_Hash64(item->name);
         g_hash_table_add(m->listed, hash);
--- a/lib/member/probe.c
+++ b/lib/member/probe.c
@@ -303,8 +303,8 @@
 }
 
 static void
-probe_seed(GwMembers *m, const GwListed *seed, const GwPiggyback *piggyback,
-           GwActions *out)
+probe_seed(GwMembers *m, const GwInstanceListItem *seed,
+           const GwPiggyback *piggyback, GwActions *out)
 {
     const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(seed->name));
 
@@ -324,8 +324,8 @@
         m->seeds->len > 0 ? GwRng_Below(&m->rng, m->seeds->len) : 0;
 
     for (uint32_t i = 0; i < m->seeds->len; i++) {
-        const GwListed *seed =
-            &g_array_index(m->seeds, GwListed, (start + i) % m->seeds->len);
+        const GwInstanceListItem *seed = &g_array_index(
+            m->seeds, GwInstanceListItem, (start + i) % m->seeds->len);
         if (needs_healing(m, seed->name)) {
             probe_seed(m, seed, piggyback, out);
             break;
--- a/lib/platform/list.c
+++ b/lib/platform/list.c
@@ -8,21 +8,21 @@
 #define PERIOD_PER_ITEM_US   20000LL
 #define SCALED_PERIOD_MAX_US 15000000LL
 
-struct GwListClient_s {
+struct GwInstanceListClient_s {
     GwHttpClient *http;
 };
 
-GwListClient *
-GwListClient_Create(const char *url, uint32_t timeout_ms)
+GwInstanceListClient *
+GwInstanceListClient_Create(const char *url, uint32_t timeout_ms)
 {
-    GwListClient *client = g_new0(GwListClient, 1);
+    GwInstanceListClient *client = g_new0(GwInstanceListClient, 1);
     client->http = GwHttpClient_Create(url, timeout_ms);
     return client;
 }
 
 /* All reads must have ended; NULL is allowed. */
 void
-GwListClient_Free(GwListClient *client)
+GwInstanceListClient_Free(GwInstanceListClient *client)
 {
     if (client == NULL) {
         return;
@@ -32,10 +32,10 @@
 }
 
 void
-GwListEvent_Clear(GwListEvent *list)
+GwInstanceList_Clear(GwInstanceList *list)
 {
     g_free(list->items);
-    *list = (GwListEvent){0};
+    *list = (GwInstanceList){0};
 }
 
 static bool
@@ -51,7 +51,7 @@
 }
 
 static bool
-parse_item(json_object *item, GwListed *to)
+parse_item(json_object *item, GwInstanceListItem *to)
 {
     char state[16];
     if (!read_text(item, "name", to->name, GW_NAME_MAX) ||
@@ -65,7 +65,7 @@
 
 /* Skips items that lack a member or exceed a bound. */
 static GwResult
-parse_list(json_object *root, GwListEvent *list)
+parse_list(json_object *root, GwInstanceList *list)
 {
     json_object *items = NULL;
     if (!json_object_is_type(root, json_type_object) ||
@@ -74,7 +74,7 @@
         return GW_ERR(PARSE);
     }
     size_t count = json_object_array_length(items);
-    list->items = g_new0(GwListed, MIN(count, GW_LIST_MAX));
+    list->items = g_new0(GwInstanceListItem, MIN(count, GW_LIST_MAX));
     for (size_t i = 0; i < count && list->count < GW_LIST_MAX; i++) {
         json_object *item = json_object_array_get_idx(items, i);
         if (parse_item(item, &list->items[list->count])) {
@@ -85,13 +85,13 @@
 }
 
 GwResult
-GwListClient_Read(GwListClient *client, GwListEvent *list)
+GwInstanceListClient_Read(GwInstanceListClient *client, GwInstanceList *list)
 {
     GwHttpClientRequest request = {.method = "GET", .path = "/instances"};
     GString *body = g_string_new(NULL);
     GwResult r = GW_ERR(STORE_AWAY);
 
-    *list = (GwListEvent){0};
+    *list = (GwInstanceList){0};
     if (GwHttpClient_Do(client->http, &request, body) == 200) {
         json_object *root = json_tokener_parse(body->str);
         r = parse_list(root, list);
@@ -105,7 +105,7 @@
  * probes detect failed ones. A reclaim of seats requires a list that is less
  * than 30 s old. */
 int64_t
-GwList_PeriodUs(uint32_t poll_ms, uint32_t count)
+GwInstanceList_PeriodUs(uint32_t poll_ms, uint32_t count)
 {
     int64_t scaled_us = MIN(count * PERIOD_PER_ITEM_US, SCALED_PERIOD_MAX_US);
 
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -94,15 +94,15 @@
     GwRuntime *rt = arg;
 
     while (!atomic_load(&rt->closing)) {
-        GwListEvent list = {0};
+        GwInstanceList list = {0};
         int64_t start_us = GwNet_NowUs();
-        if (!GwResult_IsError(GwListClient_Read(rt->list, &list))) {
+        if (!GwResult_IsError(GwInstanceListClient_Read(rt->list, &list))) {
             GwEvent event = {.kind = GW_EVENT_LIST, .u.list = &list};
             Runtime_Step(rt, &event);
         }
         int64_t period_us =
-            GwList_PeriodUs(rt->settings->list_poll_ms, list.count);
-        GwListEvent_Clear(&list);
+            GwInstanceList_PeriodUs(rt->settings->list_poll_ms, list.count);
+        GwInstanceList_Clear(&list);
         free_retired_until(rt, start_us + period_us);
     }
     return NULL;
--- a/lib/runtime/report.c
+++ b/lib/runtime/report.c
@@ -177,7 +177,7 @@
 }
 
 static void
-offer_config(void *ctx, uint64_t version, const char *text, uint32_t len)
+publish_config(void *ctx, uint64_t version, const char *text, uint32_t len)
 {
     GwRuntime *rt = ctx;
     GwMessage *msg = GwMessage_Create(GW_MSG_CONFIG_DOC, rt->params.id);
@@ -245,7 +245,7 @@
         .objects = rt->objects,
         .snapshot_every = rt->settings->snapshot_every,
         .config_text = config_text,
-        .offer_config = offer_config,
+        .publish_config = publish_config,
         .status = status,
         .entries = entries,
     };
--- a/lib/runtime/runtime.c
+++ b/lib/runtime/runtime.c
@@ -203,7 +203,8 @@
     rt->table = GwTableClient_Create(s->platform_url, s->platform_timeout_ms);
     rt->objects =
         GwObjectClient_Create(s->platform_url, s->platform_timeout_ms);
-    rt->list = GwListClient_Create(s->platform_url, s->platform_timeout_ms);
+    rt->list =
+        GwInstanceListClient_Create(s->platform_url, s->platform_timeout_ms);
     rt->hedge_pool = GwWorkers_Create(Call_RunHedge, rt, HEDGE_THREADS);
     rt->relay_pool = GwWorkers_Create(Relay_Serve, rt, s->relay_threads);
     rt->table_pool = GwWorkers_Create(Pollers_RunTable, rt, TABLE_THREADS);
@@ -311,7 +312,7 @@
     GwDispatcher_Free(rt->dispatcher);
     GwTableClient_Free(rt->table);
     GwObjectClient_Free(rt->objects);
-    GwListClient_Free(rt->list);
+    GwInstanceListClient_Free(rt->list);
     GwNode_Free(rt->node);
     Snapshot_FreeRetired(rt);
     g_ptr_array_free(rt->retired, TRUE);
--- a/lib/runtime/runtime_internal.h
+++ b/lib/runtime/runtime_internal.h
@@ -137,7 +137,7 @@
     GwDispatcher *dispatcher;
     GwTableClient *table;
     GwObjectClient *objects;
-    GwListClient *list;
+    GwInstanceListClient *list;
     GwWorkers *hedge_pool;
     GwWorkers *relay_pool;
     GwWorkers *table_pool;
--- a/tests/fakes/admin_server.c
+++ b/tests/fakes/admin_server.c
@@ -67,7 +67,7 @@
                               .metrics = page,
                               .token = ADMIN_SERVER_TOKEN,
                               .config_text = no_config,
-                              .offer_config = offered,
+                              .publish_config = offered,
                               .status = status};
     running = g_new0(AdminServer, 1);
     running->table = ChangeTable_Create();
--- a/tests/fakes/cluster.c
+++ b/tests/fakes/cluster.c
@@ -229,15 +229,15 @@
 static void
 poll_list(FakeCluster *c, uint32_t node)
 {
-    GwListed items[GW_LIST_MAX];
-    GwListEvent list = {.items = items};
+    GwInstanceListItem items[GW_LIST_MAX];
+    GwInstanceList list = {.items = items};
 
     for (uint32_t i = 0; i < c->params.node_count && i < GW_LIST_MAX; i++) {
         const FakeNode *n = &c->nodes[i];
         if (n->node == NULL || n->listed_wrongly) {
             continue;
         }
-        GwListed *item = &items[list.count++];
+        GwInstanceListItem *item = &items[list.count++];
         memset(item, 0, sizeof(*item));
         g_strlcpy(item->name, n->params.name, GW_NAME_MAX);
         g_strlcpy(item->peer_address, n->params.peer_address, GW_ADDR_MAX);
@@ -248,7 +248,7 @@
     c->costs.list_reads++;
     GwEvent event = {.kind = GW_EVENT_LIST, .u.list = &list};
     FakeCluster_Step(c, node, &event);
-    int64_t period_us = GwList_PeriodUs(LIST_POLL_MS, list.count);
+    int64_t period_us = GwInstanceList_PeriodUs(LIST_POLL_MS, list.count);
     FakeCluster_Post(
         c, FAKE_LIST_POLL,
         c->now_us + GwRng_Jitter(&c->rng, period_us, period_us / 5), node);
--- a/tests/fakes/member_net.c
+++ b/tests/fakes/member_net.c
@@ -232,8 +232,8 @@
 void
 MemberNet_List(MemberNet *net, uint32_t listed)
 {
-    GwListed *items = g_new0(GwListed, listed);
-    GwListEvent list = {.count = listed, .items = items};
+    GwInstanceListItem *items = g_new0(GwInstanceListItem, listed);
+    GwInstanceList list = {.count = listed, .items = items};
 
     for (uint32_t i = 0; i < listed; i++) {
         g_strlcpy(items[i].name, net->nodes[i].params.name, GW_NAME_MAX);
--- a/tests/property/seats.cpp
+++ b/tests/property/seats.cpp
@@ -195,7 +195,7 @@
     setView(Process &viewer)
     {
         GwPiggyback piggyback{};
-        std::vector<GwListed> listed;
+        std::vector<GwInstanceListItem> listed;
         bool wrong = faults_ && plan_.excluded == Excluded::kTable;
         GwMembers_Free(viewer.members);
         viewer.members = GwMembers_Create(&viewer.params);
@@ -204,7 +204,7 @@
                 continue;
             }
             if (!(wrong && chance(40))) {
-                GwListed item{};
+                GwInstanceListItem item{};
                 g_strlcpy(item.name, p.params.name, GW_NAME_MAX);
                 listed.push_back(item);
             }
@@ -212,7 +212,8 @@
                 addMember(viewer, p, piggyback);
             }
         }
-        GwListEvent list{static_cast<uint32_t>(listed.size()), listed.data()};
+        GwInstanceList list{static_cast<uint32_t>(listed.size()),
+                            listed.data()};
         GwMembers_ApplyList(viewer.members, now_us_, &list, &out_);
         GwActions_Clear(&out_);
     }
--- a/tests/property/seats_explore.cpp
+++ b/tests/property/seats_explore.cpp
@@ -164,9 +164,9 @@
         const GwNodeParams &other = params_[1 - i];
         GwMembers *m = GwMembers_Create(&params_[i]);
         GwPiggyback piggyback{};
-        GwListed item{};
+        GwInstanceListItem item{};
         g_strlcpy(item.name, other.name, GW_NAME_MAX);
-        GwListEvent list{dead ? 0U : 1U, &item};
+        GwInstanceList list{dead ? 0U : 1U, &item};
         GwMembers_ApplyList(m, kStep, &list, &out_);
         if (!dead) {
             GwMessage *msg = GwMessage_Create(GW_MSG_ACK, other.id);
--- a/tests/unit/test_explain.c
+++ b/tests/unit/test_explain.c
@@ -123,7 +123,7 @@
     GwExplain *ex = GwExplain_Create("r1");
 
     for (size_t i = 0; i < LINES_MAX && c->lines[i] != NULL; i++) {
-        GwExplain_Add(ex, "file", c->lines[i]);
+        GwExplain_AddLine(ex, "file", c->lines[i]);
     }
     return ex;
 }
@@ -175,7 +175,7 @@
     GwExplain *ex = GwExplain_Create("r1");
     GString *out = g_string_new(NULL);
 
-    GwExplain_Add(
+    GwExplain_AddLine(
         ex, "e9.log",
         "time_ms=1 event=603 name=REQUEST_LEFT request=r1 took_ms=7");
     GwExplain_Write(ex, out);
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -104,8 +104,9 @@
 Test(members, listed_leaving_applies_at_once)
 {
     MemberNet *net = MemberNet_Create(3, 1, 6);
-    GwListed item = {.name = "n1", .peer_address = "1", .leaving = true};
-    GwListEvent list = {.count = 1, .items = &item};
+    GwInstanceListItem item = {
+        .name = "n1", .peer_address = "1", .leaving = true};
+    GwInstanceList list = {.count = 1, .items = &item};
     GwActions out = {0};
 
     MemberNet_List(net, 3);
--- a/tests/unit/test_seats.c
+++ b/tests/unit/test_seats.c
@@ -36,8 +36,8 @@
     Entry *e = &b->entries[i];
     const GwNodeParams *other = &b->entries[1 - i].params;
     GwPiggyback piggyback = {0};
-    GwListed item = {0};
-    GwListEvent list = {.count = other_listed, .items = &item};
+    GwInstanceListItem item = {0};
+    GwInstanceList list = {.count = other_listed, .items = &item};
 
     g_strlcpy(item.name, other->name, GW_NAME_MAX);
     GwMembers_Free(e->members);
