--- a/bench/blocks.c
+++ b/bench/blocks.c
@@ -94,13 +94,13 @@
     double delta_s = seconds() - start;
 
     double indexed = time_lookups(map, GwBlockMap_Find, &sum[0]);
-    double plain = time_lookups(map, GwBlockMap_FindPlain, &sum[1]);
+    double plain = time_lookups(map, GwBlockMap_FindUnindexed, &sum[1]);
     if (count != BLOCKS || changed != 100 || sum[0] != sum[1]) {
         fprintf(stderr, "blocks: the two searches disagree\n");
         return 1;
     }
     printf("blocks=%u sites=%u ranges=%u\n", BLOCKS, SITES,
-           GwBlockMap_Ranges(map));
+           GwBlockMap_RangeCount(map));
     printf("map_bytes=%zu per_block=%.1f snapshot_bytes=%zu\n",
            GwBlockMap_Bytes(map), (double)GwBlockMap_Bytes(map) / BLOCKS, len);
     printf("read_ms=%.0f build_ms=%.0f delta_100_bytes=%zu delta_ms=%.0f\n",
--- a/fuzz/fuzz_blocks.c
+++ b/fuzz/fuzz_blocks.c
@@ -14,7 +14,7 @@
 
     for (uint64_t i = 0; i < 16; i++) {
         GwAddress a = {.v6 = i % 2 == 1, .bits = i * 0x1111111111111111ULL};
-        g_assert(GwBlockMap_Find(map, a) == GwBlockMap_FindPlain(map, a));
+        g_assert(GwBlockMap_Find(map, a) == GwBlockMap_FindUnindexed(map, a));
     }
     GwBlockMap_Free(map);
 }
--- a/fuzz/fuzz_codec.c
+++ b/fuzz/fuzz_codec.c
@@ -19,8 +19,8 @@
         return 0;
     }
     uint8_t *frame = GwCodec_Frame(&first, &len);
-    if (GwResult_IsError(GwCodec_Parse(frame + GW_FRAME_HEAD,
-                                       len - GW_FRAME_HEAD, &second))) {
+    if (GwResult_IsError(GwCodec_Parse(frame + GW_FRAME_HEADER_LEN,
+                                       len - GW_FRAME_HEADER_LEN, &second))) {
         abort();
     }
     uint8_t *again = GwCodec_Frame(&second, &again_len);
--- a/lib/admin/ctl_entry.c
+++ b/lib/admin/ctl_entry.c
@@ -16,28 +16,32 @@
 {
     struct json_object *members = json_object_object_get(status, "members");
 
-    printf(
-        "%s  region %s  failure domain %s\n"
-        "%s, version %" PRId64 ", %" PRId64 " open requests, %" PRId64
-        " servers\n"
-        "servers updated %" PRId64 " ms ago%s%s; peers' loads at most "
-        "%" PRId64 " ms old\nmembers, %" PRId64 " of them live:\n",
-        GwJson_Text(status, "name"), GwJson_Text(status, "region"),
-        GwJson_Text(status, "failure_domain"), GwJson_Text(status, "state"),
-        GwJson_Number(status, "config_version"),
-        GwJson_Number(status, "open_calls"), GwJson_Number(status, "servers"),
-        GwJson_Number(status, "news_ms_ago"),
-        GwJson_Number(status, "reads_store") ? ", from the store"
-                                             : ", from a peer",
-        GwJson_Number(status, "store_was_away") ? ", which was unavailable"
-                                                : "",
-        GwJson_Number(status, "loads_ms_ago"), GwJson_Number(status, "live"));
+    printf("%s  region %s  failure domain %s\n"
+           "%s, version %" PRId64 ", %" PRId64 " open requests, %" PRId64
+           " servers\n"
+           "servers updated %" PRId64 " ms ago%s%s; peers' loads at most "
+           "%" PRId64 " ms old\nmembers, %" PRId64 " of them live:\n",
+           GwJson_GetText(status, "name"), GwJson_GetText(status, "region"),
+           GwJson_GetText(status, "failure_domain"),
+           GwJson_GetText(status, "state"),
+           GwJson_GetInt64(status, "config_version"),
+           GwJson_GetInt64(status, "open_calls"),
+           GwJson_GetInt64(status, "servers"),
+           GwJson_GetInt64(status, "news_ms_ago"),
+           GwJson_GetInt64(status, "reads_store") ? ", from the store"
+                                                  : ", from a peer",
+           GwJson_GetInt64(status, "store_was_away")
+               ? ", which was unavailable"
+               : "",
+           GwJson_GetInt64(status, "loads_ms_ago"),
+           GwJson_GetInt64(status, "live"));
     for (size_t i = 0; i < json_object_array_length(members); i++) {
         struct json_object *item = json_object_array_get_idx(members, i);
         printf("  %-28s %-12s last message %" PRId64 " ms ago%s\n",
-               GwJson_Text(item, "name"), GwJson_Text(item, "state"),
-               GwJson_Number(item, "heard_ms_ago"),
-               GwJson_Number(item, "reads_store") ? "  reads the store" : "");
+               GwJson_GetText(item, "name"), GwJson_GetText(item, "state"),
+               GwJson_GetInt64(item, "heard_ms_ago"),
+               GwJson_GetInt64(item, "reads_store") ? "  reads the store"
+                                                    : "");
     }
 }
 
@@ -65,8 +69,8 @@
 static int64_t
 total_in_flight(struct json_object *server)
 {
-    return GwJson_Number(server, "in_flight") +
-           GwJson_Number(server, "peers_in_flight");
+    return GwJson_GetInt64(server, "in_flight") +
+           GwJson_GetInt64(server, "peers_in_flight");
 }
 
 /* Orders servers by `ejected_ms`, then by requests in flight, descending. */
@@ -76,7 +80,7 @@
     struct json_object *x = *(struct json_object *const *)a;
     struct json_object *y = *(struct json_object *const *)b;
     int64_t ejected =
-        GwJson_Number(y, "ejected_ms") - GwJson_Number(x, "ejected_ms");
+        GwJson_GetInt64(y, "ejected_ms") - GwJson_GetInt64(x, "ejected_ms");
     int64_t load = total_in_flight(y) - total_in_flight(x);
 
     if (ejected != 0) {
@@ -88,16 +92,17 @@
 static void
 show_server(struct json_object *s)
 {
-    printf("%-20s %-16s %-16s %5" PRId64 " %9" PRId64 " %6" PRId64 " %6" PRId64
-           " %7" PRId64 " %8" PRId64 " %s%s%s\n",
-           GwJson_Text(s, "id"), GwJson_Text(s, "service"),
-           GwJson_Text(s, "failure_domain"), GwJson_Number(s, "slots"),
-           GwJson_Number(s, "in_flight"), GwJson_Number(s, "peers_in_flight"),
-           GwJson_Number(s, "busy_percent"), GwJson_Number(s, "slow_percent"),
-           GwJson_Number(s, "ejected_ms"),
-           GwJson_Number(s, "draining") ? "draining " : "",
-           GwJson_Number(s, "cold") ? "cold " : "",
-           json_object_object_get(s, "limit_per_s") != NULL ? "limited" : "");
+    printf(
+        "%-20s %-16s %-16s %5" PRId64 " %9" PRId64 " %6" PRId64 " %6" PRId64
+        " %7" PRId64 " %8" PRId64 " %s%s%s\n",
+        GwJson_GetText(s, "id"), GwJson_GetText(s, "service"),
+        GwJson_GetText(s, "failure_domain"), GwJson_GetInt64(s, "slots"),
+        GwJson_GetInt64(s, "in_flight"), GwJson_GetInt64(s, "peers_in_flight"),
+        GwJson_GetInt64(s, "busy_percent"), GwJson_GetInt64(s, "slow_percent"),
+        GwJson_GetInt64(s, "ejected_ms"),
+        GwJson_GetInt64(s, "draining") ? "draining " : "",
+        GwJson_GetInt64(s, "cold") ? "cold " : "",
+        json_object_object_get(s, "limit_per_s") != NULL ? "limited" : "");
 }
 
 static void
@@ -159,9 +164,10 @@
     for (size_t i = 0; i < json_object_array_length(suspects); i++) {
         struct json_object *s = json_object_array_get_idx(suspects, i);
         printf("%-32s %-8s %7" PRId64 " %10" PRId64 " %10" PRId64 "\n",
-               GwJson_Text(s, "fingerprint"), GwJson_Text(s, "state"),
-               GwJson_Number(s, "crashes"), GwJson_Number(s, "age_ms") / 1000,
-               GwJson_Number(s, "held_ms") / 1000);
+               GwJson_GetText(s, "fingerprint"), GwJson_GetText(s, "state"),
+               GwJson_GetInt64(s, "crashes"),
+               GwJson_GetInt64(s, "age_ms") / 1000,
+               GwJson_GetInt64(s, "held_ms") / 1000);
     }
 }
 
--- a/lib/admin/ctl_status.c
+++ b/lib/admin/ctl_status.c
@@ -64,8 +64,8 @@
     json_object_array_add(all, copy_member(status));
     for (size_t i = 0; i < count; i++) {
         struct json_object *item = json_object_array_get_idx(known, i);
-        if (strcmp(GwJson_Text(item, "name"), GwJson_Text(status, "name")) !=
-            0) {
+        if (strcmp(GwJson_GetText(item, "name"),
+                   GwJson_GetText(status, "name")) != 0) {
             json_object_array_add(all, copy_member(item));
         }
     }
@@ -77,7 +77,7 @@
 static bool
 is_live(struct json_object *member)
 {
-    const char *state = GwJson_Text(member, "state");
+    const char *state = GwJson_GetText(member, "state");
     return strcmp(state, "dead") != 0;
 }
 
@@ -136,8 +136,8 @@
 show_member(struct json_object *member)
 {
     struct json_object *heard = json_object_object_get(member, "heard_ms_ago");
-    printf("  %-24s %-9s version %" PRIu64, GwJson_Text(member, "name"),
-           GwJson_Text(member, "state"), version_of(member));
+    printf("  %-24s %-9s version %" PRIu64, GwJson_GetText(member, "name"),
+           GwJson_GetText(member, "state"), version_of(member));
     if (heard != NULL) {
         printf("  last message %" PRIu64 " ms ago",
                json_object_get_uint64(heard));
@@ -152,15 +152,16 @@
     struct json_object *lowest = json_object_object_get(status, "slowest");
     printf("%s  region %s  failure domain %s\n%s, version %" PRIu64
            ", %s open calls\nmembers, %s of them live:\n",
-           GwJson_Text(status, "name"), GwJson_Text(status, "region"),
-           GwJson_Text(status, "failure_domain"), GwJson_Text(status, "state"),
-           version_of(status), GwJson_Text(status, "open_calls"),
-           GwJson_Text(status, "live"));
+           GwJson_GetText(status, "name"), GwJson_GetText(status, "region"),
+           GwJson_GetText(status, "failure_domain"),
+           GwJson_GetText(status, "state"), version_of(status),
+           GwJson_GetText(status, "open_calls"),
+           GwJson_GetText(status, "live"));
     for (size_t i = 0; i < json_object_array_length(members); i++) {
         show_member(json_object_array_get_idx(members, i));
     }
-    printf("slowest: %s at version %" PRIu64 "\n", GwJson_Text(lowest, "name"),
-           version_of(lowest));
+    printf("slowest: %s at version %" PRIu64 "\n",
+           GwJson_GetText(lowest, "name"), version_of(lowest));
 }
 
 GwCtlExit
@@ -203,12 +204,12 @@
             (void)fprintf(stderr,
                           "in force: version %" PRIu64 " at %s live members "
                           "after %" PRId64 " ms; slowest %s\n",
-                          version, GwJson_Text(status, "live"),
+                          version, GwJson_GetText(status, "live"),
                           (g_get_monotonic_time() - begin) / 1000, slow);
             json_object_put(status);
             return GW_CTL_OK;
         }
-        g_strlcpy(slow, GwJson_Text(lowest, "name"), sizeof(slow));
+        g_strlcpy(slow, GwJson_GetText(lowest, "name"), sizeof(slow));
         json_object_put(status);
         g_usleep(POLL_INTERVAL_US);
     }
--- a/lib/admin/history.c
+++ b/lib/admin/history.c
@@ -149,9 +149,9 @@
     Gw__Admin__HistoryEntry *entry = g_new0(Gw__Admin__HistoryEntry, 1);
     gw__admin__history_entry__init(entry);
     entry->version = version;
-    entry->operator_name = g_strdup(GwJson_Text(object, "operator"));
-    entry->request_id = g_strdup(GwJson_Text(object, "request_id"));
-    entry->what = g_strdup(GwJson_Text(object, "what"));
+    entry->operator_name = g_strdup(GwJson_GetText(object, "operator"));
+    entry->request_id = g_strdup(GwJson_GetText(object, "request_id"));
+    entry->what = g_strdup(GwJson_GetText(object, "what"));
     entry->when_ms =
         json_object_get_int64(json_object_object_get(object, "when_ms"));
     json_object_put(object);
--- a/lib/blocks/blocks.h
+++ b/lib/blocks/blocks.h
@@ -82,10 +82,10 @@
 uint16_t GwBlockMap_Find(const GwBlockMap *map, GwAddress address);
 /* Same result by binary search over all ranges, without the index. The
  * baseline of bench/blocks.c. */
-uint16_t GwBlockMap_FindPlain(const GwBlockMap *map, GwAddress address);
+uint16_t GwBlockMap_FindUnindexed(const GwBlockMap *map, GwAddress address);
 /* Memory of the map in bytes, index included. */
 size_t GwBlockMap_Bytes(const GwBlockMap *map);
-uint32_t GwBlockMap_Ranges(const GwBlockMap *map);
+uint32_t GwBlockMap_RangeCount(const GwBlockMap *map);
 uint64_t GwBlockMap_Version(const GwBlockMap *map);
 
 #endif
--- a/lib/blocks/map.c
+++ b/lib/blocks/map.c
@@ -193,7 +193,7 @@
 }
 
 uint16_t
-GwBlockMap_FindPlain(const GwBlockMap *map, GwAddress address)
+GwBlockMap_FindUnindexed(const GwBlockMap *map, GwAddress address)
 {
     const RangeTable *table = address.v6 ? &map->v6 : &map->v4;
     uint32_t at = last_at_or_below(table, 0, table->count - 1, address.bits);
@@ -214,7 +214,7 @@
 }
 
 uint32_t
-GwBlockMap_Ranges(const GwBlockMap *map)
+GwBlockMap_RangeCount(const GwBlockMap *map)
 {
     return map->v4.count + map->v6.count;
 }
--- a/lib/common/fingerprint.c
+++ b/lib/common/fingerprint.c
@@ -18,7 +18,7 @@
 }
 
 GwFingerprint
-GwFingerprint_Make(const GwFingerprintParts *parts)
+GwFingerprint_Compute(const GwFingerprintParts *parts)
 {
     GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
     guint8 digest[32];
@@ -57,14 +57,15 @@
 }
 
 void
-GwFingerprint_Write(const GwFingerprint *f, char text[GW_FINGERPRINT_TEXT])
+GwFingerprint_Format(const GwFingerprint *f,
+                     char text[GW_FINGERPRINT_TEXT_SIZE])
 {
-    g_snprintf(text, GW_FINGERPRINT_TEXT, "%016" PRIx64 "%016" PRIx64, f->hi,
-               f->lo);
+    g_snprintf(text, GW_FINGERPRINT_TEXT_SIZE, "%016" PRIx64 "%016" PRIx64,
+               f->hi, f->lo);
 }
 
 bool
-GwFingerprint_Read(const char *text, GwFingerprint *out)
+GwFingerprint_Parse(const char *text, GwFingerprint *out)
 {
     char half[HALF_DIGITS + 1];
 
--- a/lib/common/fingerprint.h
+++ b/lib/common/fingerprint.h
@@ -25,17 +25,17 @@
     size_t body_len;
 } GwFingerprintParts;
 
-GwFingerprint GwFingerprint_Make(const GwFingerprintParts *parts);
+GwFingerprint GwFingerprint_Compute(const GwFingerprintParts *parts);
 bool GwFingerprint_Equal(const GwFingerprint *a, const GwFingerprint *b);
 /* Hash and equality functions for a GHashTable keyed by GwFingerprint. */
 guint GwFingerprint_Hash(gconstpointer fingerprint);
 gboolean GwFingerprint_EqualKeys(gconstpointer a, gconstpointer b);
 
 /* Buffer size of the text form: 32 hexadecimal digits and a NUL. */
-#define GW_FINGERPRINT_TEXT 33
-void GwFingerprint_Write(const GwFingerprint *f,
-                         char text[GW_FINGERPRINT_TEXT]);
+#define GW_FINGERPRINT_TEXT_SIZE 33
+void GwFingerprint_Format(const GwFingerprint *f,
+                          char text[GW_FINGERPRINT_TEXT_SIZE]);
 /* Returns false unless the text is exactly 32 hexadecimal digits. */
-bool GwFingerprint_Read(const char *text, GwFingerprint *out);
+bool GwFingerprint_Parse(const char *text, GwFingerprint *out);
 
 #endif
--- a/lib/common/heap.c
+++ b/lib/common/heap.c
@@ -63,12 +63,12 @@
     sift_up(heap, i);
 }
 
-/* Removes the item at *position and sets *position to GW_HEAP_OUT. Does
+/* Removes the item at *position and sets *position to GW_HEAP_ABSENT. Does
  * nothing for an item that is in no heap. */
 void
 GwHeap_Remove(GwHeap *heap, uint32_t *position)
 {
-    if (*position == GW_HEAP_OUT) {
+    if (*position == GW_HEAP_ABSENT) {
         return;
     }
     uint32_t i = *position;
@@ -79,12 +79,12 @@
         sift_up(heap, i);
         sift_down(heap, i);
     }
-    *position = GW_HEAP_OUT;
+    *position = GW_HEAP_ABSENT;
 }
 
 /* Changes the key of the item at *position. */
 void
-GwHeap_Move(GwHeap *heap, uint32_t *position, int64_t key)
+GwHeap_SetKey(GwHeap *heap, uint32_t *position, int64_t key)
 {
     assert(*position < heap->count);
     heap->slots[*position].key = key;
--- a/lib/common/heap.h
+++ b/lib/common/heap.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define GW_HEAP_OUT UINT32_MAX /* position of an item that is in no heap */
+#define GW_HEAP_ABSENT UINT32_MAX /* position of an item that is in no heap */
 
 typedef struct {
     int64_t key;
@@ -23,7 +23,7 @@
 
 void GwHeap_Push(GwHeap *heap, int64_t key, void *item, uint32_t *position);
 void GwHeap_Remove(GwHeap *heap, uint32_t *position);
-void GwHeap_Move(GwHeap *heap, uint32_t *position, int64_t key);
+void GwHeap_SetKey(GwHeap *heap, uint32_t *position, int64_t key);
 /* The item with the smallest key; NULL when the heap is empty. */
 void *GwHeap_Top(const GwHeap *heap);
 int64_t GwHeap_TopKey(const GwHeap *heap);
--- a/lib/common/json.c
+++ b/lib/common/json.c
@@ -21,7 +21,7 @@
 }
 
 const char *
-GwJson_Text(struct json_object *object, const char *key)
+GwJson_GetText(struct json_object *object, const char *key)
 {
     const char *text =
         json_object_get_string(json_object_object_get(object, key));
@@ -30,7 +30,7 @@
 }
 
 int64_t
-GwJson_Number(struct json_object *object, const char *key)
+GwJson_GetInt64(struct json_object *object, const char *key)
 {
     return json_object_get_int64(json_object_object_get(object, key));
 }
--- a/lib/common/json.h
+++ b/lib/common/json.h
@@ -15,8 +15,8 @@
 
 /* The member as text, "" when absent; valid until the object changes or is
  * freed. */
-const char *GwJson_Text(struct json_object *object, const char *key);
+const char *GwJson_GetText(struct json_object *object, const char *key);
 /* The member as an integer, 0 when absent. */
-int64_t GwJson_Number(struct json_object *object, const char *key);
+int64_t GwJson_GetInt64(struct json_object *object, const char *key);
 
 #endif
--- a/lib/common/log.c
+++ b/lib/common/log.c
@@ -117,7 +117,7 @@
 }
 
 uint64_t
-GwLog_Dropped(void)
+GwLog_DroppedCount(void)
 {
     return ring.dropped_total;
 }
--- a/lib/common/log.h
+++ b/lib/common/log.h
@@ -13,7 +13,7 @@
 int GwLog_StartBuffered(const char *level);
 void GwLog_Flush(void);
 /* Number of lines dropped since the start because the buffer was full. */
-uint64_t GwLog_Dropped(void);
+uint64_t GwLog_DroppedCount(void);
 void GwLog_Stop(void);
 /* Writes a line such as `event=200 name=CONFIG_IN_FORCE ` followed by the
  * formatted key=value text. */
--- a/lib/edge/callers.c
+++ b/lib/edge/callers.c
@@ -183,7 +183,7 @@
     };
 
     if (!x->has_fingerprint) {
-        x->fingerprint = GwFingerprint_Make(&parts);
+        x->fingerprint = GwFingerprint_Compute(&parts);
         x->has_fingerprint = true;
     }
     return &x->fingerprint;
--- a/lib/edge/control.c
+++ b/lib/edge/control.c
@@ -99,7 +99,7 @@
     char *text = query_parameter(target, "fingerprint");
     GwFingerprint f;
 
-    if (text == NULL || !GwFingerprint_Read(text, &f)) {
+    if (text == NULL || !GwFingerprint_Parse(text, &f)) {
         send_answer(client, 400, "text/plain",
                     "fingerprint must be 32 hexadecimal digits\n");
     }
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -43,8 +43,8 @@
     char more[96] = "";
 
     if (why == GW_REPLY_QUARANTINED) {
-        char text[GW_FINGERPRINT_TEXT];
-        GwFingerprint_Write(&x->fingerprint, text);
+        char text[GW_FINGERPRINT_TEXT_SIZE];
+        GwFingerprint_Format(&x->fingerprint, text);
         g_snprintf(more, sizeof(more), " fingerprint=%s", text);
     }
     else if (request_summary->best[0] != '\0') {
@@ -115,14 +115,14 @@
     GwLogEvent event = state == GW_SUSPECT_QUARANTINED ? GW_LOG_REQUEST_HELD
                        : state == GW_SUSPECT_WATCHED   ? GW_LOG_REQUEST_SUSPECT
                                                      : GW_LOG_REQUEST_CLEARED;
-    char text[GW_FINGERPRINT_TEXT];
+    char text[GW_FINGERPRINT_TEXT_SIZE];
     GwEdge *edge = ctx;
 
     if ((state == GW_SUSPECT_QUARANTINED || old == GW_SUSPECT_QUARANTINED) &&
         GwPeers_IsWriterOf(edge->peers, suspect->fingerprint.lo)) {
         GwQuarantineRows_Write(edge->quarantine_rows, suspect);
     }
-    GwFingerprint_Write(&suspect->fingerprint, text);
+    GwFingerprint_Format(&suspect->fingerprint, text);
     GwLog_Event(event, "fingerprint=%s crashes=%u was=%s age_ms=%u", text,
                 suspect->server_count, GwSuspectState_Name(old),
                 suspect->age_ms);
--- a/lib/edge/quarantine_rows.c
+++ b/lib/edge/quarantine_rows.c
@@ -61,7 +61,7 @@
     int64_t age_s = 0;
 
     *out = (GwSuspect){.generation = 0};
-    bool ok = GwFingerprint_Read(key, &out->fingerprint) &&
+    bool ok = GwFingerprint_Parse(key, &out->fingerprint) &&
               g_strv_length(words) >= 3 &&
               sscanf(value, "%u %" SCNd64 " %u", &out->generation, &at_s,
                      &out->span_ms) == 3 &&
@@ -93,9 +93,9 @@
 write_row(GwQuarantineRows *rows, const GwSuspect *suspect)
 {
     const GwAdapter *a = rows->edge->adapter;
-    char key[GW_FINGERPRINT_TEXT];
+    char key[GW_FINGERPRINT_TEXT_SIZE];
 
-    GwFingerprint_Write(&suspect->fingerprint, key);
+    GwFingerprint_Format(&suspect->fingerprint, key);
     char *value = GwQuarantineRow_WriteValue(suspect, now_s());
     char *body = a->write_body(HELD_TABLE, key, value);
     GwConn_WritePost(rows->conn, a->write_target,
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -207,10 +207,10 @@
     const char *id = GwHttpMessage_Get(x->msg, edge->adapter->request_id);
     GwRequestSummary request_summary =
         GwRequest_Summarize(x->request, GwEdge_Now());
-    char text[GW_FINGERPRINT_TEXT] = "";
+    char text[GW_FINGERPRINT_TEXT_SIZE] = "";
 
     if (end->outcome == GW_ATTEMPT_LOST) {
-        GwFingerprint_Write(GwExchange_Fingerprint(x), text);
+        GwFingerprint_Format(GwExchange_Fingerprint(x), text);
     }
     GwLog_Event(GW_LOG_ATTEMPT_FAILED,
                 "request=%.40s server=%s outcome=%s status=%u after_ms=%u "
--- a/lib/edge/status.c
+++ b/lib/edge/status.c
@@ -96,7 +96,7 @@
     write_counter(out, "gw_reports_total", edge->counts.reports);
     write_counter(out, "gw_row_bytes_out_total", edge->counts.row_bytes_out);
     GwControlCost_Write(&edge->cost, out);
-    write_counter(out, "gw_log_dropped_total", GwLog_Dropped());
+    write_counter(out, "gw_log_dropped_total", GwLog_DroppedCount());
     write_counter(out, "gw_loop_busy_ms_total",
                   (uint64_t)turns.busy_us / 1000);
     write_counter(out, "gw_loop_turns_long_total", turns.count_long);
@@ -130,9 +130,9 @@
 {
     struct json_object *item = json_object_new_object();
     struct json_object *servers = json_object_new_array();
-    char text[GW_FINGERPRINT_TEXT];
+    char text[GW_FINGERPRINT_TEXT_SIZE];
 
-    GwFingerprint_Write(&suspect->fingerprint, text);
+    GwFingerprint_Format(&suspect->fingerprint, text);
     GwJson_SetText(item, "fingerprint", text);
     GwJson_SetText(item, "state", GwSuspectState_Name(state));
     GwJson_SetU64(item, "crashes", suspect->server_count);
@@ -140,7 +140,7 @@
     GwJson_SetU64(item, "held_ms",
                   (uint64_t)MAX(until_us - GwEdge_Now(), 0) / 1000);
     for (uint32_t i = 0; i < suspect->server_count; i++) {
-        char start[GW_FINGERPRINT_TEXT];
+        char start[GW_FINGERPRINT_TEXT_SIZE];
         g_snprintf(start, sizeof(start), "%016" PRIx64, suspect->servers[i]);
         json_object_array_add(servers, json_object_new_string(start));
     }
--- a/lib/entry/calls.c
+++ b/lib/entry/calls.c
@@ -54,7 +54,7 @@
     g_hash_table_iter_init(&iter, c->open);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GwCall *call = value;
-        if (call->queue_index != GW_HEAP_OUT) {
+        if (call->queue_index != GW_HEAP_ABSENT) {
             GwCalls_Dequeue(c, call);
             g_ptr_array_add(waiting, call);
         }
@@ -125,7 +125,7 @@
         else {
             call->state = GW_CALL_BACKOFF;
             call->due_us = now_us;
-            GwHeap_Move(&c->timers, &call->timer_index, now_us);
+            GwHeap_SetKey(&c->timers, &call->timer_index, now_us);
         }
     }
     g_ptr_array_free(waiting, TRUE);
@@ -188,8 +188,8 @@
     call->deadline_us =
         ev->deadline_us < latest_us ? ev->deadline_us : latest_us;
     call->due_us = call->deadline_us;
-    call->timer_index = GW_HEAP_OUT;
-    call->queue_index = GW_HEAP_OUT;
+    call->timer_index = GW_HEAP_ABSENT;
+    call->queue_index = GW_HEAP_ABSENT;
     g_hash_table_insert(c->open, &call->call, call);
     return call;
 }
--- a/lib/entry/calls_start.c
+++ b/lib/entry/calls_start.c
@@ -16,7 +16,7 @@
 void
 GwCalls_Enqueue(GwCalls *c, GwCall *call)
 {
-    assert(call->queue_index == GW_HEAP_OUT);
+    assert(call->queue_index == GW_HEAP_ABSENT);
     call->state = GW_CALL_WAITING;
     GwHeap_Push(find_queue(c, call), call->deadline_us, call,
                 &call->queue_index);
@@ -28,7 +28,7 @@
 void
 GwCalls_Dequeue(GwCalls *c, GwCall *call)
 {
-    if (call->queue_index == GW_HEAP_OUT) {
+    if (call->queue_index == GW_HEAP_ABSENT) {
         return;
     }
     GwHeap_Remove(find_queue(c, call), &call->queue_index);
@@ -104,11 +104,11 @@
         }
     }
     call->due_us = due;
-    if (call->timer_index == GW_HEAP_OUT) {
+    if (call->timer_index == GW_HEAP_ABSENT) {
         GwHeap_Push(&c->timers, due, call, &call->timer_index);
     }
     else {
-        GwHeap_Move(&c->timers, &call->timer_index, due);
+        GwHeap_SetKey(&c->timers, &call->timer_index, due);
     }
 }
 
--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -143,7 +143,7 @@
     req->state->open++;
     req->service =
         GwRouter_FindOrAddService(r, next_service(route, req->state));
-    req->deadline = GW_HEAP_OUT;
+    req->deadline = GW_HEAP_ABSENT;
     set_deadlines(req, now_us, arrival->left_us);
     if (arrival->key != NULL && route->has_key_affinity) {
         req->key = GwRouter_FindOrAddKey(r, now_us, route, req->service,
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -87,7 +87,7 @@
 {
     GwRequest_Dequeue(req);
     GwRequest_CancelProbeWait(r, req);
-    if (req->deadline != GW_HEAP_OUT) {
+    if (req->deadline != GW_HEAP_ABSENT) {
         GwHeap_Remove(&r->deadlines, &req->deadline);
     }
     (void)g_hash_table_remove(r->open, req);
@@ -159,11 +159,11 @@
 void
 GwRequest_SetDeadline(GwRouter *r, GwRequest *req, int64_t at_us)
 {
-    if (req->deadline == GW_HEAP_OUT) {
+    if (req->deadline == GW_HEAP_ABSENT) {
         GwHeap_Push(&r->deadlines, at_us, req, &req->deadline);
     }
     else {
-        GwHeap_Move(&r->deadlines, &req->deadline, at_us);
+        GwHeap_SetKey(&r->deadlines, &req->deadline, at_us);
     }
 }
 
--- a/lib/runtime/answer.c
+++ b/lib/runtime/answer.c
@@ -29,7 +29,7 @@
     GwAnswer *answer = g_new0(GwAnswer, 1);
     answer->refs = 1;
     answer->status = status;
-    g_strlcpy(answer->content_type, content_type, GW_TYPE_MAX);
+    g_strlcpy(answer->content_type, content_type, GW_CONTENT_TYPE_MAX);
     answer->body = body;
     answer->body_len = body_len;
     return answer;
--- a/lib/runtime/answer.h
+++ b/lib/runtime/answer.h
@@ -9,7 +9,7 @@
 typedef struct {
     int refs;
     uint32_t status;
-    char content_type[GW_TYPE_MAX];
+    char content_type[GW_CONTENT_TYPE_MAX];
     uint32_t body_len;
     uint8_t *body;
 } GwAnswer;
--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -248,13 +248,14 @@
     const char *deadline = mg_get_header(conn, "GW-Deadline-Ms");
 
     if (type != NULL &&
-        (g_strlcpy(request->content_type, type, GW_TYPE_MAX) >= GW_TYPE_MAX ||
+        (g_strlcpy(request->content_type, type, GW_CONTENT_TYPE_MAX) >=
+             GW_CONTENT_TYPE_MAX ||
          !GwText_IsHeaderValue(type))) {
         return false;
     }
     *deadline_ms = DEADLINE_DEFAULT_MS;
     return deadline == NULL ||
-           (parse_number(deadline, GW_DEADLINE_CAP, deadline_ms) &&
+           (parse_number(deadline, GW_DEADLINE_MAX_MS, deadline_ms) &&
             *deadline_ms > 0);
 }
 
--- a/lib/runtime/dispatch.c
+++ b/lib/runtime/dispatch.c
@@ -71,7 +71,7 @@
     bool has_load;
     uint32_t load;
     uint32_t retry_after_ms;
-    char content_type[GW_TYPE_MAX];
+    char content_type[GW_CONTENT_TYPE_MAX];
 } Response;
 
 static size_t
@@ -111,7 +111,7 @@
         response->has_framing |= g_ascii_strncasecmp(value, "chunked", 7) == 0;
     }
     else if ((value = header_value(line, "Content-Type")) != NULL) {
-        g_strlcpy(response->content_type, value, GW_TYPE_MAX);
+        g_strlcpy(response->content_type, value, GW_CONTENT_TYPE_MAX);
     }
     else if ((value = header_value(line, "GW-Refused")) != NULL) {
         response->is_refusal = strcmp(value, "not-run") == 0;
@@ -126,7 +126,7 @@
     }
     else if ((value = header_value(line, "GW-Retry-After-Ms")) != NULL) {
         uint64_t ms = g_ascii_strtoull(value, NULL, 10);
-        response->retry_after_ms = (uint32_t)MIN(ms, GW_DEADLINE_CAP);
+        response->retry_after_ms = (uint32_t)MIN(ms, GW_DEADLINE_MAX_MS);
     }
 }
 
@@ -161,7 +161,7 @@
 {
     struct curl_slist *headers = NULL;
     int64_t left_ms = MAX((request->deadline_us - now_us) / 1000, 1);
-    char line[GW_TYPE_MAX + 64];
+    char line[GW_CONTENT_TYPE_MAX + 64];
 
     headers = curl_slist_append(headers, "Expect:");
     headers = curl_slist_append(headers, "Accept:");
--- a/lib/runtime/link.c
+++ b/lib/runtime/link.c
@@ -248,12 +248,12 @@
 
     link->remote_hello = *hello;
     if (link->accepted) {
-        GwHandshake_Prove(key, GW_ROLE_ACCEPTOR, hello, &link->local_hello,
-                          proof.u.proof);
+        GwHandshake_ComputeProof(key, GW_ROLE_ACCEPTOR, hello,
+                                 &link->local_hello, proof.u.proof);
     }
     else {
-        GwHandshake_Prove(key, GW_ROLE_CONNECTOR, &link->local_hello, hello,
-                          proof.u.proof);
+        GwHandshake_ComputeProof(key, GW_ROLE_CONNECTOR, &link->local_hello,
+                                 hello, proof.u.proof);
     }
     push_urgent(link, &proof);
     link->state = LINK_PROOF;
@@ -267,13 +267,14 @@
     bool is_valid;
 
     if (link->accepted) {
-        is_valid =
-            GwHandshake_Check(key, GW_ROLE_CONNECTOR, &link->remote_hello,
-                              &link->local_hello, mac);
+        is_valid = GwHandshake_VerifyProof(key, GW_ROLE_CONNECTOR,
+                                           &link->remote_hello,
+                                           &link->local_hello, mac);
     }
     else {
-        is_valid = GwHandshake_Check(key, GW_ROLE_ACCEPTOR, &link->local_hello,
-                                     &link->remote_hello, mac);
+        is_valid =
+            GwHandshake_VerifyProof(key, GW_ROLE_ACCEPTOR, &link->local_hello,
+                                    &link->remote_hello, mac);
     }
     if (!is_valid) {
         atomic_fetch_add(&net->refused, 1);
--- a/lib/runtime/relay.c
+++ b/lib/runtime/relay.c
@@ -96,7 +96,7 @@
     int64_t left_ms = (call->deadline_us - GwNet_NowUs()) / 1000;
     envelope.u.call.id = id;
     envelope.u.call.deadline_left_ms =
-        (uint32_t)CLAMP(left_ms, 0, GW_DEADLINE_CAP);
+        (uint32_t)CLAMP(left_ms, 0, GW_DEADLINE_MAX_MS);
     envelope.u.call.to_owner = action->to_owner;
     envelope.u.call.grant = action->grant;
     return GwCodec_Frame(&envelope, len);
@@ -348,7 +348,8 @@
         reply.status = call->answer->status;
         reply.body = call->answer->body;
         reply.body_len = call->answer->body_len;
-        g_strlcpy(reply.content_type, call->answer->content_type, GW_TYPE_MAX);
+        g_strlcpy(reply.content_type, call->answer->content_type,
+                  GW_CONTENT_TYPE_MAX);
     }
     return reply;
 }
--- a/lib/wire/codec.c
+++ b/lib/wire/codec.c
@@ -80,10 +80,10 @@
 GwCodec_PackFrame(const Gw__Inner__Envelope *pb, size_t *len)
 {
     size_t size = gw__inner__envelope__get_packed_size(pb);
-    uint8_t *frame = g_malloc(GW_FRAME_HEAD + size);
-    GwFrame_PutHead(frame, (uint32_t)size);
-    gw__inner__envelope__pack(pb, frame + GW_FRAME_HEAD);
-    *len = GW_FRAME_HEAD + size;
+    uint8_t *frame = g_malloc(GW_FRAME_HEADER_LEN + size);
+    GwFrame_WriteHeader(frame, (uint32_t)size);
+    gw__inner__envelope__pack(pb, frame + GW_FRAME_HEADER_LEN);
+    *len = GW_FRAME_HEADER_LEN + size;
     return frame;
 }
 
@@ -252,13 +252,14 @@
     if (!GwCodec_GetText(pb->service, call->service, GW_NAME_MAX) ||
         !GwCodec_GetText(pb->method, call->method, sizeof(call->method)) ||
         !GwCodec_GetText(pb->path, call->target, GW_TARGET_MAX) ||
-        !GwCodec_GetText(pb->content_type, call->content_type, GW_TYPE_MAX) ||
+        !GwCodec_GetText(pb->content_type, call->content_type,
+                         GW_CONTENT_TYPE_MAX) ||
         !get_ticket(pb->ticket, &call->ticket)) {
         return false;
     }
     if (!GwText_IsMethod(call->method) || !GwText_IsTarget(call->target) ||
         !GwText_IsHeaderValue(call->content_type) ||
-        pb->deadline_left_ms > GW_DEADLINE_CAP) {
+        pb->deadline_left_ms > GW_DEADLINE_MAX_MS) {
         return false;
     }
     call->id = pb->id;
@@ -281,7 +282,8 @@
     if (pb->outcome < GW_OUTCOME_ANSWERED ||
         pb->outcome > GW_OUTCOME_UNKNOWN || !is_reason(pb->reason) ||
         pb->status > 599 || !get_ticket(pb->ticket, &reply->ticket) ||
-        !GwCodec_GetText(pb->content_type, reply->content_type, GW_TYPE_MAX) ||
+        !GwCodec_GetText(pb->content_type, reply->content_type,
+                         GW_CONTENT_TYPE_MAX) ||
         !GwText_IsHeaderValue(reply->content_type)) {
         return false;
     }
--- a/lib/wire/codec.h
+++ b/lib/wire/codec.h
@@ -6,12 +6,12 @@
 
 #include "godwitridge.h"
 
-#define GW_BODY_MAX     65536
-#define GW_TYPE_MAX     96
-#define GW_TARGET_MAX   1024
-#define GW_NONCE_LEN    32
-#define GW_MAC_LEN      32
-#define GW_DEADLINE_CAP 3600000 /* ms; longest deadline of a call */
+#define GW_BODY_MAX         65536
+#define GW_CONTENT_TYPE_MAX 96
+#define GW_TARGET_MAX       1024
+#define GW_NONCE_LEN        32
+#define GW_MAC_LEN          32
+#define GW_DEADLINE_MAX_MS  3600000 /* ms; longest deadline of a call */
 
 typedef struct {
     uint64_t id; /* assigned by the sender */
@@ -22,7 +22,7 @@
     uint32_t deadline_left_ms;
     bool to_owner;
     uint64_t grant;
-    char content_type[GW_TYPE_MAX];
+    char content_type[GW_CONTENT_TYPE_MAX];
     uint32_t body_len;
     uint8_t *body;
 } GwCallRequest;
@@ -33,7 +33,7 @@
     GwReason reason;
     uint32_t retry_after_ms;
     uint32_t status;
-    char content_type[GW_TYPE_MAX];
+    char content_type[GW_CONTENT_TYPE_MAX];
     uint32_t body_len;
     uint8_t *body;
     GwTicket ticket;
--- a/lib/wire/frame.c
+++ b/lib/wire/frame.c
@@ -38,7 +38,7 @@
 GwFrame_Next(GwFrameDecoder *d, const uint8_t **payload, uint32_t *len)
 {
     size_t available = d->len - d->start;
-    if (available < GW_FRAME_HEAD) {
+    if (available < GW_FRAME_HEADER_LEN) {
         return 0;
     }
     const uint8_t *header = d->bytes + d->start;
@@ -48,12 +48,12 @@
     if (payload_len > GW_FRAME_MAX) {
         return GW_ERR(TOO_LARGE);
     }
-    if (available - GW_FRAME_HEAD < payload_len) {
+    if (available - GW_FRAME_HEADER_LEN < payload_len) {
         return 0;
     }
-    *payload = header + GW_FRAME_HEAD;
+    *payload = header + GW_FRAME_HEADER_LEN;
     *len = payload_len;
-    d->start += GW_FRAME_HEAD + payload_len;
+    d->start += GW_FRAME_HEADER_LEN + payload_len;
     return 1;
 }
 
@@ -66,7 +66,7 @@
 }
 
 void
-GwFrame_PutHead(uint8_t out[GW_FRAME_HEAD], uint32_t len)
+GwFrame_WriteHeader(uint8_t out[GW_FRAME_HEADER_LEN], uint32_t len)
 {
     out[0] = (uint8_t)(len >> 24);
     out[1] = (uint8_t)(len >> 16);
--- a/lib/wire/frame.h
+++ b/lib/wire/frame.h
@@ -7,8 +7,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define GW_FRAME_HEAD 4          /* bytes of the header */
-#define GW_FRAME_MAX  (2u << 20) /* bytes of the payload */
+#define GW_FRAME_HEADER_LEN 4          /* bytes of the header */
+#define GW_FRAME_MAX        (2u << 20) /* bytes of the payload */
 
 /* Buffers received bytes until a frame is complete. Starts
  * zero-initialised. */
@@ -29,6 +29,6 @@
                       uint32_t *len);
 void GwFrame_Free(GwFrameDecoder *d);
 /* Writes the header of a frame with `len` bytes of payload. */
-void GwFrame_PutHead(uint8_t out[GW_FRAME_HEAD], uint32_t len);
+void GwFrame_WriteHeader(uint8_t out[GW_FRAME_HEADER_LEN], uint32_t len);
 
 #endif
--- a/lib/wire/handshake.c
+++ b/lib/wire/handshake.c
@@ -19,8 +19,9 @@
 }
 
 void
-GwHandshake_Prove(GwKey key, GwRole prover, const GwHello *connector,
-                  const GwHello *acceptor, uint8_t mac[GW_MAC_LEN])
+GwHandshake_ComputeProof(GwKey key, GwHandshakeRole prover,
+                         const GwHello *connector, const GwHello *acceptor,
+                         uint8_t mac[GW_MAC_LEN])
 {
     GHmac *hmac = g_hmac_new(G_CHECKSUM_SHA256, key.bytes, key.len);
     guchar role = (guchar)prover;
@@ -34,13 +35,14 @@
 }
 
 bool
-GwHandshake_Check(GwKey key, GwRole prover, const GwHello *connector,
-                  const GwHello *acceptor, const uint8_t mac[GW_MAC_LEN])
+GwHandshake_VerifyProof(GwKey key, GwHandshakeRole prover,
+                        const GwHello *connector, const GwHello *acceptor,
+                        const uint8_t mac[GW_MAC_LEN])
 {
     uint8_t expected[GW_MAC_LEN];
     uint8_t diff = 0;
 
-    GwHandshake_Prove(key, prover, connector, acceptor, expected);
+    GwHandshake_ComputeProof(key, prover, connector, acceptor, expected);
     for (uint32_t i = 0; i < GW_MAC_LEN; i++) {
         diff |= expected[i] ^ mac[i];
     }
--- a/lib/wire/handshake.h
+++ b/lib/wire/handshake.h
@@ -6,7 +6,10 @@
 #include "wire/codec.h"
 
 /* The side that proves: the one that connected or the one that accepted. */
-typedef enum { GW_ROLE_CONNECTOR = 'C', GW_ROLE_ACCEPTOR = 'A' } GwRole;
+typedef enum {
+    GW_ROLE_CONNECTOR = 'C',
+    GW_ROLE_ACCEPTOR = 'A'
+} GwHandshakeRole;
 
 typedef struct {
     const uint8_t *bytes;
@@ -17,10 +20,13 @@
  * region and failure domain). The nonces make a recorded proof invalid on any
  * other connection (replay); the role prevents a proof from being sent back to
  * its prover (reflection). */
-void GwHandshake_Prove(GwKey key, GwRole prover, const GwHello *connector,
-                       const GwHello *acceptor, uint8_t mac[GW_MAC_LEN]);
+void GwHandshake_ComputeProof(GwKey key, GwHandshakeRole prover,
+                              const GwHello *connector,
+                              const GwHello *acceptor,
+                              uint8_t mac[GW_MAC_LEN]);
 /* Whether `mac` is the prover's proof. Compares in constant time. */
-bool GwHandshake_Check(GwKey key, GwRole prover, const GwHello *connector,
-                       const GwHello *acceptor, const uint8_t mac[GW_MAC_LEN]);
+bool GwHandshake_VerifyProof(GwKey key, GwHandshakeRole prover,
+                             const GwHello *connector, const GwHello *acceptor,
+                             const uint8_t mac[GW_MAC_LEN]);
 
 #endif
--- a/tests/fakes/fleet.c
+++ b/tests/fakes/fleet.c
@@ -28,7 +28,7 @@
 {
     Event *e = g_new0(Event, 1);
 
-    *e = (Event){.kind = kind, .subject = subject, .place = GW_HEAP_OUT};
+    *e = (Event){.kind = kind, .subject = subject, .place = GW_HEAP_ABSENT};
     GwHeap_Push(&f->events, when_us, e, &e->place);
 }
 
--- a/tests/fakes/outages.c
+++ b/tests/fakes/outages.c
@@ -23,7 +23,7 @@
 {
     Event *e = g_new0(Event, 1);
 
-    *e = (Event){.kind = kind, .subject = subject, .place = GW_HEAP_OUT};
+    *e = (Event){.kind = kind, .subject = subject, .place = GW_HEAP_ABSENT};
     GwHeap_Push(&w->events, MAX(when_us, w->now_us), e, &e->place);
 }
 
--- a/tests/property/estimate.cpp
+++ b/tests/property/estimate.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 struct Item {
-    uint32_t place = GW_HEAP_OUT;
+    uint32_t place = GW_HEAP_ABSENT;
     int64_t key = 0;
 };
 
@@ -30,24 +30,24 @@
 
     for (const auto &one : steps) {
         Item &item = items[one.first % 16];
-        bool in = item.place != GW_HEAP_OUT;
+        bool in = item.place != GW_HEAP_ABSENT;
         if (!in) {
             item.key = one.second;
             GwHeap_Push(&heap, item.key, &item, &item.place);
         }
         else if (one.first < 128) {
             item.key = one.second;
-            GwHeap_Move(&heap, &item.place, item.key);
+            GwHeap_SetKey(&heap, &item.place, item.key);
         }
         else {
             GwHeap_Remove(&heap, &item.place);
-            RC_ASSERT(item.place == GW_HEAP_OUT);
+            RC_ASSERT(item.place == GW_HEAP_ABSENT);
         }
         int64_t least = INT64_MAX;
         uint32_t count = 0;
         for (const Item &i : items) {
-            least = i.place != GW_HEAP_OUT ? std::min(least, i.key) : least;
-            count += i.place != GW_HEAP_OUT;
+            least = i.place != GW_HEAP_ABSENT ? std::min(least, i.key) : least;
+            count += i.place != GW_HEAP_ABSENT;
         }
         RC_ASSERT(heap.count == count);
         RC_ASSERT(GwHeap_TopKey(&heap) == least);
--- a/tests/unit/test_blocks.c
+++ b/tests/unit/test_blocks.c
@@ -121,7 +121,7 @@
                                    (uint64_t)GwRng_Below(&rng, 8) << 32};
             uint16_t expected = find_by_scan(blocks, count, a);
             cr_assert_eq(GwBlockMap_Find(map, a), expected);
-            cr_assert_eq(GwBlockMap_FindPlain(map, a), expected);
+            cr_assert_eq(GwBlockMap_FindUnindexed(map, a), expected);
         }
         GwBlockMap_Free(map);
         GwBlockSet_Free(set);
--- a/tests/unit/test_codec.c
+++ b/tests/unit/test_codec.c
@@ -17,8 +17,8 @@
     GwEnvelope out;
     size_t len;
     uint8_t *frame = GwCodec_Frame(&in, &len);
-    GwResult r =
-        GwCodec_Parse(frame + GW_FRAME_HEAD, len - GW_FRAME_HEAD, &out);
+    GwResult r = GwCodec_Parse(frame + GW_FRAME_HEADER_LEN,
+                               len - GW_FRAME_HEADER_LEN, &out);
     cr_assert_eq(r, 0, "kind %d: %d", msg->kind, (int)r);
     cr_assert_eq(out.kind, GW_ENVELOPE_CONTROL);
     g_free(frame);
@@ -133,8 +133,8 @@
     GwEnvelope out;
     size_t len;
     uint8_t *frame = GwCodec_Frame(&in, &len);
-    GwResult r =
-        GwCodec_Parse(frame + GW_FRAME_HEAD, len - GW_FRAME_HEAD, &out);
+    GwResult r = GwCodec_Parse(frame + GW_FRAME_HEADER_LEN,
+                               len - GW_FRAME_HEADER_LEN, &out);
     g_free(frame);
     GwEnvelope_Clear(&out);
     return r;
@@ -199,10 +199,10 @@
  * split. */
 Test(frame, frames_may_be_split_anywhere)
 {
-    uint8_t bytes[2 * GW_FRAME_HEAD + 8];
-    GwFrame_PutHead(bytes, 3);
+    uint8_t bytes[2 * GW_FRAME_HEADER_LEN + 8];
+    GwFrame_WriteHeader(bytes, 3);
     memcpy(bytes + 4, "abc", 3);
-    GwFrame_PutHead(bytes + 7, 5);
+    GwFrame_WriteHeader(bytes + 7, 5);
     memcpy(bytes + 11, "defgh", 5);
 
     for (size_t cut = 0; cut <= sizeof(bytes); cut++) {
@@ -227,11 +227,11 @@
 Test(frame, too_large_a_length_is_rejected_at_once)
 {
     GwFrameDecoder d = {0};
-    uint8_t head[GW_FRAME_HEAD];
+    uint8_t head[GW_FRAME_HEADER_LEN];
     const uint8_t *payload;
     uint32_t len;
 
-    GwFrame_PutHead(head, GW_FRAME_MAX + 1);
+    GwFrame_WriteHeader(head, GW_FRAME_MAX + 1);
     GwFrame_Feed(&d, head, sizeof(head));
     cr_expect_eq(GwFrame_Next(&d, &payload, &len), GW_ERR(TOO_LARGE));
     GwFrame_Free(&d);
@@ -248,11 +248,13 @@
     GwHello later = {.nonce = {3}, .from = {2, 1}};
     uint8_t mac[GW_MAC_LEN];
 
-    GwHandshake_Prove(key, GW_ROLE_CONNECTOR, &a, &b, mac);
-    cr_expect(GwHandshake_Check(key, GW_ROLE_CONNECTOR, &a, &b, mac));
-    cr_expect_not(GwHandshake_Check(key, GW_ROLE_ACCEPTOR, &a, &b, mac));
-    cr_expect_not(GwHandshake_Check(key, GW_ROLE_CONNECTOR, &a, &later, mac));
-    cr_expect_not(GwHandshake_Check(key, GW_ROLE_CONNECTOR, &b, &a, mac));
+    GwHandshake_ComputeProof(key, GW_ROLE_CONNECTOR, &a, &b, mac);
+    cr_expect(GwHandshake_VerifyProof(key, GW_ROLE_CONNECTOR, &a, &b, mac));
+    cr_expect_not(GwHandshake_VerifyProof(key, GW_ROLE_ACCEPTOR, &a, &b, mac));
     cr_expect_not(
-        GwHandshake_Check(other_key, GW_ROLE_CONNECTOR, &a, &b, mac));
+        GwHandshake_VerifyProof(key, GW_ROLE_CONNECTOR, &a, &later, mac));
+    cr_expect_not(
+        GwHandshake_VerifyProof(key, GW_ROLE_CONNECTOR, &b, &a, mac));
+    cr_expect_not(
+        GwHandshake_VerifyProof(other_key, GW_ROLE_CONNECTOR, &a, &b, mac));
 }
--- a/tests/unit/test_fingerprint.c
+++ b/tests/unit/test_fingerprint.c
@@ -23,8 +23,8 @@
     GwFingerprintParts others[] = {
         sample_parts(), sample_parts(), sample_parts(), sample_parts(),
         sample_parts(), sample_parts(), sample_parts(), sample_parts()};
-    GwFingerprint f = GwFingerprint_Make(&same);
-    GwFingerprint again = GwFingerprint_Make(&same);
+    GwFingerprint f = GwFingerprint_Compute(&same);
+    GwFingerprint again = GwFingerprint_Compute(&same);
 
     others[0].method = "PUT";
     others[1].host = "g";
@@ -38,7 +38,7 @@
     others[7].body_len = 0;
     cr_expect(GwFingerprint_Equal(&f, &again));
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
-        GwFingerprint g = GwFingerprint_Make(&others[i]);
+        GwFingerprint g = GwFingerprint_Compute(&others[i]);
         cr_expect_not(GwFingerprint_Equal(&f, &g), "case %zu", i);
     }
 }
@@ -53,13 +53,13 @@
                                       "-123456789abcdef0123456789abcdef"};
     GwFingerprint f = {.hi = 0x0123, .lo = 0xfedcba9876543210};
     GwFingerprint back;
-    char text[GW_FINGERPRINT_TEXT];
+    char text[GW_FINGERPRINT_TEXT_SIZE];
 
-    GwFingerprint_Write(&f, text);
+    GwFingerprint_Format(&f, text);
     cr_expect_str_eq(text, "0000000000000123fedcba9876543210");
-    cr_expect(GwFingerprint_Read(text, &back));
+    cr_expect(GwFingerprint_Parse(text, &back));
     cr_expect(GwFingerprint_Equal(&f, &back));
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        cr_expect_not(GwFingerprint_Read(bad[i], &back), "%s", bad[i]);
+        cr_expect_not(GwFingerprint_Parse(bad[i], &back), "%s", bad[i]);
     }
 }
