--- a/tests/fakes/admin_server.c
+++ b/tests/fakes/admin_server.c
@@ -27,7 +27,7 @@
     return g_strdup("{}");
 }
 
-/* One member lags until the version was offered here. */
+/* Member og-1 lags behind until the version is offered to this server. */
 static char *
 dump(void *ctx)
 {
--- a/tests/fakes/admin_server.h
+++ b/tests/fakes/admin_server.h
@@ -1,4 +1,4 @@
-/* An admin server on a table in memory, and a client of it. */
+/* An admin server on an in-memory table, with a client. */
 #ifndef GW_TESTS_ADMIN_SERVER_H
 #define GW_TESTS_ADMIN_SERVER_H
 
@@ -10,16 +10,16 @@
 
 typedef struct {
     ChangeTable *table;
-    Fate fate; /* of every request to the table */
+    Fate fate; /* of all table requests */
     GwAdmin *admin;
     char address[32];
     GwAdminClient *client;
-    uint64_t offered; /* last version put in force */
+    uint64_t offered; /* last version offered */
     uint32_t logged_event;
     char logged[512];
 } AdminServer;
 
-/* One at a time. */
+/* At most one server may run at a time. */
 AdminServer *AdminServer_Start(void);
 void AdminServer_Stop(AdminServer *server);
 
--- a/tests/fakes/change_table.c
+++ b/tests/fakes/change_table.c
@@ -46,7 +46,7 @@
     copy->value = with_value ? g_strdup(row->value) : NULL;
 }
 
-/* The version a row has now; 0 when it is absent. */
+/* Current version of a row; 0 if absent. */
 static uint64_t
 version_of(const ChangeTable *t, const char *key)
 {
@@ -89,7 +89,7 @@
 }
 
 static void
-keep_late(ChangeTable *t, const GwTableRequest *request)
+delay_write(ChangeTable *t, const GwTableRequest *request)
 {
     GwTableRequest *copy = g_new0(GwTableRequest, 1);
     *copy = *request;
@@ -113,7 +113,7 @@
         }
     }
     if (fate == FATE_LATE && request->op == GW_TABLE_TXN) {
-        keep_late(t, request);
+        delay_write(t, request);
     }
     if (fate != FATE_DONE) {
         ChangeTable_ClearReply(reply);
--- a/tests/fakes/change_table.h
+++ b/tests/fakes/change_table.h
@@ -1,4 +1,4 @@
-/* A table in memory whose answers get lost and whose writes come late. */
+/* In-memory table that loses replies and delays writes on demand. */
 #ifndef GW_TESTS_CHANGE_TABLE_H
 #define GW_TESTS_CHANGE_TABLE_H
 
@@ -6,15 +6,15 @@
 
 typedef enum {
     FATE_DONE = 0,
-    FATE_LOST_BEFORE, /* the request never arrives */
-    FATE_LOST_AFTER,  /* it takes effect, its answer is lost */
-    FATE_LATE         /* lost; a write takes effect when delivered */
+    FATE_LOST_BEFORE, /* the request is lost */
+    FATE_LOST_AFTER,  /* the request takes effect, the reply is lost */
+    FATE_LATE /* no reply; a write takes effect in ChangeTable_Deliver */
 } Fate;
 
 typedef struct {
     GHashTable *rows;  /* key -> GwRow */
     GPtrArray *late;   /* GwTableRequest */
-    uint64_t versions; /* last one given */
+    uint64_t versions; /* last version assigned */
 } ChangeTable;
 
 ChangeTable *ChangeTable_Create(void);
@@ -22,9 +22,9 @@
 void ChangeTable_Do(ChangeTable *t, const GwTableRequest *request, Fate fate,
                     GwTableReply *reply);
 void ChangeTable_ClearReply(GwTableReply *reply);
-/* Delivers one late write; false when there is none. */
+/* Executes one delayed write, chosen by `pick`; false if there is none. */
 bool ChangeTable_Deliver(ChangeTable *t, uint32_t pick);
-/* The value of a row, or NULL. */
+/* Value of a row, or NULL if absent. */
 const char *ChangeTable_Get(const ChangeTable *t, const char *key);
 
 #endif
--- a/tests/fakes/cluster.c
+++ b/tests/fakes/cluster.c
@@ -10,10 +10,10 @@
 
 #define LIST_POLL_MS   1000
 #define HEALTH_POLL_US FAKE_SEC
-/* Punctuation and names of fields of one item in the list's JSON. */
+/* Punctuation and field names of one item in the list's JSON. */
 #define LIST_JSON_BYTES 47
 
-/* ---- the queue ------------------------------------------------------------ */
+/* ---- the queue --------------------------------------------------------- */
 
 FakeEvent *
 FakeCluster_Post(FakeCluster *c, FakeEventKind kind, int64_t at_us,
@@ -37,9 +37,10 @@
     g_free(ev);
 }
 
-/* ---- the network ---------------------------------------------------------- */
+/* ---- the network ------------------------------------------------------- */
 
-/* One way, with a tenth of jitter: later messages may overtake. */
+/* One-way delay in microseconds, with 10 % jitter: messages may be
+ * reordered. */
 int64_t
 FakeCluster_Delay(FakeCluster *c, uint32_t a, uint32_t b)
 {
@@ -120,10 +121,10 @@
     send->message = NULL;
 }
 
-/* ---- steps ---------------------------------------------------------------- */
+/* ---- steps ------------------------------------------------------------- */
 
 static void
-carry_out(FakeCluster *c, uint32_t node, GwAction *action)
+run_action(FakeCluster *c, uint32_t node, GwAction *action)
 {
     switch (action->kind) {
     case GW_ACTION_SEND:
@@ -145,7 +146,7 @@
     case GW_ACTION_STOPPED:
         c->nodes[node].stopped = true;
         break;
-    case GW_ACTION_CANCEL: /* servers here go on until their end */
+    case GW_ACTION_CANCEL: /* simulated servers finish cancelled calls */
     case GW_ACTION_PUBLISH:
     case GW_ACTION_LOG:
         break;
@@ -199,7 +200,7 @@
     }
 }
 
-/* One step of one node and everything it asks for. */
+/* Runs one step of a node and executes its actions. */
 void
 FakeCluster_Step(FakeCluster *c, uint32_t node, const GwEvent *event)
 {
@@ -211,7 +212,7 @@
         if (c->see != NULL) {
             c->see(c, node, &actions.items[i]);
         }
-        carry_out(c, node, &actions.items[i]);
+        run_action(c, node, &actions.items[i]);
     }
     GwActions_Free(&actions);
     note_version(c, n);
@@ -254,8 +255,8 @@
         c->now_us + GwRng_Jitter(&c->rng, period_us, period_us / 5), node);
 }
 
-/* Each server's health endpoint, as the host polls it. One that is silent
- * or reports nothing gives no reading. */
+/* Polls the health endpoint of each server. Silent servers and servers without
+ * reports yield no result. */
 static void
 poll_health(FakeCluster *c, uint32_t node)
 {
@@ -326,9 +327,10 @@
     }
 }
 
-/* Events of the outside world happen whatever became of the node. */
+/* Whether an event takes place outside the node, so that a crash of the node
+ * does not void the event. */
 static bool
-outside(FakeCluster *c, FakeEvent *ev)
+handle_external_event(FakeCluster *c, FakeEvent *ev)
 {
     switch (ev->kind) {
     case FAKE_TABLE_RUN:
@@ -345,8 +347,8 @@
     }
 }
 
-/* Runs events in order of time. A paused node's events wait for its wake, as
- * they would in socket buffers. */
+/* Runs events in order of time. Events of a paused node wait until it resumes,
+ * as in socket buffers. */
 void
 FakeCluster_Run(FakeCluster *c, int64_t until_us)
 {
@@ -355,7 +357,7 @@
         FakeNode *n = &c->nodes[ev->node];
         GwHeap_Remove(&c->queue, &ev->heap_place);
         c->now_us = ev->at_us > c->now_us ? ev->at_us : c->now_us;
-        if (outside(c, ev)) {
+        if (handle_external_event(c, ev)) {
             free_event(ev);
             continue;
         }
@@ -380,7 +382,7 @@
     c->now_us = until_us;
 }
 
-/* ---- making and breaking ------------------------------------------------- */
+/* ---- setup and faults -------------------------------------------------- */
 
 static void
 set_node_params(FakeCluster *c, uint32_t i)
@@ -431,7 +433,7 @@
                      node);
 }
 
-/* The process is gone with all it knew; its events are void. */
+/* The process exits and loses its state; its pending events are void. */
 void
 FakeCluster_Crash(FakeCluster *c, uint32_t node)
 {
@@ -520,7 +522,7 @@
     GwConfig_Free(config);
 }
 
-/* All nodes started, the configuration in the table as version 1. */
+/* Starts all nodes, with the configuration in the table as version 1. */
 FakeCluster *
 FakeCluster_Create(const FakeClusterParams *params)
 {
--- a/tests/fakes/cluster_calls.c
+++ b/tests/fakes/cluster_calls.c
@@ -1,5 +1,5 @@
-/* Callers, backend servers and relays of the fixture, and the judgement from
- * their journals. */
+/* Callers, backend servers and relays of the cluster simulation, and checks of
+ * the call guarantees against their journals. */
 #include "fakes/cluster_internal.h"
 
 #include <string.h>
@@ -65,7 +65,7 @@
     FakeCluster_Step(c, host->node, &event);
 }
 
-/* A caller's call arrives at an entry now. */
+/* A call arrives at an entry now. */
 uint32_t
 FakeCluster_Call(FakeCluster *c, uint32_t node, const char *service,
                  bool idempotent, const GwTicket *ticket, uint64_t key,
@@ -82,7 +82,7 @@
     g_ptr_array_add(c->calls, call);
     if (c->nodes[node].node == NULL ||
         c->nodes[node].paused_until_us > c->now_us) {
-        /* Connection refused or never accepted: nothing was sent. */
+        /* Connection refused or not accepted: nothing was sent. */
         call->done = true;
         call->not_sent = true;
         call->outcome = GW_OUTCOME_NOT_RUN;
@@ -144,7 +144,7 @@
     ev->end.attempt = attempt;
 }
 
-/* ---- backend servers ------------------------------------------------------ */
+/* ---- backend servers --------------------------------------------------- */
 
 static uint32_t
 backend_by_id(const FakeCluster *c, uint64_t id)
@@ -205,8 +205,8 @@
     runs->count++;
 }
 
-/* The request is at the server. From here on it may run whatever becomes of
- * the entry that sent it. */
+/* The request reaches the server. It may run from now on, even if the entry
+ * that sent it fails. */
 void
 FakeCalls_BackendIn(FakeCluster *c, const FakeEvent *ev)
 {
@@ -245,7 +245,7 @@
     b->busy_until_us = MAX(b->busy_until_us, done->at_us);
 }
 
-/* The server is through, or its deadline stopped it (no answer then). */
+/* The server completes the call, or its deadline expires without an answer. */
 void
 FakeCalls_BackendDone(FakeCluster *c, const FakeEvent *ev)
 {
@@ -267,7 +267,7 @@
              c->now_us + BACKEND_ONE_WAY_US, end);
 }
 
-/* ---- relays --------------------------------------------------------------- */
+/* ---- relays ------------------------------------------------------------ */
 
 static uint32_t
 node_by_id(const FakeCluster *c, uint64_t id)
@@ -286,7 +286,7 @@
 
     ev->relay = *relay;
     ev->handle = relay->call;
-    ev->backend = node; /* where it came from */
+    ev->backend = node; /* the sending node */
 }
 
 static void
@@ -302,8 +302,9 @@
     *most = MAX(*most, *now);
 }
 
-/* A relayed call at its target. A dead process refuses the connection: proven
- * not run. A cut link loses it without a word. */
+/* A relayed call reaches its target. A stopped process refuses the connection,
+ * which proves that the call did not run. A partitioned link drops the call
+ * without a report. */
 void
 FakeCalls_RelayIn(FakeCluster *c, const FakeEvent *ev)
 {
@@ -339,7 +340,7 @@
     step_call(c, host, ev->relay.to_owner, ev->relay.grant);
 }
 
-/* ---- outcomes ------------------------------------------------------------- */
+/* ---- outcomes ---------------------------------------------------------- */
 
 static void
 finish_relayed(FakeCluster *c, FakeHostCall *host,
@@ -360,8 +361,8 @@
              c->now_us + FakeCluster_Delay(c, host->node, from), end);
 }
 
-/* The final outcome of a call at the entry that holds it. The answer sent is
- * that of the call it names: an answer to another key is a wrong one. */
+/* Records the final outcome of a call at its entry. An answer that belongs to
+ * a call with another key counts as wrong. */
 void
 FakeCalls_Finish(FakeCluster *c, uint32_t node, const GwFinishAction *finish)
 {
@@ -386,9 +387,9 @@
     }
 }
 
-/* A refusal is false when the key has run, by whatever sending, before its
- * caller reads it: the caller may take a fresh ticket in the next moment. A
- * refusal stands for its ticket, so no later sending may run either. */
+/* A refusal is false if any send of the key ran before the caller read the
+ * refusal, since the caller may then use a new ticket. A refusal is final for
+ * its ticket, so no later send may run either. */
 static bool
 is_false_refusal(const FakeCallerCall *call, const FakeRuns *runs)
 {
@@ -398,13 +399,13 @@
 }
 
 static void
-judge_call(const FakeCluster *c, const FakeCallerCall *call, FakeJudgement *j)
+check_call(const FakeCluster *c, const FakeCallerCall *call, FakeJudgement *j)
 {
     const FakeRuns *runs = g_hash_table_lookup(c->runs, &call->key);
 
     j->sent++;
     if (!call->done) {
-        /* An entry that died took its callers' connections with it. */
+        /* A crashed entry closed the connections of its callers. */
         j->unfinished +=
             c->nodes[call->node].node != NULL &&
             c->nodes[call->node].params.id.start <= (uint64_t)call->sent_us;
@@ -434,7 +435,7 @@
     gpointer value = NULL;
 
     for (uint32_t i = 0; i < c->calls->len; i++) {
-        judge_call(c, g_ptr_array_index(c->calls, i), &j);
+        check_call(c, g_ptr_array_index(c->calls, i), &j);
     }
     g_hash_table_iter_init(&iter, c->runs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
--- a/tests/fakes/cluster_internal.h
+++ b/tests/fakes/cluster_internal.h
@@ -1,4 +1,4 @@
-/* Private to the fixture. */
+/* Internals of the cluster simulation. */
 #ifndef FAKES_CLUSTER_INTERNAL_H
 #define FAKES_CLUSTER_INTERNAL_H
 
@@ -17,7 +17,7 @@
     FAKE_RELAY_IN
 } FakeEventKind;
 
-/* A call as the host of one node holds it. */
+/* State of a call at the host of one node. */
 typedef struct {
     uint64_t handle;
     uint32_t node;
@@ -28,8 +28,8 @@
     GwTicket ticket;
     int64_t deadline_us;
     uint32_t caller_call; /* index in calls; GW_NONE when relayed */
-    uint32_t sending;     /* the caller's, also of a relayed call */
-    uint32_t from_node;   /* relayed: where the answer goes */
+    uint32_t sending;     /* index of the caller's send, also if relayed */
+    uint32_t from_node;   /* relayed: the node that gets the answer */
     uint32_t from_epoch;
     uint64_t from_handle;
     uint32_t from_attempt;
--- a/tests/fakes/cluster_table.c
+++ b/tests/fakes/cluster_table.c
@@ -1,4 +1,4 @@
-/* The fake table: rows with versions, transactions, and its failures. */
+/* The simulated platform table: versioned rows, transactions and faults. */
 #include "fakes/cluster_internal.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 #define STORE_ONE_WAY_US 2000
 #define STORE_SLOW_US    900000
 #define STORE_TIMEOUT_US 1000000
-/* Punctuation and names of fields of one row in the table's JSON. */
+/* Punctuation and field names of one row in the table's JSON. */
 #define ROW_JSON_BYTES 38
 
 void
@@ -60,7 +60,7 @@
     return draw < 5 ? FAKE_STORE_OK : (FakeStoreMode)(1 + draw % 3);
 }
 
-/* The request travels; the answer, or its loss, comes back later. */
+/* Sends a request to the table. The reply or its loss is a later event. */
 void
 FakeTable_Request(FakeCluster *c, uint32_t node, GwTableRequest *req)
 {
@@ -132,7 +132,7 @@
     }
 }
 
-/* The request has arrived: it takes effect now, or not, by the mode. */
+/* Executes a request that reached the table, according to the fault mode. */
 void
 FakeTable_Run(FakeCluster *c, FakeEvent *ev)
 {
--- a/tests/fakes/config_text.c
+++ b/tests/fakes/config_text.c
@@ -1,18 +1,19 @@
-/* Configuration documents for the fixture. */
+/* Configuration documents for the cluster simulation. */
 #include "fakes/cluster.h"
 
 static bool
-is_place_left_out(const FakeConfigSpec *spec, uint32_t s, uint32_t r)
+is_place_omitted(const FakeConfigSpec *spec, uint32_t s, uint32_t r)
 {
     bool here = spec->region == r;
     return (spec->without_service && s == 0) ||
            (spec->without_place && here && s == 0);
 }
 
-/* The servers of a service of its own size are dealt to the regions in turn. */
+/* Distributes the servers of a service with its own size over the regions,
+ * round robin. */
 static void
-add_dealt_backends(GString *text, const FakeConfigSpec *spec, uint32_t s,
-                   uint32_t r)
+add_distributed_backends(GString *text, const FakeConfigSpec *spec, uint32_t s,
+                         uint32_t r)
 {
     const FakeServiceSize *size = &spec->sizes[s];
 
@@ -66,7 +67,7 @@
     for (uint32_t s = 0; s < spec->services; s++) {
         for (uint32_t r = 0; r < spec->regions; r++, port += spec->backends) {
             bool drained = is_drained(spec, s, r);
-            if (is_place_left_out(spec, s, r)) {
+            if (is_place_omitted(spec, s, r)) {
                 continue;
             }
             g_string_append_printf(
@@ -75,7 +76,7 @@
                 "\"backends\":[",
                 comma, s, r, drained ? "\"drain\":true," : "");
             if (spec->sizes != NULL) {
-                add_dealt_backends(text, spec, s, r);
+                add_distributed_backends(text, spec, s, r);
             }
             else {
                 add_backends(text, spec, s, r, port);
@@ -96,7 +97,7 @@
         for (uint32_t pair = 0; pair < spec->regions * spec->regions; pair++) {
             uint32_t a = pair / spec->regions;
             uint32_t b = pair % spec->regions;
-            if (a == b || is_place_left_out(spec, s, b)) {
+            if (a == b || is_place_omitted(spec, s, b)) {
                 continue;
             }
             g_string_append_printf(
--- a/tests/fakes/edge_entry.c
+++ b/tests/fakes/edge_entry.c
@@ -17,17 +17,17 @@
 
 #define WAIT_US 10000000
 #define STEP_US 1000
-/* Turns of the loop without a byte taken, after which none will be. */
-#define REFUSED_MAX 500
-/* Of the silent server: connections for all slots, and more. */
+/* Loop iterations without progress after which sending ends. */
+#define IDLE_ITERATIONS_MAX 500
+/* Listen backlog of the silent server; more than its slots. */
 #define BACKLOG 128
 #define SLOTS   64
-/* The least that the kernel grants is about as much. Segments are smaller, for
- * one that does not fit the window as a whole waits for a timer. */
+/* About the smallest receive buffer that the kernel grants. The segment size
+ * is smaller, since a segment larger than the window waits for a timer. */
 #define NARROW_BYTES         2048
 #define NARROW_SEGMENT_BYTES 536
 
-/* ---- The entry ----------------------------------------------------------- */
+/* ---- The entry --------------------------------------------------------- */
 
 static GwEdgeSettings *
 make_settings(void)
@@ -52,9 +52,9 @@
     return settings;
 }
 
-/* Its kernel takes connections; nobody reads them. */
+/* Opens a listening socket whose connections are never read. */
 static int
-listen_silently(char address[GW_ADDR_MAX])
+open_silent_listener(char address[GW_ADDR_MAX])
 {
     struct sockaddr_in at;
     int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -71,9 +71,9 @@
 {
     GError *error = NULL;
     char address[GW_ADDR_MAX];
-    EdgeEntry entry = {.silent = listen_silently(address)};
+    EdgeEntry entry = {.silent = open_silent_listener(address)};
 
-    (void)signal(SIGPIPE, SIG_IGN); /* as the program does */
+    (void)signal(SIGPIPE, SIG_IGN); /* as the program */
     entry.edge = GwEdge_Create(make_settings(), "no settings file",
                                &Platform_Adapter, &error);
     cr_assert_not_null(entry.edge, "%s", error != NULL ? error->message : "");
@@ -127,7 +127,7 @@
     (void)uv_run(&entry->edge->loop, UV_RUN_NOWAIT);
 }
 
-/* ---- A caller ------------------------------------------------------------ */
+/* ---- A caller ---------------------------------------------------------- */
 
 static bool
 is_accepted(void *ctx)
@@ -138,7 +138,7 @@
 }
 
 static void
-make_narrow(int fd)
+shrink_buffers(int fd)
 {
     int bytes = NARROW_BYTES;
     int segment = NARROW_SEGMENT_BYTES;
@@ -159,7 +159,7 @@
 
     cr_assert(GwConn_ParseAddress(entry->edge->settings->call_address, &at));
     if (narrow) {
-        make_narrow(caller.fd);
+        shrink_buffers(caller.fd);
     }
     cr_assert_eq(connect(caller.fd, (struct sockaddr *)&at, sizeof(at)), 0);
     cr_assert(EdgeEntry_RunUntil(entry, is_accepted, &caller));
@@ -185,7 +185,7 @@
     g_string_free(caller->got, TRUE);
 }
 
-/* The kernel of the entry has it, or has refused it. */
+/* Whether the entry's kernel acknowledged all bytes or closed the connection. */
 static bool
 has_arrived(const PlainCaller *caller)
 {
@@ -208,10 +208,10 @@
     }
 }
 
-/* Reads what has come. A reset behind an orderly end is told by the socket's
- * error alone. */
+/* Reads all available bytes. A reset after an orderly close is visible only in
+ * SO_ERROR. */
 static void
-look(PlainCaller *caller)
+read_available(PlainCaller *caller)
 {
     char bytes[4096];
     int error = 0;
@@ -224,7 +224,7 @@
         g_string_append_len(caller->got, bytes, count);
     }
     bool failed = count < 0 && errno != EAGAIN;
-    /* Sends the acknowledgement that the kernel would hold back. */
+    /* Sends a delayed acknowledgement now. */
     (void)setsockopt(caller->fd, IPPROTO_TCP, TCP_QUICKACK, &now, sizeof(now));
     if (failed) {
         caller->state = CALLER_RESET;
@@ -246,7 +246,7 @@
     size_t len = strlen(text);
     int refused = 0;
 
-    while (sent < most && refused < REFUSED_MAX) {
+    while (sent < most && refused < IDLE_ITERATIONS_MAX) {
         size_t from = sent % len;
         ssize_t count = send(caller->fd, text + from, len - from,
                              MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -274,7 +274,7 @@
 PlainCaller_Take(PlainCaller *caller, size_t bytes)
 {
     while (caller->got->len < bytes && caller->state == CALLER_WAITS) {
-        look(caller);
+        read_available(caller);
     }
 }
 
@@ -283,7 +283,7 @@
 {
     PlainCaller *caller = ctx;
 
-    look(caller);
+    read_available(caller);
     return caller->got->len > 0 || caller->state != CALLER_WAITS;
 }
 
@@ -300,7 +300,7 @@
 {
     PlainCaller *caller = ctx;
 
-    look(caller);
+    read_available(caller);
     return caller->state != CALLER_WAITS;
 }
 
@@ -309,7 +309,7 @@
 {
     PlainCaller *caller = ctx;
 
-    look(caller);
+    read_available(caller);
     return caller->state == CALLER_RESET ||
            caller->entry->edge->counts.dropped > 0;
 }
--- a/tests/fakes/edge_entry.h
+++ b/tests/fakes/edge_entry.h
@@ -1,6 +1,6 @@
-/* An entry on its event loop, in the process of the test, and callers on plain
- * sockets: what the entry reads and when is up to the test. Nobody answers as
- * its store. */
+/* An entry with its event loop in the test process, and callers on plain
+ * sockets. The test controls when the entry reads. The store is
+ * unavailable. */
 #ifndef GW_TESTS_FAKES_EDGE_ENTRY_H
 #define GW_TESTS_FAKES_EDGE_ENTRY_H
 
@@ -8,54 +8,57 @@
 
 typedef struct {
     GwEdge *edge;
-    int silent; /* the socket of a backend server that never answers */
+    int silent; /* listening socket of a server that never answers */
 } EdgeEntry;
 
-/* Serves the host "h" of FakeSteering_Routing; the server of its routes takes
- * connections and answers nothing. */
+/* Serves the host "h" of FakeSteering_Routing. The backend server of its
+ * routes accepts connections and never answers. */
 EdgeEntry EdgeEntry_Start(void);
 void EdgeEntry_Stop(EdgeEntry *entry);
-/* A configuration whose idle connections are closed after that time. */
+/* Sets the timeout after which idle connections are closed. */
 void EdgeEntry_SetIdleLimit(EdgeEntry *entry, uint32_t idle_ms);
 /* Runs the loop until the condition holds; false after 10 s. */
 typedef bool (*EdgeEntryTest)(void *ctx);
 bool EdgeEntry_RunUntil(EdgeEntry *entry, EdgeEntryTest test, void *ctx);
-/* Does what is ready now. */
+/* Runs one iteration of the loop, without waiting. */
 void EdgeEntry_RunOnce(EdgeEntry *entry);
 
 typedef enum {
     CALLER_WAITS = 0,
-    CALLER_ENDED, /* the entry closed in order */
-    CALLER_RESET  /* it did not read all that was sent */
+    CALLER_ENDED, /* closed by the entry, without reset */
+    CALLER_RESET  /* closed with unread data */
 } CallerState;
 
 typedef struct {
     EdgeEntry *entry;
     int fd;
     CallerState state;
-    GString *got; /* bytes of answers */
+    GString *got; /* received bytes */
 } PlainCaller;
 
-/* Connects, and returns once the entry has accepted. */
+/* Connects; returns after the entry has accepted. */
 PlainCaller PlainCaller_Connect(EdgeEntry *entry);
-/* The same, but takes few bytes of answers before it reads them. */
+/* As PlainCaller_Connect, with a small receive buffer. */
 PlainCaller PlainCaller_ConnectNarrow(EdgeEntry *entry);
 void PlainCaller_Close(PlainCaller *caller);
-/* Sends bytes, which wait unread at the entry when this returns. */
+/* Sends bytes; they are in the entry's receive buffer, unread, on return. */
 void PlainCaller_Send(PlainCaller *caller, const char *bytes);
-/* Sends the text again and again, and reads nothing, until the entry takes no
- * more or that many bytes have gone; returns how many have. */
+/* Sends the text repeatedly without reading, until the entry accepts no more
+ * or `most` bytes are sent. Returns the number of bytes sent. */
 size_t PlainCaller_Flood(PlainCaller *caller, const char *text, size_t most);
-/* Ends what it sends; returns when the entry's kernel knows. */
+/* Shuts down the sending side; returns after the kernel of the entry
+ * acknowledged. */
 void PlainCaller_Shut(PlainCaller *caller);
-/* Takes that many bytes of answers from the kernels alone: the entry does not
- * run. It knows by then that they have arrived. */
+/* Reads that many bytes without running the entry. On return the entry's
+ * kernel has the acknowledgements. */
 void PlainCaller_Take(PlainCaller *caller, size_t bytes);
-/* Runs the loop until an answer has come and the entry's kernel knows that, or the connection is over. */
+/* Runs the loop until an answer was received and acknowledged, or the
+ * connection is closed. */
 CallerState PlainCaller_AwaitAnswer(PlainCaller *caller);
-/* The same until the connection is over, with what came before. */
+/* Runs the loop until the connection is closed; keeps bytes received before. */
 CallerState PlainCaller_AwaitEnd(PlainCaller *caller);
-/* The same until it is reset, or the entry has read and dropped a request. */
+/* Runs the loop until the connection is reset, or the entry has read and
+ * dropped a request. */
 CallerState PlainCaller_AwaitReset(PlainCaller *caller);
 
 #endif
--- a/tests/fakes/edge_host.c
+++ b/tests/fakes/edge_host.c
@@ -9,11 +9,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Between turns, for bytes on their way between sockets of this machine; and
- * how often that is tried. */
+/* Pause between loop iterations, for bytes in transit over loopback, and the
+ * number of iterations. */
 #define PAUSE_US  200
 #define TURNS_MAX 25000
-/* Callers have time, whatever else this machine does meanwhile. */
+/* Long, so that a loaded machine does not make requests late. */
 #define OBJECTIVE_MS 10000
 #define TIMEOUT_MS   30000
 
@@ -108,7 +108,7 @@
     EdgeHost_PutServer(h, s, slots);
 }
 
-/* With the queue full, the kernel drops the first packet of a connection. */
+/* With a full accept queue the kernel drops the SYN of new connections. */
 void
 EdgeHost_Block(EdgeHostServer *s)
 {
@@ -205,9 +205,9 @@
     s->conn_count = 0;
 }
 
-/* The part of the request line that names the request. */
+/* Whether the connection received the request with that id. */
 static bool
-has_asked(const EdgeHostConn *conn, const char *id)
+has_request(const EdgeHostConn *conn, const char *id)
 {
     char *line = g_strdup_printf("/%s HTTP/1.1\r\n", id);
     bool found = strstr(conn->seen->str, line) != NULL;
@@ -229,16 +229,17 @@
     }
     for (uint32_t i = 0; i < s->conn_count; i++) {
         g_string_append(s->conns[i].seen, EdgeHost_Read(s->conns[i].fd));
-        count += has_asked(&s->conns[i], id);
+        count += has_request(&s->conns[i], id);
     }
     return count;
 }
 
 static void
-say(EdgeHostServer *s, const char *id, const char *status, const char *mark)
+send_response(EdgeHostServer *s, const char *id, const char *status,
+              const char *mark)
 {
     for (uint32_t i = 0; i < s->conn_count; i++) {
-        if (has_asked(&s->conns[i], id)) {
+        if (has_request(&s->conns[i], id)) {
             send_all(s->conns[i].fd,
                      g_strdup_printf("HTTP/1.1 %s\r\n%s: %s\r\n%s: 1\r\n"
                                      "Content-Length: 0\r\n\r\n",
@@ -251,11 +252,11 @@
 void
 EdgeHost_Answer(EdgeHostServer *s, const char *id)
 {
-    say(s, id, "200 OK", Platform_Adapter.seal);
+    send_response(s, id, "200 OK", Platform_Adapter.seal);
 }
 
 void
 EdgeHost_Refuse(EdgeHostServer *s, const char *id)
 {
-    say(s, id, "503 Busy", Platform_Adapter.not_run);
+    send_response(s, id, "503 Busy", Platform_Adapter.not_run);
 }
--- a/tests/fakes/edge_host.h
+++ b/tests/fakes/edge_host.h
@@ -1,6 +1,6 @@
-/* One entry in the test's own process, its loop run a turn at a time. Callers
- * and backend servers are plain sockets of the test, so what has come to the
- * entry and was not read yet is the test's choice. */
+/* One entry in the test process, with its loop run one iteration at a time.
+ * Callers and backend servers are plain sockets of the test, so that the test
+ * controls which data is pending at the entry. */
 #ifndef GW_TESTS_FAKES_EDGE_HOST_H
 #define GW_TESTS_FAKES_EDGE_HOST_H
 
@@ -10,7 +10,7 @@
 #define EDGE_HOST_CONNS_MAX   64
 #define EDGE_HOST_BLOCK       4
 
-/* One connection from the entry, and all that came on it. */
+/* One connection from the entry, with all bytes received. */
 typedef struct {
     int fd;
     GString *seen;
@@ -22,7 +22,7 @@
     int listener;
     EdgeHostConn conns[EDGE_HOST_CONNS_MAX];
     uint32_t conn_count;
-    int blocked[EDGE_HOST_BLOCK]; /* connections that fill its queue */
+    int blocked[EDGE_HOST_BLOCK]; /* connections that fill the accept queue */
     bool is_blocked;
 } EdgeHostServer;
 
@@ -32,37 +32,37 @@
     uint32_t server_count;
 } EdgeHost;
 
-/* Knows the routes of FakeSteering_Routing, and no server yet. */
+/* Starts with the routes of FakeSteering_Routing and without servers. */
 EdgeHost *EdgeHost_Create(void);
 void EdgeHost_Free(EdgeHost *h);
 void EdgeHost_AddServer(EdgeHost *h, const char *id, uint32_t slots);
-/* Tells the entry of it once more, with so many slots. */
+/* Reports the server to the entry again, with that many slots. */
 void EdgeHost_PutServer(EdgeHost *h, const EdgeHostServer *s, uint32_t slots);
-/* It takes no connection any more, and resets none. */
+/* The server accepts no more connections, and resets none. */
 void EdgeHost_Block(EdgeHostServer *s);
-/* One turn of the loop, which does not wait. */
+/* Runs one iteration of the loop, without waiting. */
 void EdgeHost_Turn(EdgeHost *h);
-/* Turns until it is so; false when it never comes to it, in seconds. */
+/* Runs the loop until the condition holds; false after some seconds. */
 bool EdgeHost_Until(EdgeHost *h, bool (*is_so)(void *ctx), void *ctx);
 
-/* A caller's connection, made by the kernel before the entry knows of it. */
+/* Connects a caller; the entry has not accepted yet. Returns the socket. */
 int EdgeHost_Call(EdgeHost *h);
-/* The same, from that address of this machine. */
+/* As EdgeHost_Call, from the local address `ip`. */
 int EdgeHost_CallFrom(EdgeHost *h, const char *ip);
-/* A whole request; its id goes in the line of the target too. */
+/* Sends a complete request; its id is also part of the target. */
 void EdgeHost_Ask(int caller, const char *path, const char *id);
-/* The same, of a caller who waits for so long. */
+/* As EdgeHost_Ask, with the time that the caller waits. */
 void EdgeHost_AskFor(int caller, const char *path, const char *id,
                      uint32_t left_ms);
-/* What came on a connection and was not read, as text; "" for nothing. */
+/* Pending bytes of a connection as text; "" if none. */
 const char *EdgeHost_Read(int fd);
-/* The server's process ends: its connections close, new ones are refused. */
+/* The server exits: connections are closed, new ones refused. */
 void EdgeHost_Crash(EdgeHostServer *s);
-/* Whether that request has come to the server, and how often. */
+/* How often the server received that request. */
 uint32_t EdgeHost_Got(EdgeHostServer *s, const char *id);
-/* Answers where that request came. */
+/* Answers that request. */
 void EdgeHost_Answer(EdgeHostServer *s, const char *id);
-/* The same, with a proof that it did not run. */
+/* Refuses that request, with proof that it did not run. */
 void EdgeHost_Refuse(EdgeHostServer *s, const char *id);
 
 #endif
--- a/tests/fakes/fleet.c
+++ b/tests/fakes/fleet.c
@@ -3,13 +3,13 @@
 #include <math.h>
 #include <string.h>
 
-#define NEAR_US    1000
-#define QUEUE      9
-#define WARM_SHARE 0.25
-#define LATE_WORTH 0.2
-#define WINDOW_US  2000000
-#define COMEBACKS  1
-#define START_US   1000000
+#define SAME_REGION_US 1000
+#define QUEUE_MAX      9
+#define WARM_SHARE     0.25
+#define LATE_WORTH     0.2
+#define WINDOW_US      2000000
+#define RETRIES_MAX    1
+#define START_US       1000000
 
 static double
 scale_of(const Fleet *f)
@@ -24,7 +24,7 @@
 }
 
 void
-Fleet_At(Fleet *f, int64_t when_us, EventKind kind, void *subject)
+Fleet_Schedule(Fleet *f, int64_t when_us, EventKind kind, void *subject)
 {
     Event *e = g_new0(Event, 1);
 
@@ -33,7 +33,7 @@
 }
 
 static double
-uniform(Fleet *f)
+random_double(Fleet *f)
 {
     return ((double)(GwRng_Next(&f->rng) >> 11) + 1) * 0x1p-53;
 }
@@ -47,19 +47,19 @@
     return (uint32_t)CLAMP(w, 0, FLEET_WINDOWS_MAX - 1);
 }
 
-/* ---- Callers ------------------------------------------------------------- */
+/* ---- Callers ----------------------------------------------------------- */
 
 static void
 end_call(Fleet *f, Call *call, bool answered)
 {
     uint32_t w = window_of(f, call->first_us);
     FleetWindow *window = &f->report.windows[w];
-    int64_t took_us = f->now_us + NEAR_US - call->first_us;
+    int64_t took_us = f->now_us + SAME_REGION_US - call->first_us;
     double worth = call->kind->worth;
 
     call->over = true;
     if (!answered) {
-        window->refused++;
+        window->retry_or_end++;
     }
     else if (took_us <= Fleet_Us(f, call->kind->objective_ms)) {
         window->in_time++;
@@ -71,7 +71,7 @@
     }
 }
 
-static void carry(Fleet *f, Entry *entry);
+static void run_actions(Fleet *f, Entry *entry);
 
 static void
 arrive(Fleet *f, Call *call)
@@ -90,25 +90,26 @@
         f->entries->pdata[region + f->p->regions * GwRng_Below(&f->rng, per)];
     GwRouter_Arrive(call->entry->router, f->now_us, &arrival,
                     call->entry->actions);
-    carry(f, call->entry);
+    run_actions(f, call->entry);
 }
 
 static void
-refused(Fleet *f, Call *call, uint32_t retry_after_ms)
+retry_or_end(Fleet *f, Call *call, uint32_t retry_after_ms)
 {
     int64_t left_us = call->until_us - f->now_us;
     int64_t wait_us = MIN((int64_t)retry_after_ms * 1000, left_us / 3);
 
     call->request = NULL;
-    if (call->tries++ >= COMEBACKS || left_us <= 0) {
+    if (call->tries++ >= RETRIES_MAX || left_us <= 0) {
         end_call(f, call, false);
         return;
     }
-    Fleet_At(f, f->now_us + wait_us + 2 * NEAR_US, EV_COMEBACK, call);
+    Fleet_Schedule(f, f->now_us + wait_us + 2 * SAME_REGION_US, EV_RETRY,
+                   call);
 }
 
 static double
-burst_at(const Fleet *f)
+burst_factor(const Fleet *f)
 {
     double t = (double)(f->now_us - START_US) / 1e6 / scale_of(f);
 
@@ -116,12 +117,12 @@
 }
 
 static void
-next_arrival(Fleet *f, const FleetKind *kind)
+schedule_arrival(Fleet *f, const FleetKind *kind)
 {
-    double per_us = kind->per_s * burst_at(f) / 1e6 / scale_of(f);
+    double per_us = kind->per_s * burst_factor(f) / 1e6 / scale_of(f);
 
-    Fleet_At(f, f->now_us + (int64_t)(-log(uniform(f)) / per_us), EV_ARRIVE,
-             (void *)kind);
+    Fleet_Schedule(f, f->now_us + (int64_t)(-log(random_double(f)) / per_us),
+                   EV_ARRIVE, (void *)kind);
 }
 
 static void
@@ -143,31 +144,31 @@
     g_ptr_array_add(f->calls, call);
     f->report.windows[w].asked++;
     f->owed[w] += kind->worth;
-    next_arrival(f, kind);
+    schedule_arrival(f, kind);
     arrive(f, call);
 }
 
-/* ---- Backend servers ----------------------------------------------------- */
+/* ---- Backend servers --------------------------------------------------- */
 
 static bool
-remembers(Server *s, uint64_t object)
+touch_object(Server *s, uint64_t object)
 {
-    GList *found = g_queue_find(&s->memory, (gpointer)object);
+    GList *found = g_queue_find(&s->cache, (gpointer)object);
 
     if (found != NULL) {
-        g_queue_delete_link(&s->memory, found);
+        g_queue_delete_link(&s->cache, found);
     }
-    g_queue_push_tail(&s->memory, (gpointer)object);
-    if (g_queue_get_length(&s->memory) > s->service->keeps) {
-        (void)g_queue_pop_head(&s->memory);
+    g_queue_push_tail(&s->cache, (gpointer)object);
+    if (g_queue_get_length(&s->cache) > s->service->keeps) {
+        (void)g_queue_pop_head(&s->cache);
     }
     return found != NULL;
 }
 
 static int64_t
-way_us(const Fleet *f, const Entry *entry, const Server *s)
+delay_us(const Fleet *f, const Entry *entry, const Server *s)
 {
-    return entry->region == s->region ? Fleet_Us(f, NEAR_US / 1000.0)
+    return entry->region == s->region ? Fleet_Us(f, SAME_REGION_US / 1000.0)
                                       : Fleet_Us(f, f->p->far_ms);
 }
 
@@ -176,16 +177,17 @@
 {
     Server *s = a->server;
     const Call *call = a->call;
-    double share = remembers(s, call->object) ? WARM_SHARE : 1.0;
-    double spread = 0.85 + 0.3 * uniform(f);
+    double share = touch_object(s, call->object) ? WARM_SHARE : 1.0;
+    double spread = 0.85 + 0.3 * random_double(f);
 
     s->running++;
-    Fleet_At(f, f->now_us + Fleet_Us(f, call->kind->work_ms * share * spread),
-             EV_RAN, a);
+    Fleet_Schedule(
+        f, f->now_us + Fleet_Us(f, call->kind->work_ms * share * spread),
+        EV_RUN_END, a);
 }
 
 static void
-reach(Fleet *f, Attempt *a)
+deliver(Fleet *f, Attempt *a)
 {
     Server *s = a->server;
 
@@ -195,12 +197,13 @@
     if (s->running < s->service->slots) {
         run(f, a);
     }
-    else if (g_queue_get_length(&s->queue) < QUEUE) {
+    else if (g_queue_get_length(&s->queue) < QUEUE_MAX) {
         g_queue_push_tail(&s->queue, a);
     }
     else {
-        a->refused = true;
-        Fleet_At(f, f->now_us + way_us(f, a->call->entry, s), EV_ANSWER, a);
+        a->retry_or_end = true;
+        Fleet_Schedule(f, f->now_us + delay_us(f, a->call->entry, s),
+                       EV_ANSWER, a);
     }
 }
 
@@ -216,11 +219,11 @@
 }
 
 static void
-ran(Fleet *f, Attempt *a)
+end_run(Fleet *f, Attempt *a)
 {
     a->server->running--;
-    Fleet_At(f, f->now_us + way_us(f, a->call->entry, a->server), EV_ANSWER,
-             a);
+    Fleet_Schedule(f, f->now_us + delay_us(f, a->call->entry, a->server),
+                   EV_ANSWER, a);
     start_queued(f, a->server);
 }
 
@@ -229,23 +232,23 @@
 {
     Call *call = a->call;
     GwAttemptEnd end = {
-        .outcome = a->refused ? GW_ATTEMPT_REFUSED : GW_ATTEMPT_ANSWERED,
-        .status = a->refused ? 503 : 200,
+        .outcome = a->retry_or_end ? GW_ATTEMPT_REFUSED : GW_ATTEMPT_ANSWERED,
+        .status = a->retry_or_end ? 503 : 200,
         .has_load = true,
         .running = a->server->running,
         .waiting = g_queue_get_length(&a->server->queue),
-        .connect_us = 2 * way_us(f, call->entry, a->server),
+        .connect_us = 2 * delay_us(f, call->entry, a->server),
     };
 
     if (!a->dropped) {
         call->attempt = NULL;
         GwRouter_AttemptEnded(call->entry->router, f->now_us, call->request,
                               &end, call->entry->actions);
-        carry(f, call->entry);
+        run_actions(f, call->entry);
     }
 }
 
-/* ---- Entries ------------------------------------------------------------- */
+/* ---- Entries ----------------------------------------------------------- */
 
 static void
 send(Fleet *f, Call *call, const char *id)
@@ -258,11 +261,12 @@
     *a = (Attempt){.call = call, .server = s};
     call->attempt = a;
     g_ptr_array_add(f->attempts, a);
-    f->ran[region][w]++;
-    f->far[region][w] += s->region != region;
+    f->end_run[region][w]++;
+    f->sent_to_other_regions[region][w] += s->region != region;
     f->report.choices = (f->report.choices ^ s->id) * 0x100000001b3ULL;
-    /* A new connection takes one way more each way. */
-    Fleet_At(f, f->now_us + 3 * way_us(f, call->entry, s), EV_REACH, a);
+    /* A new connection adds a round trip. */
+    Fleet_Schedule(f, f->now_us + 3 * delay_us(f, call->entry, s), EV_DELIVER,
+                   a);
 }
 
 static void
@@ -275,7 +279,7 @@
 }
 
 static void
-carry_one(Fleet *f, const GwRouterAction *act)
+run_action(Fleet *f, const GwRouterAction *act)
 {
     Call *call = act->user;
 
@@ -295,7 +299,7 @@
         break;
     case GW_ROUTER_REPLY:
         if (act->status == 503) {
-            refused(f, call, act->retry_after_ms);
+            retry_or_end(f, call, act->retry_after_ms);
         }
         else {
             call->request = NULL;
@@ -311,26 +315,26 @@
 }
 
 static void
-carry(Fleet *f, Entry *entry)
+run_actions(Fleet *f, Entry *entry)
 {
     for (guint i = 0; i < entry->actions->len; i++) {
         GwRouterAction act = g_array_index(entry->actions, GwRouterAction, i);
-        carry_one(f, &act);
+        run_action(f, &act);
     }
     g_array_set_size(entry->actions, 0);
     int64_t due_us = GwRouter_NextDeadline(entry->router);
-    if (!entry->armed && due_us != INT64_MAX) {
-        entry->armed = true;
-        Fleet_At(f, MAX(due_us, f->now_us), EV_TICK, entry);
+    if (!entry->is_tick_scheduled && due_us != INT64_MAX) {
+        entry->is_tick_scheduled = true;
+        Fleet_Schedule(f, MAX(due_us, f->now_us), EV_TICK, entry);
     }
 }
 
 static void
 tick(Fleet *f, Entry *entry)
 {
-    entry->armed = false;
+    entry->is_tick_scheduled = false;
     GwRouter_Tick(entry->router, f->now_us, entry->actions);
-    carry(f, entry);
+    run_actions(f, entry);
 }
 
 static void
@@ -340,32 +344,32 @@
     case EV_ARRIVE:
         new_call(f, e->subject);
         break;
-    case EV_COMEBACK:
+    case EV_RETRY:
         arrive(f, e->subject);
         break;
     case EV_TICK:
         tick(f, e->subject);
         break;
-    case EV_REACH:
-        reach(f, e->subject);
+    case EV_DELIVER:
+        deliver(f, e->subject);
         break;
-    case EV_RAN:
-        ran(f, e->subject);
+    case EV_RUN_END:
+        end_run(f, e->subject);
         break;
     case EV_ANSWER:
         answer(f, e->subject);
         break;
     case EV_REPORT:
-        Fleet_Tell(f);
+        Fleet_SendReports(f);
         break;
-    case EV_LEARN:
-        Fleet_Learn(f, e->subject);
+    case EV_APPLY_REPORTS:
+        Fleet_ApplyReports(f, e->subject);
         break;
     }
 }
 
 static void
-sum_up(Fleet *f)
+summarize(Fleet *f)
 {
     double owed = 0;
     double earned = 0;
@@ -378,7 +382,9 @@
         earned += f->earned[w];
         for (uint32_t r = 0; r < f->p->regions; r++) {
             f->report.far_share[r][w] =
-                f->ran[r][w] > 0 ? (double)f->far[r][w] / f->ran[r][w] : 0;
+                f->end_run[r][w] > 0
+                    ? (double)f->sent_to_other_regions[r][w] / f->end_run[r][w]
+                    : 0;
         }
     }
     f->report.worth = owed > 0 ? earned / owed : 0;
@@ -402,9 +408,9 @@
 
     Fleet_SetUp(f);
     for (uint32_t i = 0; i < params->kind_count; i++) {
-        next_arrival(f, &params->kinds[i]);
+        schedule_arrival(f, &params->kinds[i]);
     }
-    Fleet_At(f, f->now_us, EV_REPORT, NULL);
+    Fleet_Schedule(f, f->now_us, EV_REPORT, NULL);
     while (GwHeap_TopKey(&f->events) <= end_us) {
         Event *e = GwHeap_Top(&f->events);
         f->now_us = GwHeap_TopKey(&f->events);
@@ -412,7 +418,7 @@
         step(f, e);
         g_free(e);
     }
-    sum_up(f);
+    summarize(f);
     Fleet_TearDown(f);
     return f->report;
 }
--- a/tests/fakes/fleet_internal.h
+++ b/tests/fakes/fleet_internal.h
@@ -1,4 +1,4 @@
-/* What the parts of the fleet share. */
+/* Internals of the fleet simulation. */
 #ifndef GW_TESTS_FAKES_FLEET_INTERNAL_H
 #define GW_TESTS_FAKES_FLEET_INTERNAL_H
 
@@ -15,8 +15,8 @@
     uint32_t region;
     const FleetService *service;
     uint32_t running;
-    GQueue queue;  /* Call */
-    GQueue memory; /* object hashes, the last used at the tail */
+    GQueue queue; /* Call */
+    GQueue cache; /* object hashes, the last used at the tail */
 } Server;
 
 typedef struct {
@@ -24,26 +24,26 @@
     uint32_t region;
     GwRouter *router;
     GArray *actions;
-    bool armed;
+    bool is_tick_scheduled;
 } Entry;
 
 typedef enum {
     EV_ARRIVE = 1, /* a new request of a kind */
-    EV_COMEBACK,
-    EV_TICK,  /* of an entry's router */
-    EV_REACH, /* the server gets it */
-    EV_RAN,
-    EV_ANSWER, /* the entry gets the answer */
-    EV_REPORT, /* all entries tell */
-    EV_LEARN   /* and all know it */
+    EV_RETRY,
+    EV_TICK,    /* of an entry's router */
+    EV_DELIVER, /* a request arrives at the server */
+    EV_RUN_END,
+    EV_ANSWER,       /* an answer arrives at the entry */
+    EV_REPORT,       /* all entries send their reports */
+    EV_APPLY_REPORTS /* all entries receive the reports */
 } EventKind;
 
-/* One sending of a request to a server. */
+/* One attempt of a request at a server. */
 typedef struct {
     Call *call;
     Server *server;
-    bool dropped; /* the entry has given it up */
-    bool refused;
+    bool dropped; /* cancelled by the entry */
+    bool retry_or_end;
 } Attempt;
 
 struct Call_s {
@@ -53,8 +53,8 @@
     Attempt *attempt;
     uint64_t object;
     char key[32];
-    int64_t first_us; /* of the caller's first try */
-    int64_t until_us; /* the caller waits until then */
+    int64_t first_us; /* arrival of the first try */
+    int64_t until_us; /* the caller's deadline */
     uint32_t tries;
     bool over;
 };
@@ -66,8 +66,8 @@
 } Event;
 
 typedef struct {
-    GPtrArray *own;    /* GArray of each entry */
-    GPtrArray *places; /* GArray of each entry */
+    GPtrArray *own;        /* GArray of each entry */
+    GPtrArray *placements; /* GArray of each entry */
 } Snapshot;
 
 struct Fleet_s {
@@ -78,28 +78,28 @@
     GPtrArray *entries;
     GPtrArray *servers;
     GHashTable *by_id;
-    GPtrArray *calls; /* all there ever were, and their attempts */
+    GPtrArray *calls; /* all calls and attempts of the run */
     GPtrArray *attempts;
     FleetReport report;
     double owed[FLEET_WINDOWS_MAX];
     double earned[FLEET_WINDOWS_MAX];
-    uint32_t ran[FLEET_REGIONS_MAX][FLEET_WINDOWS_MAX];
-    uint32_t far[FLEET_REGIONS_MAX][FLEET_WINDOWS_MAX];
+    uint32_t end_run[FLEET_REGIONS_MAX][FLEET_WINDOWS_MAX];
+    uint32_t sent_to_other_regions[FLEET_REGIONS_MAX][FLEET_WINDOWS_MAX];
 };
 
 /* Milliseconds of the case as scaled microseconds. */
 int64_t Fleet_Us(const Fleet *f, double ms);
-void Fleet_At(Fleet *f, int64_t when_us, EventKind kind, void *subject);
+void Fleet_Schedule(Fleet *f, int64_t when_us, EventKind kind, void *subject);
 
 /* fleet_setup.c */
 void Fleet_SetUp(Fleet *f);
-/* Frees all, also what is under way. */
+/* Frees everything, including pending events. */
 void Fleet_TearDown(Fleet *f);
 
 /* fleet_news.c */
-void Fleet_Tell(Fleet *f);
-/* All entries know what all others had in flight when they told. */
-void Fleet_Learn(Fleet *f, Snapshot *snap);
+void Fleet_SendReports(Fleet *f);
+/* Applies the reports of all entries at all entries. */
+void Fleet_ApplyReports(Fleet *f, Snapshot *snap);
 void Fleet_FreeSnapshot(Snapshot *snap);
 
 #endif
--- a/tests/fakes/fleet_news.c
+++ b/tests/fakes/fleet_news.c
@@ -1,4 +1,4 @@
-/* What entries of the fleet tell each other, and when they know it. */
+/* Reports of load and placements between entries of the fleet. */
 #include "fakes/fleet_internal.h"
 
 static void
@@ -20,29 +20,32 @@
 }
 
 void
-Fleet_Tell(Fleet *f)
+Fleet_SendReports(Fleet *f)
 {
     Snapshot *snap = g_new0(Snapshot, 1);
     int64_t age_us = Fleet_Us(f, f->p->report_ms);
 
     snap->own = g_ptr_array_new_with_free_func(free_array);
-    snap->places = g_ptr_array_new_with_free_func(free_array);
+    snap->placements = g_ptr_array_new_with_free_func(free_array);
     for (guint i = 0; i < f->entries->len; i++) {
         const Entry *entry = f->entries->pdata[i];
         GArray *own = g_array_new(FALSE, FALSE, sizeof(GwPeerLoad));
-        GArray *places = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
+        GArray *placements = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
         GwRouter_OwnLoads(entry->router, own);
         GwRouter_OwnPlacements(entry->router, f->now_us, age_us, 30000000,
-                               places);
+                               placements);
         g_ptr_array_add(snap->own, own);
-        g_ptr_array_add(snap->places, places);
+        g_ptr_array_add(snap->placements, placements);
     }
-    Fleet_At(f, f->now_us + Fleet_Us(f, f->p->lag_ms), EV_LEARN, snap);
-    Fleet_At(f, f->now_us + Fleet_Us(f, f->p->report_ms), EV_REPORT, NULL);
+    Fleet_Schedule(f, f->now_us + Fleet_Us(f, f->p->lag_ms), EV_APPLY_REPORTS,
+                   snap);
+    Fleet_Schedule(f, f->now_us + Fleet_Us(f, f->p->report_ms), EV_REPORT,
+                   NULL);
 }
 
 static void
-set_sum(Fleet *f, const Entry *entry, uint32_t region, GHashTable *sum)
+set_region_loads(Fleet *f, const Entry *entry, uint32_t region,
+                 GHashTable *sum)
 {
     char name[16];
     GHashTableIter iter;
@@ -62,12 +65,12 @@
 Fleet_FreeSnapshot(Snapshot *snap)
 {
     g_ptr_array_free(snap->own, TRUE);
-    g_ptr_array_free(snap->places, TRUE);
+    g_ptr_array_free(snap->placements, TRUE);
     g_free(snap);
 }
 
 void
-Fleet_Learn(Fleet *f, Snapshot *snap)
+Fleet_ApplyReports(Fleet *f, Snapshot *snap)
 {
     GHashTable *sums[FLEET_REGIONS_MAX];
 
@@ -83,18 +86,19 @@
         add_loads(sums[entry->region], snap->own->pdata[i], -1);
         GwRouter_DropRegionLoads(entry->router, f->now_us);
         for (uint32_t r = 0; r < f->p->regions; r++) {
-            set_sum(f, entry, r, sums[r]);
+            set_region_loads(f, entry, r, sums[r]);
         }
         add_loads(sums[entry->region], snap->own->pdata[i], 1);
         for (guint k = 0; k < f->entries->len; k++) {
             const Entry *other = f->entries->pdata[k];
-            const GArray *places = snap->places->pdata[k];
+            const GArray *placements = snap->placements->pdata[k];
             if (k == i || other->region != entry->region) {
                 continue;
             }
-            for (guint n = 0; n < places->len; n++) {
-                GwRouter_PutPlacement(entry->router, f->now_us,
-                                      &g_array_index(places, GwPlacement, n));
+            for (guint n = 0; n < placements->len; n++) {
+                GwRouter_PutPlacement(
+                    entry->router, f->now_us,
+                    &g_array_index(placements, GwPlacement, n));
             }
         }
     }
--- a/tests/fakes/fleet_setup.c
+++ b/tests/fakes/fleet_setup.c
@@ -1,8 +1,8 @@
-/* The servers, entries and routes of a fleet. */
+/* Setup and teardown of servers, entries and routes of a fleet. */
 #include "fakes/fleet_internal.h"
 
 static GwRouting *
-routing_of(const Fleet *f)
+create_routing(const Fleet *f)
 {
     const FleetParams *p = f->p;
     GwRouting *routing = GwRouting_Create(1, p->service_count);
@@ -47,7 +47,7 @@
             s->region = r;
             s->service = service;
             g_queue_init(&s->queue);
-            g_queue_init(&s->memory);
+            g_queue_init(&s->cache);
             g_ptr_array_add(f->servers, s);
             g_hash_table_insert(f->by_id, g_strdup_printf("i-%u", s->id), s);
         }
@@ -55,7 +55,7 @@
 }
 
 static void
-introduce_servers(Fleet *f, Entry *entry)
+add_servers_to_entry(Fleet *f, Entry *entry)
 {
     for (guint i = 0; i < f->servers->len; i++) {
         const Server *s = f->servers->pdata[i];
@@ -101,13 +101,14 @@
     entry->router = GwRouter_Create(&params, f->now_us);
     entry->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     (void)GwRouter_SetRouting(entry->router, routing);
-    introduce_servers(f, entry);
+    add_servers_to_entry(f, entry);
     g_ptr_array_add(f->entries, entry);
 }
 
-/* Entries of a region count each other when they forecast its demand. */
+/* Adds all peers, since demand forecasts use the number of entries in the
+ * region. */
 static void
-introduce_entries(Fleet *f)
+add_peers(Fleet *f)
 {
     for (guint i = 0; i < f->entries->len; i++) {
         for (guint k = 0; k < f->entries->len; k++) {
@@ -128,7 +129,7 @@
 void
 Fleet_SetUp(Fleet *f)
 {
-    GwRouting *routing = routing_of(f);
+    GwRouting *routing = create_routing(f);
 
     for (uint32_t i = 0; i < f->p->service_count; i++) {
         add_servers(f, &f->p->services[i]);
@@ -136,7 +137,7 @@
     for (uint32_t i = 0; i < f->p->entries; i++) {
         add_entry(f, i, routing);
     }
-    introduce_entries(f);
+    add_peers(f);
     GwRouting_Unref(routing);
 }
 
@@ -155,7 +156,7 @@
 
     while ((e = GwHeap_Top(&f->events)) != NULL) {
         GwHeap_Remove(&f->events, &e->place);
-        if (e->kind == EV_LEARN) {
+        if (e->kind == EV_APPLY_REPORTS) {
             Fleet_FreeSnapshot(e->subject);
         }
         g_free(e);
@@ -167,7 +168,7 @@
     for (guint i = 0; i < f->servers->len; i++) {
         Server *s = f->servers->pdata[i];
         g_queue_clear(&s->queue);
-        g_queue_clear(&s->memory);
+        g_queue_clear(&s->cache);
         g_free(s);
     }
     g_ptr_array_free(f->entries, TRUE);
--- a/tests/fakes/free_port.c
+++ b/tests/fakes/free_port.c
@@ -6,10 +6,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Blocks of ports, as those of standins/lib.sh and locked by the same files. */
+/* Same port blocks and lock files as standins/lib.sh. */
 enum { PORT_FIRST = 20000, PORT_COUNT = 12000, BLOCK = 200 };
 
-/* The lock is held until the process ends. */
+/* The lock is held until the process exits. */
 static bool
 lock_block(uint16_t first)
 {
@@ -39,7 +39,7 @@
                 return (uint16_t)first;
             }
         }
-        g_usleep(10000); /* all are taken for now */
+        g_usleep(10000); /* all blocks are locked */
     }
 }
 
--- a/tests/fakes/free_port.h
+++ b/tests/fakes/free_port.h
@@ -1,14 +1,14 @@
-/* A loopback address on which nobody listens. */
+/* Allocates free loopback ports. */
 #ifndef GW_TESTS_FAKES_FREE_PORT_H
 #define GW_TESTS_FAKES_FREE_PORT_H
 
 #include "config/model.h"
 
-/* Nobody else who asks here, in any process, gets the same port while this
- * process lives: a port that is only looked at may be taken by another test
- * before it is listened at. The port lies below the range from which the kernel
- * takes the ports of outgoing connections: a connection to a free port in that
- * range can be given the very same port, and then connects to itself. */
+/* Writes the address of a free port, reserved until this process exits. No
+ * other user of this function, in any process, gets the same port: a port that
+ * is only probed may be bound by another test first. The port lies below the
+ * kernel's ephemeral range: a connection to a free port in that range may get
+ * the same source port and connect to itself. */
 void FreePort_Address(char out[GW_ADDR_MAX]);
 
 #endif
--- a/tests/fakes/member_net.c
+++ b/tests/fakes/member_net.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static bool
-earlier(const GwNetMail *a, const GwNetMail *b)
+is_earlier(const GwNetMail *a, const GwNetMail *b)
 {
     return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
@@ -29,7 +29,7 @@
 {
     g_array_append_val(net->mail, mail);
     uint32_t i = net->mail->len - 1;
-    while (i > 0 && earlier(mail_at(net, i), mail_at(net, (i - 1) / 2))) {
+    while (i > 0 && is_earlier(mail_at(net, i), mail_at(net, (i - 1) / 2))) {
         swap_mail(net, i, (i - 1) / 2);
         i = (i - 1) / 2;
     }
@@ -47,10 +47,10 @@
     while (2 * i + 1 < len) {
         uint32_t child = 2 * i + 1;
         if (child + 1 < len &&
-            earlier(mail_at(net, child + 1), mail_at(net, child))) {
+            is_earlier(mail_at(net, child + 1), mail_at(net, child))) {
             child++;
         }
-        if (earlier(mail_at(net, i), mail_at(net, child))) {
+        if (is_earlier(mail_at(net, i), mail_at(net, child))) {
             break;
         }
         swap_mail(net, i, child);
@@ -115,7 +115,7 @@
 }
 
 static void
-post(MemberNet *net, uint32_t from, GwSendAction *send)
+enqueue_message(MemberNet *net, uint32_t from, GwSendAction *send)
 {
     uint32_t to = (uint32_t)g_ascii_strtoull(send->address, NULL, 10);
     const GwHeartbeat *hb = &send->message->u.heartbeat;
@@ -139,7 +139,7 @@
 }
 
 static void
-judge(MemberNet *net, uint32_t by, const char *text, bool dead)
+count_failure_report(MemberNet *net, uint32_t by, const char *text, bool dead)
 {
     uint32_t i =
         (uint32_t)g_ascii_strtoull(text + strlen("member=n"), NULL, 10);
@@ -153,21 +153,21 @@
 }
 
 static void
-carry_out(MemberNet *net, uint32_t from, bool received)
+run_actions(MemberNet *net, uint32_t from, bool received)
 {
     uint32_t sends = 0;
 
     for (uint32_t i = 0; i < net->actions.count; i++) {
         GwAction *action = &net->actions.items[i];
         if (action->kind == GW_ACTION_SEND) {
-            post(net, from, &action->u.send);
+            enqueue_message(net, from, &action->u.send);
             sends++;
         }
         else if (action->kind == GW_ACTION_LOG &&
                  (action->u.log.event == GW_LOG_MEMBER_DEAD ||
                   action->u.log.event == GW_LOG_MEMBER_SUSPECT)) {
-            judge(net, from, action->u.log.text,
-                  action->u.log.event == GW_LOG_MEMBER_DEAD);
+            count_failure_report(net, from, action->u.log.text,
+                                 action->u.log.event == GW_LOG_MEMBER_DEAD);
         }
     }
     if (received) {
@@ -183,7 +183,7 @@
 
     GwMembers_Receive(node->members, net->now_us, msg, &node->piggyback,
                       &net->actions);
-    carry_out(net, to, true);
+    run_actions(net, to, true);
 }
 
 static void
@@ -194,7 +194,7 @@
         GwNetNode *node = &net->nodes[mail.to];
         net->now_us = MAX(net->now_us, mail.at_us);
         if (node->up && node->paused) {
-            /* The socket's buffer keeps it while the process is paused. */
+            /* The socket buffer keeps messages while the process is paused. */
             mail.at_us = until_us + 1;
             push_mail(net, mail);
             continue;
@@ -213,7 +213,8 @@
 
     while (net->now_us < end_us) {
         int64_t next_us = net->now_us + net->tick_us;
-        /* Who wakes from a pause ticks before it reads what came meanwhile. */
+        /* A node that resumes after a pause ticks before it reads messages
+         * received meanwhile. */
         for (uint32_t i = 0; i < net->count; i++) {
             GwNetNode *node = &net->nodes[i];
             if (!node->up || node->paused) {
@@ -222,7 +223,7 @@
             node->piggyback.digests[0].seq = (uint64_t)net->now_us;
             GwMembers_Tick(node->members, net->now_us, &node->piggyback,
                            &net->actions);
-            carry_out(net, i, false);
+            run_actions(net, i, false);
         }
         deliver_due(net, next_us);
         net->now_us = next_us;
@@ -244,7 +245,7 @@
         if (net->nodes[i].up) {
             GwMembers_ApplyList(net->nodes[i].members, net->now_us, &list,
                                 &net->actions);
-            carry_out(net, i, false);
+            run_actions(net, i, false);
         }
     }
     g_free(items);
@@ -291,8 +292,8 @@
             bool ok =
                 i == j || (net->nodes[j].up == (shown == GW_MEMBER_ALIVE));
             if (!ok && net->count < 50) {
-                fprintf(stderr, "node %u shows node %u (up %d) as %u\n", i, j,
-                        net->nodes[j].up, shown);
+                fprintf(stderr, "node %u lists node %u (up %d) in state %u\n",
+                        i, j, net->nodes[j].up, shown);
             }
             agrees = agrees && ok;
         }
--- a/tests/fakes/member_net.h
+++ b/tests/fakes/member_net.h
@@ -1,4 +1,5 @@
-/* Several GwMembers over a seeded queue that loses and delays messages. */
+/* Simulated network of GwMembers: a seeded queue that loses and delays
+ * messages. Reproducible by seed. */
 #ifndef GW_TESTS_FAKES_MEMBER_NET_H
 #define GW_TESTS_FAKES_MEMBER_NET_H
 
@@ -26,7 +27,7 @@
     uint32_t count;
     uint32_t regions;
     uint32_t loss_permille;
-    bool cut; /* no message passes between regions */
+    bool cut; /* partition: messages between regions are dropped */
     int64_t delay_us;
     int64_t tick_us;
     int64_t now_us;
@@ -40,27 +41,27 @@
     uint64_t digests;
     uint32_t updates_max;
     uint32_t digests_max;
-    uint32_t burst_max; /* messages of one received message */
+    uint32_t burst_max; /* most messages sent in response to one message */
     uint64_t died;      /* MEMBER_DEAD logged */
-    /* Verdicts and suspicions by each node on members of its region that
-     * run. */
+    /* Running members of the node's own region that it declared dead, and
+     * that it suspected. */
     uint32_t wrong[GW_NET_MAX];
     uint32_t suspected[GW_NET_MAX];
 } MemberNet;
 
 MemberNet *MemberNet_Create(uint32_t count, uint32_t regions, uint64_t seed);
 void MemberNet_Free(MemberNet *net);
-/* Gives every live node a list of `listed` first nodes. */
+/* Applies a platform list of the first `listed` nodes at every running node. */
 void MemberNet_List(MemberNet *net, uint32_t listed);
 void MemberNet_Run(MemberNet *net, int64_t for_us);
 void MemberNet_Kill(MemberNet *net, uint32_t i);
 void MemberNet_Restart(MemberNet *net, uint32_t i);
-/* Hands one made-up message to a node, at once. */
+/* Delivers a message to a node immediately. */
 void MemberNet_Inject(MemberNet *net, uint32_t to, const GwMessage *msg);
-/* The state node i shows for node j; 0 when it does not show it. */
+/* State of node j in the member table of node i; 0 if absent. */
 uint32_t MemberNet_Shown(const MemberNet *net, uint32_t i, uint32_t j);
-/* Every live node shows every other live one as alive and heard, at its
- * present start, and no dead one as alive. */
+/* Whether every running node lists every other running node as alive with its
+ * current start, and no stopped node as alive. */
 bool MemberNet_Agrees(const MemberNet *net);
 
 #endif
--- a/tests/fakes/outages.c
+++ b/tests/fakes/outages.c
@@ -5,13 +5,13 @@
 {
     static const char *const names[OUTAGE_KIND_COUNT] = {
         [OUTAGE_NONE] = "none",
-        [OUTAGE_DOMAIN_DARK] = "domain-dark",
+        [OUTAGE_DOMAIN_POWER_LOSS] = "domain-dark",
         [OUTAGE_CRASHES] = "crashes",
         [OUTAGE_RESTARTS] = "restarts",
         [OUTAGE_LOST_ANSWERS] = "lost-answers",
         [OUTAGE_RESETS] = "resets",
-        [OUTAGE_SPOILT] = "spoilt",
-        [OUTAGE_SILENCE] = "silence",
+        [OUTAGE_INVALID_ANSWERS] = "spoilt",
+        [OUTAGE_POWER_LOSSES] = "silence",
         [OUTAGE_DRAINS] = "drains",
     };
 
@@ -19,7 +19,7 @@
 }
 
 void
-Outages_At(World *w, int64_t when_us, EventKind kind, void *subject)
+Outages_Schedule(World *w, int64_t when_us, EventKind kind, void *subject)
 {
     Event *e = g_new0(Event, 1);
 
@@ -28,7 +28,7 @@
 }
 
 uint32_t
-Outages_Below(World *w, uint32_t n)
+Outages_RandomBelow(World *w, uint32_t n)
 {
     return GwRng_Below(&w->rng, n);
 }
@@ -36,20 +36,20 @@
 bool
 Outages_Chance(World *w, uint64_t permille)
 {
-    return Outages_Below(w, 1000) < permille;
+    return Outages_RandomBelow(w, 1000) < permille;
 }
 
 int64_t
-Outages_WayUs(const Entry *entry, const Server *s)
+Outages_DelayUs(const Entry *entry, const Server *s)
 {
-    return entry->region == s->region ? NEAR_US : FAR_US;
+    return entry->region == s->region ? SAME_REGION_US : CROSS_REGION_US;
 }
 
-/* ---- The loop ------------------------------------------------------------ */
+/* ---- The loop ---------------------------------------------------------- */
 
-/* The entry that the event is for, where it can't take it while frozen. */
+/* The entry that handles an event and must not be frozen; NULL if none. */
 static const Entry *
-entry_of(const Event *e)
+receiving_entry(const Event *e)
 {
     switch (e->kind) {
     case EV_TICK:
@@ -58,7 +58,7 @@
         return ((Attempt *)e->subject)->call->entry;
     case EV_DATAGRAM:
         return ((Datagram *)e->subject)->to;
-    case EV_PROBED:
+    case EV_PROBE_END:
         return ((Probe *)e->subject)->entry;
     default:
         return NULL;
@@ -68,18 +68,18 @@
 static void
 tick(Entry *e)
 {
-    e->armed = false;
+    e->is_tick_scheduled = false;
     GwRouter_Tick(e->router, e->world->now_us, e->actions);
-    OutageEntry_Carry(e);
+    OutageEntry_RunActions(e);
 }
 
 static void
 step(World *w, const Event *e)
 {
-    const Entry *entry = entry_of(e);
+    const Entry *entry = receiving_entry(e);
 
     if (entry != NULL && OutageEntry_IsFrozen(entry)) {
-        Outages_At(w, entry->frozen_until_us, e->kind, e->subject);
+        Outages_Schedule(w, entry->frozen_until_us, e->kind, e->subject);
         return;
     }
     switch (e->kind) {
@@ -89,17 +89,17 @@
     case EV_CRASHER:
         Outages_CallCrasher(w, e->subject);
         break;
-    case EV_COMEBACK:
+    case EV_RETRY:
         OutageCall_Arrive(e->subject);
         break;
     case EV_TICK:
         tick(e->subject);
         break;
-    case EV_REACH:
-        OutageAttempt_Reach(w, e->subject);
+    case EV_DELIVER:
+        OutageAttempt_Deliver(w, e->subject);
         break;
-    case EV_RAN:
-        OutageAttempt_Ran(w, e->subject);
+    case EV_RUN_END:
+        OutageAttempt_EndRun(w, e->subject);
         break;
     case EV_ANSWER:
         OutageAttempt_Answer(w, e->subject);
@@ -107,34 +107,34 @@
     case EV_CRASH:
         OutageAttempt_Crash(w, e->subject);
         break;
-    case EV_BACK:
-        OutageServer_ComeBack(w, e->subject);
+    case EV_RESTART:
+        OutageServer_Restart(w, e->subject);
         break;
-    case EV_ROW:
-        OutageServer_TellRow(w, e->subject);
+    case EV_REGISTRY_ROW:
+        OutageServer_SendRow(w, e->subject);
         break;
-    case EV_LAPSE:
-        OutageServer_Lapse(w, e->subject);
+    case EV_REGISTRY_EXPIRY:
+        OutageServer_Expire(w, e->subject);
         break;
     case EV_REPORT:
         Outages_Report(w);
         break;
     case EV_DATAGRAM:
-        OutageDatagram_Take(w, e->subject);
+        OutageDatagram_Receive(w, e->subject);
         break;
-    case EV_PROBED:
+    case EV_PROBE_END:
         OutageProbe_End(w, e->subject);
         break;
     case EV_OUTAGE:
-        Outages_PlayOutage(w);
+        Outages_InjectOutage(w);
         break;
     case EV_ENTRY_FAULT:
-        Outages_PlayEntryFault(w);
+        Outages_InjectEntryFault(w);
         break;
     case EV_LIMIT:
-        Outages_LimitSome(w);
+        Outages_StartLimits(w);
         break;
-    case EV_LIMIT_OVER:
+    case EV_LIMIT_END:
         Outages_EndLimits(w);
         break;
     }
@@ -143,26 +143,28 @@
 static void
 set_up(World *w)
 {
-    w->routing = Outages_MakeRouting();
+    w->routing = Outages_CreateRouting();
     w->servers = g_new0(Server, w->p->servers);
     w->entries = g_new0(Entry, w->p->entries);
     w->crashers = g_new0(Content, MAX(w->p->crashers, 1));
     for (uint32_t i = 0; i < w->p->servers; i++) {
         Server *s = &w->servers[i];
-        *s = (Server){
-            .number = i, .region = i % REGIONS, .born = 1, .listening = true};
+        *s = (Server){.index = i,
+                      .region = i % REGIONS,
+                      .born_ms = 1,
+                      .listening = true};
         g_snprintf(s->id, sizeof(s->id), "s%u", i);
         g_snprintf(s->domain, sizeof(s->domain), "d%u-%u", s->region,
                    i / REGIONS % 2);
         g_queue_init(&s->running);
         s->arrivals = g_array_new(FALSE, FALSE, sizeof(int64_t));
-        s->told_us = g_new0(int64_t, w->p->entries);
+        s->limit_known_us = g_new0(int64_t, w->p->entries);
     }
     for (uint32_t i = 0; i < w->p->entries; i++) {
         w->entries[i] = (Entry){.world = w,
-                                .number = i,
+                                .index = i,
                                 .region = i % REGIONS,
-                                .touch_us = -CONTACT_US};
+                                .last_fault_us = -CONTACT_US};
         OutageEntry_Start(w, &w->entries[i]);
     }
     for (int i = 0; i < POPULAR; i++) {
@@ -175,7 +177,7 @@
 }
 
 static void
-free_entry_calls(World *w)
+free_entries_and_servers(World *w)
 {
     for (uint32_t i = 0; i < w->p->entries; i++) {
         OutageEntry_Stop(&w->entries[i]);
@@ -183,7 +185,7 @@
     for (uint32_t i = 0; i < w->p->servers; i++) {
         g_queue_clear(&w->servers[i].running);
         g_array_free(w->servers[i].arrivals, TRUE);
-        g_free(w->servers[i].told_us);
+        g_free(w->servers[i].limit_known_us);
     }
 }
 
@@ -194,13 +196,13 @@
 
     while ((e = GwHeap_Top(&w->events)) != NULL) {
         GwHeap_Remove(&w->events, &e->place);
-        if (e->kind == EV_DATAGRAM || e->kind == EV_PROBED) {
+        if (e->kind == EV_DATAGRAM || e->kind == EV_PROBE_END) {
             g_free(e->subject);
         }
         g_free(e);
     }
     GwHeap_Free(&w->events);
-    free_entry_calls(w);
+    free_entries_and_servers(w);
     GwRouting_Unref(w->routing);
     g_ptr_array_free(w->calls, TRUE);
     g_ptr_array_free(w->attempts, TRUE);
@@ -213,22 +215,23 @@
 static void
 begin(World *w)
 {
-    Outages_At(w, w->now_us, EV_ARRIVE, NULL);
-    Outages_At(w, w->now_us, EV_REPORT, NULL);
-    Outages_At(w, w->now_us + 1500000, EV_OUTAGE, NULL);
+    Outages_Schedule(w, w->now_us, EV_ARRIVE, NULL);
+    Outages_Schedule(w, w->now_us, EV_REPORT, NULL);
+    Outages_Schedule(w, w->now_us + 1500000, EV_OUTAGE, NULL);
     if (w->p->limited_percent > 0) {
-        Outages_At(w, w->now_us + 2000000, EV_LIMIT, NULL);
+        Outages_Schedule(w, w->now_us + 2000000, EV_LIMIT, NULL);
     }
     if (w->p->unlimited_s > 0) {
-        Outages_At(w, w->now_us + (int64_t)(w->p->unlimited_s * 1e6),
-                   EV_LIMIT_OVER, NULL);
+        Outages_Schedule(w, w->now_us + (int64_t)(w->p->unlimited_s * 1e6),
+                         EV_LIMIT_END, NULL);
     }
     if (w->p->entry_faults) {
-        Outages_At(w, w->now_us + ENTRY_FAULT_US, EV_ENTRY_FAULT, NULL);
+        Outages_Schedule(w, w->now_us + ENTRY_FAULT_US, EV_ENTRY_FAULT, NULL);
     }
     for (uint32_t i = 0; i < w->p->crashers; i++) {
-        Outages_At(w, w->now_us + 1000000 + Outages_Below(w, 1000000),
-                   EV_CRASHER, &w->crashers[i]);
+        Outages_Schedule(w,
+                         w->now_us + 1000000 + Outages_RandomBelow(w, 1000000),
+                         EV_CRASHER, &w->crashers[i]);
     }
 }
 
@@ -255,7 +258,7 @@
         step(w, e);
         g_free(e);
     }
-    Outages_SumUpLimits(w);
+    Outages_SummarizeLimits(w);
     tear_down(w);
     return w->report;
 }
--- a/tests/fakes/outages.h
+++ b/tests/fakes/outages.h
@@ -1,8 +1,8 @@
-/* Many entries on virtual time, with the real steering core and the real
- * exchange of suspects in each, beside backend servers that end in every way:
- * crash, go dark, lose answers, drain. Reports between entries are lost, late
- * and reordered; entries freeze, are cut off and start again. What breaks a
- * promise is counted by what servers and callers see. */
+/* Simulates many entries on virtual time, with the real steering core and the
+ * real gossip of quarantine suspects and limits, and backend servers that fail
+ * in many ways: crash, lose power, lose answers, drain. Messages between
+ * entries are lost, delayed and reordered; entries freeze, are partitioned and
+ * restart. Violations are counted from what servers and callers observe. */
 #ifndef GW_TESTS_FAKES_OUTAGES_H
 #define GW_TESTS_FAKES_OUTAGES_H
 
@@ -11,14 +11,14 @@
 
 typedef enum {
     OUTAGE_NONE = 0,
-    OUTAGE_DOMAIN_DARK,  /* a failure domain loses power and comes back */
-    OUTAGE_CRASHES,      /* 15 % of the servers crash at once, twice */
-    OUTAGE_RESTARTS,     /* each server in turn, under its old id */
-    OUTAGE_LOST_ANSWERS, /* runs end with a reset connection */
-    OUTAGE_RESETS,       /* half of all connections, twice */
-    OUTAGE_SPOILT,       /* answers that are none */
-    OUTAGE_SILENCE,      /* 20 % of the servers go dark, one by one */
-    OUTAGE_DRAINS,       /* servers leave; some say nothing before */
+    OUTAGE_DOMAIN_POWER_LOSS, /* a failure domain loses power and recovers */
+    OUTAGE_CRASHES,           /* 15 % of the servers crash at once, twice */
+    OUTAGE_RESTARTS,          /* each server in turn, with its id unchanged */
+    OUTAGE_LOST_ANSWERS,      /* runs that end with a connection reset */
+    OUTAGE_RESETS,            /* resets of half of all connections */
+    OUTAGE_INVALID_ANSWERS,   /* invalid answers */
+    OUTAGE_POWER_LOSSES,      /* servers lose power, one by one */
+    OUTAGE_DRAINS,            /* drains; some servers do not announce them */
     OUTAGE_KIND_COUNT
 } OutageKind;
 
@@ -28,12 +28,13 @@
     uint32_t entries;
     uint32_t servers;
     OutageKind kind;
-    uint32_t crashers; /* requests that crash each server that runs them */
-    bool entry_faults; /* entries freeze, are cut off, start again */
-    bool hot;          /* two requests are more than half of the traffic */
-    uint32_t limited_percent; /* of the servers name a limit from 2 s on, */
-    double limit_per_s;       /* this one, of all entries together */
-    double unlimited_s;       /* and none any more from then on; 0: never */
+    uint32_t crashers; /* number of requests that crash any server */
+    bool entry_faults; /* entries freeze, are partitioned, restart */
+    bool hot;          /* two requests make up more than half of the traffic */
+    uint32_t
+        limited_percent; /* of the servers state a rate limit from 2 s on */
+    double limit_per_s;  /* the limit, for all entries together */
+    double unlimited_s;  /* when the limits end; 0: never */
     double seconds;
     uint64_t seed;
 } OutageParams;
@@ -41,22 +42,22 @@
 typedef struct {
     uint32_t asked;
     uint32_t answered;
-    /* Requests that crash nothing, and were refused as if they did. */
+    /* Harmless requests that were refused as quarantined. */
     uint32_t innocent_refused;
-    uint32_t crashes; /* by requests */
-    /* Of the request that was sent most often: how often servers got it from
-     * entries in touch later than OUTAGE_CONTACT_MS after its third crash. */
+    uint32_t crashes; /* caused by requests */
+    /* Most sends of one crashing request by reachable entries, later than
+     * OUTAGE_CONTACT_MS after its third crash. */
     uint32_t sends_after;
     uint32_t crasher_refused;
-    uint64_t records_told; /* of suspects, between entries */
-    uint32_t learned_ms;   /* from the third crash until the last entry in
-                              touch holds the request; 0: none was held */
-    /* Of the limited server that got most: what it got in some span, from
-     * entries that it had told, above what is allowed; 0 where that is kept. */
+    uint64_t records_told; /* suspect records, between entries */
+    uint32_t learned_ms;   /* from the third crash until all reachable entries
+                              quarantine the request; 0: never */
+    /* Most requests above the allowed number that a limited server received in
+     * some 4 s, from entries that knew the limit; 0: limits were kept. */
     uint32_t above_limit;
-    double limit_used; /* what limited servers got, as a share of the limit */
-    double after_used; /* the same once they name none, of their part */
-    uint32_t after_idle; /* of these, that hardly got anything any more */
+    double limit_used; /* requests to limited servers, as share of the limit */
+    double after_used; /* after the limits ended, as share of an equal part */
+    uint32_t after_idle; /* formerly limited servers that stay idle */
 } OutageReport;
 
 #define OUTAGE_CONTACT_MS 3000
--- a/tests/fakes/outages_callers.c
+++ b/tests/fakes/outages_callers.c
@@ -1,17 +1,17 @@
-/* Callers and what they ask for. */
+/* Callers and the requests that they send. */
 #include "fakes/outages_internal.h"
 
 Entry *
-Outages_AnyEntry(World *w)
+Outages_RandomEntry(World *w)
 {
-    return &w->entries[Outages_Below(w, w->p->entries)];
+    return &w->entries[Outages_RandomBelow(w, w->p->entries)];
 }
 
 void
 OutageCall_Arrive(Call *call)
 {
     World *w = call->world;
-    Entry *e = Outages_AnyEntry(w);
+    Entry *e = Outages_RandomEntry(w);
     GwArrival arrival = {
         .user = call,
         .host = "h",
@@ -21,16 +21,16 @@
     };
 
     while (OutageEntry_IsFrozen(e)) {
-        e = Outages_AnyEntry(w);
+        e = Outages_RandomEntry(w);
     }
     call->entry = e;
-    call->life = e->life;
+    call->incarnation = e->incarnation;
     call->tries++;
     if (GwRouter_WantsFingerprints(e->router)) {
         arrival.fingerprint = &call->content->fingerprint;
     }
     GwRouter_Arrive(e->router, w->now_us, &arrival, e->actions);
-    OutageEntry_Carry(e);
+    OutageEntry_RunActions(e);
 }
 
 Content *
@@ -42,14 +42,14 @@
     c->fingerprint = (GwFingerprint){.hi = n * 0x9e3779b97f4a7c15ULL,
                                      .lo = n * 0xd6e8feb86659fd93ULL};
     g_strlcpy(c->path, once ? "/once/" : "/again/", sizeof(c->path));
-    g_snprintf(c->key, sizeof(c->key), "k%u", Outages_Below(w, 40));
+    g_snprintf(c->key, sizeof(c->key), "k%u", Outages_RandomBelow(w, 40));
     c->crashes = crashes;
     g_ptr_array_add(w->contents, c);
     return c;
 }
 
 static void
-call_with(World *w, Content *content)
+send_call(World *w, Content *content)
 {
     Call *call = g_new0(Call, 1);
 
@@ -62,29 +62,32 @@
 void
 Outages_NewCall(World *w)
 {
-    bool popular = Outages_Below(w, 100) < (w->p->hot ? 60 : 25);
-    uint32_t which = Outages_Below(w, w->p->hot ? HOT : POPULAR);
+    bool popular = Outages_RandomBelow(w, 100) < (w->p->hot ? 60 : 25);
+    uint32_t which = Outages_RandomBelow(w, w->p->hot ? HOT : POPULAR);
     Content *content =
         popular ? &w->popular[which]
-                : Outages_NewContent(w, false, Outages_Below(w, 3) == 0);
+                : Outages_NewContent(w, false, Outages_RandomBelow(w, 3) == 0);
     double per_s = 12.0 * w->p->servers;
 
-    Outages_At(w,
-               w->now_us + (int64_t)(1e6 / per_s *
-                                     (0.5 + Outages_Below(w, 1000) / 1000.0)),
-               EV_ARRIVE, NULL);
-    call_with(w, content);
+    Outages_Schedule(
+        w,
+        w->now_us + (int64_t)(1e6 / per_s *
+                              (0.5 + Outages_RandomBelow(w, 1000) / 1000.0)),
+        EV_ARRIVE, NULL);
+    send_call(w, content);
 }
 
 void
 Outages_CallCrasher(World *w, Content *content)
 {
-    Outages_At(w, w->now_us + CRASHER_US / 2 + Outages_Below(w, CRASHER_US),
-               EV_CRASHER, content);
-    call_with(w, content);
+    Outages_Schedule(
+        w, w->now_us + CRASHER_US / 2 + Outages_RandomBelow(w, CRASHER_US),
+        EV_CRASHER, content);
+    send_call(w, content);
 }
 
-/* A caller comes back once after a refusal, or where it may repeat. */
+/* Ends a call. The caller retries once after a refusal, or after any failure
+ * of an idempotent request. */
 void
 OutageCall_End(Call *call, const GwRouterAction *act)
 {
@@ -99,8 +102,8 @@
         w->report.crasher_refused += call->content->crashes;
     }
     if (!answered && call->tries < 2 && (act->status == 503 || !once)) {
-        Outages_At(w, w->now_us + 50000 + Outages_Below(w, 300000),
-                   EV_COMEBACK, call);
+        Outages_Schedule(w, w->now_us + 50000 + Outages_RandomBelow(w, 300000),
+                         EV_RETRY, call);
         return;
     }
     call->over = true;
--- a/tests/fakes/outages_entries.c
+++ b/tests/fakes/outages_entries.c
@@ -1,4 +1,4 @@
-/* Entries: what they know at first, and whether they are in touch. */
+/* Entries: initial state and reachability. */
 #include "fakes/outages_internal.h"
 
 bool
@@ -8,9 +8,9 @@
 }
 
 bool
-OutageEntry_IsInTouch(const Entry *e)
+OutageEntry_IsReachable(const Entry *e)
 {
-    return e->world->now_us - e->touch_us > CONTACT_US;
+    return e->world->now_us - e->last_fault_us > CONTACT_US;
 }
 
 void
@@ -19,7 +19,7 @@
     char region[8];
     GwServerInfo info = {
         .id = s->id,
-        .born_ms = s->born,
+        .born_ms = s->born_ms,
         .service = "s",
         .address = "a",
         .domain = s->domain,
@@ -30,11 +30,11 @@
 
     g_snprintf(region, sizeof(region), "r%u", s->region);
     GwRouter_PutServer(e->router, e->world->now_us, &info, e->actions);
-    OutageEntry_Carry(e);
+    OutageEntry_RunActions(e);
 }
 
 GwRouting *
-Outages_MakeRouting(void)
+Outages_CreateRouting(void)
 {
     static const char *const prefixes[] = {"/once/", "/again/"};
     GwRouting *routing = GwRouting_Create(1, 1);
@@ -66,7 +66,7 @@
 }
 
 static void
-introduce_others(World *w, Entry *e)
+add_peers(World *w, Entry *e)
 {
     for (uint32_t i = 0; i < w->p->entries; i++) {
         char name[16];
@@ -74,7 +74,7 @@
         GwPeerInfo info = {.name = name, .region = region, .serves = true};
         g_snprintf(name, sizeof(name), "e%u", i);
         g_snprintf(region, sizeof(region), "r%u", i % REGIONS);
-        if (i != e->number) {
+        if (i != e->index) {
             GwRouter_PutPeer(e->router, w->now_us, &info);
         }
     }
@@ -88,28 +88,28 @@
         .retry_extra = 100,
         .retry_window_ms = 10000,
         .entries_max = w->p->entries,
-        .seed = w->p->seed * 1000 + e->number,
+        .seed = w->p->seed * 1000 + e->index,
     };
 
-    g_snprintf(params.name, sizeof(params.name), "e%u", e->number);
+    g_snprintf(params.name, sizeof(params.name), "e%u", e->index);
     g_snprintf(params.region, sizeof(params.region), "r%u", e->region);
     g_snprintf(params.domain, sizeof(params.domain), "d%u-%u", e->region,
-               e->number / REGIONS % 2);
+               e->index / REGIONS % 2);
     e->router = GwRouter_Create(&params, w->now_us);
     e->actions = g_array_new(FALSE, FALSE, sizeof(GwRouterAction));
     e->peers = g_new0(GwGossipPeer, w->p->entries);
     e->limit_peers = g_new0(GwGossipPeer, w->p->entries);
-    e->limits_spread_us = 0;
-    e->hurry = g_new0(bool, w->p->entries);
+    e->limits_marked_us = 0;
+    e->must_send = g_new0(bool, w->p->entries);
     e->handles = g_hash_table_new(NULL, NULL);
-    e->armed = false;
-    e->spread_us = 0;
+    e->is_tick_scheduled = false;
+    e->suspects_marked_us = 0;
     (void)GwRouter_SetRouting(e->router, w->routing);
-    introduce_others(w, e);
+    add_peers(w, e);
     for (uint32_t i = 0; i < w->p->servers; i++) {
         const Server *s = &w->servers[i];
-        if (s->listening || s->dark) {
-            OutageEntry_PutServer(e, s, s->draining && !s->says_nothing);
+        if (s->listening || s->is_powered_off) {
+            OutageEntry_PutServer(e, s, s->draining && !s->drains_silently);
         }
     }
 }
@@ -121,6 +121,6 @@
     g_array_free(e->actions, TRUE);
     g_free(e->peers);
     g_free(e->limit_peers);
-    g_free(e->hurry);
+    g_free(e->must_send);
     g_hash_table_destroy(e->handles);
 }
--- a/tests/fakes/outages_host.c
+++ b/tests/fakes/outages_host.c
@@ -1,4 +1,4 @@
-/* What entries do with the actions of the core, and tell each other. */
+/* Entries: execution of the core's actions, and messages between entries. */
 #include "fakes/outages_internal.h"
 
 static Server *
@@ -7,7 +7,8 @@
     return &w->servers[strtoul(id + 1, NULL, 10)];
 }
 
-/* The core says when it gives up one that the host keeps something for. */
+/* Marks a server as in use by the host, so that the core reports with
+ * GW_ROUTER_DROP_SERVER when the handle becomes invalid. */
 static void
 keep_handle(Entry *e, GwServer *handle)
 {
@@ -24,12 +25,13 @@
     a->call = call;
     a->handle = handle;
     a->server = server_of(w, GwServer_Id(handle));
-    a->born = handle->born_ms;
+    a->born_ms = handle->born_ms;
     keep_handle(call->entry, handle);
     call->attempt = a;
     g_ptr_array_add(w->attempts, a);
-    Outages_At(w, w->now_us + 3 * Outages_WayUs(call->entry, a->server),
-               EV_REACH, a);
+    Outages_Schedule(w,
+                     w->now_us + 3 * Outages_DelayUs(call->entry, a->server),
+                     EV_DELIVER, a);
 }
 
 static void
@@ -39,15 +41,15 @@
     Probe *p = g_new0(Probe, 1);
 
     *p = (Probe){.entry = e,
-                 .life = e->life,
+                 .incarnation = e->incarnation,
                  .handle = handle,
                  .server = server_of(w, GwServer_Id(handle))};
-    p->born = handle->born_ms;
+    p->born_ms = handle->born_ms;
     keep_handle(e, handle);
-    Outages_At(w,
-               w->now_us + 2 * Outages_WayUs(e, p->server) +
-                   Outages_Below(w, 1000),
-               EV_PROBED, p);
+    Outages_Schedule(w,
+                     w->now_us + 2 * Outages_DelayUs(e, p->server) +
+                         Outages_RandomBelow(w, 1000),
+                     EV_PROBE_END, p);
 }
 
 void
@@ -61,7 +63,7 @@
 }
 
 static void
-carry_one(Entry *e, const GwRouterAction *act)
+run_action(Entry *e, const GwRouterAction *act)
 {
     Call *call = act->user;
 
@@ -92,28 +94,28 @@
 }
 
 void
-OutageEntry_Carry(Entry *e)
+OutageEntry_RunActions(Entry *e)
 {
     World *w = e->world;
 
     for (guint i = 0; i < e->actions->len; i++) {
         GwRouterAction act = g_array_index(e->actions, GwRouterAction, i);
-        carry_one(e, &act);
+        run_action(e, &act);
     }
     g_array_set_size(e->actions, 0);
     int64_t due_us = GwRouter_NextDeadline(e->router);
-    if (!e->armed && due_us != INT64_MAX) {
-        e->armed = true;
-        Outages_At(w, MAX(due_us, e->frozen_until_us), EV_TICK, e);
+    if (!e->is_tick_scheduled && due_us != INT64_MAX) {
+        e->is_tick_scheduled = true;
+        Outages_Schedule(w, MAX(due_us, e->frozen_until_us), EV_TICK, e);
     }
 }
 
-/* ---- What comes to entries ----------------------------------------------- */
+/* ---- Answers and probe results ----------------------------------------- */
 
 static bool
 is_current(const Attempt *a)
 {
-    return !a->dropped && a->call->life == a->call->entry->life;
+    return !a->dropped && a->call->incarnation == a->call->entry->incarnation;
 }
 
 void
@@ -121,15 +123,16 @@
 {
     Call *call = a->call;
     Entry *e = call->entry;
-    bool refused = a->end.outcome == GW_ATTEMPT_UNSENT && !a->server->dark;
+    bool refused =
+        a->end.outcome == GW_ATTEMPT_UNSENT && !a->server->is_powered_off;
 
     if (!is_current(a)) {
         return;
     }
     call->attempt = NULL;
     if (a->end.limit == GW_LIMIT_STATED &&
-        a->server->told_us[e->number] == 0) {
-        a->server->told_us[e->number] = w->now_us;
+        a->server->limit_known_us[e->index] == 0) {
+        a->server->limit_known_us[e->index] = w->now_us;
     }
     if (refused && g_hash_table_contains(e->handles, a->handle)) {
         GwRouter_ProbeEnded(e->router, w->now_us, a->handle, GW_PROBE_REFUSED,
@@ -140,69 +143,71 @@
     }
     GwRouter_AttemptEnded(e->router, w->now_us, call->request, &a->end,
                           e->actions);
-    OutageEntry_Carry(e);
+    OutageEntry_RunActions(e);
 }
 
 void
 OutageProbe_End(World *w, Probe *p)
 {
     Entry *e = p->entry;
-    GwProbeResult result = p->server->dark        ? GW_PROBE_TIMEOUT
-                           : p->server->listening ? GW_PROBE_ALIVE
-                                                  : GW_PROBE_REFUSED;
+    GwProbeResult result = p->server->is_powered_off ? GW_PROBE_TIMEOUT
+                           : p->server->listening    ? GW_PROBE_ALIVE
+                                                     : GW_PROBE_REFUSED;
 
-    if (p->life == e->life && g_hash_table_contains(e->handles, p->handle)) {
+    if (p->incarnation == e->incarnation &&
+        g_hash_table_contains(e->handles, p->handle)) {
         GwRouter_ProbeEnded(e->router, w->now_us, p->handle, result,
                             e->actions);
-        OutageEntry_Carry(e);
+        OutageEntry_RunActions(e);
     }
     g_free(p);
 }
 
-/* ---- Reports ------------------------------------------------------------- */
+/* ---- Messages between entries ------------------------------------------ */
 
 static void
 fill_limits(Entry *e, uint32_t to, Datagram *d)
 {
     int64_t now_us = e->world->now_us;
     int64_t since_us = 0;
-    GwGossipAction tells =
+    GwGossipAction action =
         GwGossipPeer_Next(&e->limit_peers[to], now_us, &since_us);
 
-    d->limits_sum = GwRouter_LimitsChecksum(e->router);
-    if (tells != GW_GOSSIP_NOTHING) {
+    d->limits_checksum = GwRouter_LimitsChecksum(e->router);
+    if (action != GW_GOSSIP_NOTHING) {
         d->limit_count = GwRouter_Limits(
-            e->router, now_us, tells == GW_GOSSIP_CHANGES ? since_us : 0,
+            e->router, now_us, action == GW_GOSSIP_CHANGES ? since_us : 0,
             d->limits, LIMITS_MAX);
     }
 }
 
 static void
-take_limits(const Datagram *d)
+merge_limits(const Datagram *d)
 {
     Entry *e = d->to;
-    uint32_t from = d->from->number;
+    uint32_t from = d->from->index;
     int64_t now_us = e->world->now_us;
 
     for (uint32_t i = 0; i < d->limit_count; i++) {
         GwRouter_PutLimit(e->router, now_us, &d->limits[i]);
     }
-    if (GwGossipPeer_OnChecksum(&e->limit_peers[from], now_us, d->limits_sum,
+    if (GwGossipPeer_OnChecksum(&e->limit_peers[from], now_us,
+                                d->limits_checksum,
                                 GwRouter_LimitsChecksum(e->router),
                                 GwRouter_LimitsChangedUs(e->router))) {
-        e->hurry[from] = true;
+        e->must_send[from] = true;
     }
 }
 
 static void
-tell(Entry *e, uint32_t to)
+send_datagram(Entry *e, uint32_t to)
 {
     World *w = e->world;
     GwQuarantine *q = GwRouter_Quarantine(e->router);
     Datagram *d = g_new0(Datagram, 1);
     int64_t since_us = 0;
 
-    e->hurry[to] = false;
+    e->must_send[to] = false;
     *d = (Datagram){.from = e, .to = &w->entries[to]};
     switch (GwGossipPeer_Next(&e->peers[to], w->now_us, &since_us)) {
     case GW_GOSSIP_NOTHING:
@@ -216,7 +221,7 @@
                                      SUSPECTS_MAX);
         break;
     }
-    d->sum = GwQuarantine_Checksum(q);
+    d->checksum = GwQuarantine_Checksum(q);
     fill_limits(e, to, d);
     w->report.records_told += d->count;
     if (Outages_Chance(w, LOSS_PERMILLE) || w->now_us < e->cut_until_us ||
@@ -224,91 +229,92 @@
         g_free(d);
         return;
     }
-    Outages_At(w, w->now_us + NEAR_US + Outages_Below(w, 40000), EV_DATAGRAM,
-               d);
+    Outages_Schedule(
+        w, w->now_us + SAME_REGION_US + Outages_RandomBelow(w, 40000),
+        EV_DATAGRAM, d);
 }
 
 void
-OutageDatagram_Take(World *w, Datagram *d)
+OutageDatagram_Receive(World *w, Datagram *d)
 {
     Entry *e = d->to;
-    uint32_t from = d->from->number;
+    uint32_t from = d->from->index;
     GwQuarantine *q = GwRouter_Quarantine(e->router);
 
     for (uint32_t i = 0; i < d->count; i++) {
         GwQuarantine_Merge(q, w->now_us, &d->suspects[i]);
     }
-    if (GwGossipPeer_OnChecksum(&e->peers[from], w->now_us, d->sum,
+    if (GwGossipPeer_OnChecksum(&e->peers[from], w->now_us, d->checksum,
                                 GwQuarantine_Checksum(q),
                                 GwQuarantine_ChangedUs(q))) {
-        e->hurry[from] = true;
+        e->must_send[from] = true;
     }
-    take_limits(d);
+    merge_limits(d);
     g_free(d);
 }
 
 static void
-spread(Entry *e)
+mark_changes(Entry *e)
 {
     World *w = e->world;
     GwQuarantine *q = GwRouter_Quarantine(e->router);
 
-    if (GwRouter_LimitsChangedUs(e->router) > e->limits_spread_us) {
-        e->limits_spread_us = w->now_us;
+    if (GwRouter_LimitsChangedUs(e->router) > e->limits_marked_us) {
+        e->limits_marked_us = w->now_us;
         for (int i = 0; i < GW_GOSSIP_FANOUT; i++) {
-            uint32_t to = Outages_Below(w, w->p->entries);
+            uint32_t to = Outages_RandomBelow(w, w->p->entries);
             e->limit_peers[to].news = true;
-            e->hurry[to] = true;
+            e->must_send[to] = true;
         }
     }
     if (GwQuarantine_IsEmpty(q)) {
         return;
     }
     GwQuarantine_Tick(q, w->now_us);
-    if (GwQuarantine_ChangedUs(q) > e->spread_us) {
-        e->spread_us = w->now_us;
+    if (GwQuarantine_ChangedUs(q) > e->suspects_marked_us) {
+        e->suspects_marked_us = w->now_us;
         for (int i = 0; i < GW_GOSSIP_FANOUT; i++) {
-            uint32_t to = Outages_Below(w, w->p->entries);
+            uint32_t to = Outages_RandomBelow(w, w->p->entries);
             e->peers[to].news = true;
-            e->hurry[to] = true;
+            e->must_send[to] = true;
         }
     }
 }
 
 static void
-tell_due(Entry *e)
+send_due(Entry *e)
 {
     uint32_t count = e->world->p->entries;
     uint32_t due = count <= 15 ? count / 2 : REPORTS_PER_S / 20;
 
     for (uint32_t i = 0; i < due; i++) {
         e->next_peer = (e->next_peer + 1) % count;
-        e->hurry[e->next_peer] = true;
+        e->must_send[e->next_peer] = true;
     }
-    e->hurry[e->number] = false;
+    e->must_send[e->index] = false;
     for (uint32_t i = 0; i < count; i++) {
-        if (e->hurry[i]) {
-            tell(e, i);
+        if (e->must_send[i]) {
+            send_datagram(e, i);
         }
     }
 }
 
 static void
-note_learned(World *w)
+note_quarantined(World *w)
 {
     for (uint32_t i = 0; i < w->p->crashers; i++) {
         const Content *c = &w->crashers[i];
-        bool held = c->third_us != 0 && !w->crashes_told;
+        bool held = c->third_crash_us != 0 && !w->is_quarantine_noted;
         for (uint32_t k = 0; held && k < w->p->entries; k++) {
             Entry *e = &w->entries[k];
-            held = !OutageEntry_IsInTouch(e) ||
+            held = !OutageEntry_IsReachable(e) ||
                    GwQuarantine_UntilUs(GwRouter_Quarantine(e->router),
                                         w->now_us, &c->fingerprint) != 0;
         }
         if (held) {
-            w->crashes_told = true;
+            w->is_quarantine_noted = true;
             w->report.learned_ms =
-                (uint32_t)((w->now_us - c->third_us) / 1000);
+                (uint32_t)((w->now_us - c->third_crash_us) / 1000);
         }
     }
 }
@@ -318,7 +324,7 @@
 {
     bool any = false;
 
-    Outages_At(w, w->now_us + REPORT_US, EV_REPORT, NULL);
+    Outages_Schedule(w, w->now_us + REPORT_US, EV_REPORT, NULL);
     for (uint32_t i = 0; i < w->p->entries; i++) {
         any = any || w->p->limited_percent > 0 ||
               !GwQuarantine_IsEmpty(GwRouter_Quarantine(w->entries[i].router));
@@ -326,9 +332,9 @@
     for (uint32_t i = 0; any && i < w->p->entries; i++) {
         Entry *e = &w->entries[i];
         if (!OutageEntry_IsFrozen(e)) {
-            spread(e);
-            tell_due(e);
+            mark_changes(e);
+            send_due(e);
         }
     }
-    note_learned(w);
+    note_quarantined(w);
 }
--- a/tests/fakes/outages_internal.h
+++ b/tests/fakes/outages_internal.h
@@ -1,4 +1,4 @@
-/* What the parts of the outages share. */
+/* Internals of the outage simulation. */
 #ifndef GW_TESTS_FAKES_OUTAGES_INTERNAL_H
 #define GW_TESTS_FAKES_OUTAGES_INTERNAL_H
 
@@ -11,28 +11,30 @@
 
 #include <string.h>
 
-#define IDLE_SHARE    0.1 /* of what other servers get */
-#define LIMITS_MAX    128
-#define SUSPECTS_MAX  64 /* of one datagram */
-#define START_US      1000000
-#define NEAR_US       1000
-#define FAR_US        20000
-#define REGIONS       3
-#define SLOTS         6
-#define WORK_MIN_US   40000
-#define WORK_SPREAD   120000
-#define RESTART_US    2500000
-#define DARK_US       2000000
-#define SILENT_US     300000 /* until a connection attempt is given up */
-#define USER_TIMEOUT  1200000
-#define ROW_LAG_US    150000
-#define LAPSE_US      4500000 /* until the registry drops a dead server */
-#define REPORT_US     50000
-#define REPORTS_PER_S 40
-#define LOSS_PERMILLE 20
-/* Requests that come again and again. */
+/* A server is idle below this share of the average requests of the others. */
+#define IDLE_SHARE          0.1
+#define LIMITS_MAX          128
+#define SUSPECTS_MAX        64 /* per datagram */
+#define START_US            1000000
+#define SAME_REGION_US      1000
+#define CROSS_REGION_US     20000
+#define REGIONS             3
+#define SLOTS               6
+#define WORK_MIN_US         40000
+#define WORK_SPREAD_US      120000
+#define RESTART_US          2500000
+#define POWER_LOSS_US       2000000
+#define CONNECT_TIMEOUT_US  300000
+#define TCP_USER_TIMEOUT_US 1200000
+#define REGISTRY_LAG_US     150000
+/* Time until the registry drops a stopped server. */
+#define REGISTRY_EXPIRY_US 4500000
+#define REPORT_US          50000
+#define REPORTS_PER_S      40
+#define LOSS_PERMILLE      20
+/* Number of requests that recur. */
 #define POPULAR 12
-/* Of those that get half of all traffic, where params.hot. */
+/* Number of these that get 60 % of all traffic with params.hot. */
 #define HOT            2
 #define CRASHER_US     250000
 #define CONTACT_US     (OUTAGE_CONTACT_MS * 1000LL)
@@ -42,27 +44,28 @@
 typedef struct Attempt_s Attempt;
 
 typedef struct {
-    uint32_t number;
+    uint32_t index;
     char id[16];
     uint32_t region;
     char domain[16];
-    uint64_t born;
+    uint64_t born_ms;
     bool listening;
-    bool dark;
+    bool is_powered_off;
     bool draining;
-    bool says_nothing; /* of its drain */
-    GQueue running;    /* Attempt */
+    bool drains_silently; /* does not announce its drain */
+    GQueue running;       /* Attempt */
     bool is_limited;
-    int64_t limit_us; /* since when it names one */
-    GArray *arrivals; /* int64_t us, that count */
-    int64_t *told_us; /* each entry, by an answer that it passed on */
-    uint32_t got;     /* while limited, once entries had time */
-    uint32_t got_after;
+    int64_t limit_us;        /* since when a limit is stated; 0: never */
+    GArray *arrivals;        /* int64_t us, from entries that know the limit */
+    int64_t *limit_known_us; /* by entry: first answer with the limit */
+    /* Requests later than OUTAGE_CONTACT_MS after the limit was stated. */
+    uint32_t limited_requests;
+    uint32_t requests_after_limit;
 } Server;
 
 typedef struct {
     World *world;
-    uint32_t number;
+    uint32_t index;
     uint32_t region;
     GwRouter *router;
     GArray *actions;
@@ -70,15 +73,15 @@
     GwGossipPeer *limit_peers;
     uint32_t from;
     uint32_t next_peer;
-    int64_t spread_us;
-    int64_t limits_spread_us;
-    bool *hurry;
-    GHashTable *handles; /* GwServer that the core has not given up */
-    bool armed;
-    uint32_t life;
+    int64_t suspects_marked_us;
+    int64_t limits_marked_us;
+    bool *must_send;
+    GHashTable *handles; /* GwServer in use by the core */
+    bool is_tick_scheduled;
+    uint32_t incarnation;
     int64_t frozen_until_us;
     int64_t cut_until_us;
-    int64_t touch_us; /* the last fault that it had */
+    int64_t last_fault_us; /* end of the last fault */
 } Entry;
 
 typedef struct {
@@ -87,7 +90,7 @@
     char key[16];
     bool crashes;
     uint32_t crash_count;
-    int64_t third_us;
+    int64_t third_crash_us;
     uint32_t sends_after;
 } Content;
 
@@ -95,7 +98,7 @@
     World *world;
     Content *content;
     Entry *entry;
-    uint32_t life; /* of the entry */
+    uint32_t incarnation; /* of the entry */
     GwRequest *request;
     Attempt *attempt;
     bool own_content;
@@ -107,7 +110,7 @@
     Call *call;
     Server *server;
     GwServer *handle;
-    uint64_t born;
+    uint64_t born_ms;
     bool dropped;
     bool ended;
     GwAttemptEnd end;
@@ -116,42 +119,42 @@
 typedef struct {
     Entry *from;
     Entry *to;
-    uint64_t limits_sum;
+    uint64_t limits_checksum;
     uint32_t limit_count;
     GwLimit limits[LIMITS_MAX];
-    uint32_t to_life;
-    uint64_t sum;
+    uint32_t to_incarnation;
+    uint64_t checksum;
     uint32_t count;
     GwSuspect suspects[SUSPECTS_MAX];
 } Datagram;
 
 typedef struct {
     Entry *entry;
-    uint32_t life;
+    uint32_t incarnation;
     Server *server;
     GwServer *handle;
-    uint64_t born;
+    uint64_t born_ms;
 } Probe;
 
 typedef enum {
     EV_ARRIVE = 1,
     EV_CRASHER,
-    EV_COMEBACK,
+    EV_RETRY,
     EV_TICK,
-    EV_REACH,
-    EV_RAN,
+    EV_DELIVER,
+    EV_RUN_END,
     EV_ANSWER,
     EV_CRASH,
-    EV_BACK,
-    EV_ROW,
-    EV_LAPSE,
+    EV_RESTART,
+    EV_REGISTRY_ROW,
+    EV_REGISTRY_EXPIRY,
     EV_REPORT,
     EV_DATAGRAM,
-    EV_PROBED,
+    EV_PROBE_END,
     EV_OUTAGE,
     EV_ENTRY_FAULT,
     EV_LIMIT,
-    EV_LIMIT_OVER
+    EV_LIMIT_END
 } EventKind;
 
 typedef struct {
@@ -174,30 +177,31 @@
     GPtrArray *contents;
     GwRouting *routing;
     uint32_t outage_step;
-    uint64_t lost_permille;
-    uint64_t spoilt_permille;
+    uint64_t lost_answer_permille;
+    uint64_t invalid_answer_permille;
     uint64_t next_content;
-    bool crashes_told;
-    bool limits_over;
+    bool is_quarantine_noted;
+    bool have_limits_ended;
     OutageReport report;
 };
 
 /* outages.c */
-void Outages_At(World *w, int64_t when_us, EventKind kind, void *subject);
-uint32_t Outages_Below(World *w, uint32_t n);
+void Outages_Schedule(World *w, int64_t when_us, EventKind kind,
+                      void *subject);
+uint32_t Outages_RandomBelow(World *w, uint32_t n);
 bool Outages_Chance(World *w, uint64_t permille);
-int64_t Outages_WayUs(const Entry *entry, const Server *s);
+int64_t Outages_DelayUs(const Entry *entry, const Server *s);
 
 /* outages_entries.c */
 bool OutageEntry_IsFrozen(const Entry *e);
-bool OutageEntry_IsInTouch(const Entry *e);
+bool OutageEntry_IsReachable(const Entry *e);
 void OutageEntry_PutServer(Entry *e, const Server *s, bool draining);
 void OutageEntry_Start(World *w, Entry *e);
 void OutageEntry_Stop(Entry *e);
-GwRouting *Outages_MakeRouting(void);
+GwRouting *Outages_CreateRouting(void);
 
 /* outages_callers.c */
-Entry *Outages_AnyEntry(World *w);
+Entry *Outages_RandomEntry(World *w);
 void OutageCall_Arrive(Call *call);
 Content *Outages_NewContent(World *w, bool crashes, bool once);
 void Outages_NewCall(World *w);
@@ -207,29 +211,29 @@
 /* outages_servers.c */
 void OutageAttempt_AnswerAt(World *w, Attempt *a, int64_t when_us,
                             GwAttemptEnd end);
-GwAttemptEnd OutageAttempt_Broken(const Attempt *a);
+GwAttemptEnd OutageAttempt_ConnectionLost(const Attempt *a);
 void OutageServer_Crash(World *w, Server *s, int64_t restart_us);
-void OutageServer_GoDark(World *w, Server *s);
-void OutageServer_ComeBack(World *w, Server *s);
-void OutageServer_TellRow(World *w, const Server *s);
-void OutageServer_Lapse(World *w, const Server *s);
-void OutageAttempt_Reach(World *w, Attempt *a);
+void OutageServer_LosePower(World *w, Server *s);
+void OutageServer_Restart(World *w, Server *s);
+void OutageServer_SendRow(World *w, const Server *s);
+void OutageServer_Expire(World *w, const Server *s);
+void OutageAttempt_Deliver(World *w, Attempt *a);
 void OutageAttempt_Crash(World *w, Attempt *a);
-void OutageAttempt_Ran(World *w, Attempt *a);
-void Outages_LimitSome(World *w);
+void OutageAttempt_EndRun(World *w, Attempt *a);
+void Outages_StartLimits(World *w);
 void Outages_EndLimits(World *w);
-void Outages_SumUpLimits(World *w);
+void Outages_SummarizeLimits(World *w);
 
 /* outages_host.c */
 void OutageCall_Drop(Call *call);
-void OutageEntry_Carry(Entry *e);
+void OutageEntry_RunActions(Entry *e);
 void OutageAttempt_Answer(World *w, Attempt *a);
 void OutageProbe_End(World *w, Probe *p);
-void OutageDatagram_Take(World *w, Datagram *d);
+void OutageDatagram_Receive(World *w, Datagram *d);
 void Outages_Report(World *w);
 
 /* outages_faults.c */
-void Outages_PlayOutage(World *w);
-void Outages_PlayEntryFault(World *w);
+void Outages_InjectOutage(World *w);
+void Outages_InjectEntryFault(World *w);
 
 #endif
--- a/tests/fakes/outages_servers.c
+++ b/tests/fakes/outages_servers.c
@@ -1,4 +1,5 @@
-/* Backend servers: runs, ends and limits, and what the rules count. */
+/* Backend servers: runs, failures and limits, with the counts that are
+ * checked. */
 #include "fakes/outages_internal.h"
 
 void
@@ -7,30 +8,30 @@
     if (!a->ended) {
         a->ended = true;
         a->end = end;
-        Outages_At(w, when_us, EV_ANSWER, a);
+        Outages_Schedule(w, when_us, EV_ANSWER, a);
     }
 }
 
 GwAttemptEnd
-OutageAttempt_Broken(const Attempt *a)
+OutageAttempt_ConnectionLost(const Attempt *a)
 {
     return (GwAttemptEnd){.outcome = GW_ATTEMPT_LOST,
                           .closed = true,
                           .fingerprint = &a->call->content->fingerprint};
 }
 
-/* Its connections end; what ran is broken off. */
+/* Closes the connections of the server; running requests fail. */
 static void
-break_runs(World *w, Server *s, int64_t after_us)
+fail_runs(World *w, Server *s, int64_t after_us)
 {
     Attempt *a;
 
     while ((a = g_queue_pop_head(&s->running)) != NULL) {
         OutageAttempt_AnswerAt(w, a,
                                w->now_us + after_us +
-                                   Outages_WayUs(a->call->entry, s) +
-                                   Outages_Below(w, 2000),
-                               OutageAttempt_Broken(a));
+                                   Outages_DelayUs(a->call->entry, s) +
+                                   Outages_RandomBelow(w, 2000),
+                               OutageAttempt_ConnectionLost(a));
     }
 }
 
@@ -41,90 +42,93 @@
         return;
     }
     s->listening = false;
-    break_runs(w, s, 0);
+    fail_runs(w, s, 0);
     if (restart_us > 0) {
-        Outages_At(w, w->now_us + restart_us, EV_BACK, s);
+        Outages_Schedule(w, w->now_us + restart_us, EV_RESTART, s);
     }
-    Outages_At(w, w->now_us + LAPSE_US, EV_LAPSE, s);
+    Outages_Schedule(w, w->now_us + REGISTRY_EXPIRY_US, EV_REGISTRY_EXPIRY, s);
 }
 
-/* Power is lost: nothing is said until it is back, when connections that it
- * doesn't know are reset. */
+/* Loss of power: the server sends nothing until it restarts. Requests that ran
+ * fail after TCP_USER_TIMEOUT_US, the TCP user timeout. */
 void
-OutageServer_GoDark(World *w, Server *s)
+OutageServer_LosePower(World *w, Server *s)
 {
     if (!s->listening) {
         return;
     }
     s->listening = false;
-    s->dark = true;
-    break_runs(w, s, USER_TIMEOUT);
-    Outages_At(w, w->now_us + DARK_US + Outages_Below(w, 500000), EV_BACK, s);
+    s->is_powered_off = true;
+    fail_runs(w, s, TCP_USER_TIMEOUT_US);
+    Outages_Schedule(
+        w, w->now_us + POWER_LOSS_US + Outages_RandomBelow(w, 500000),
+        EV_RESTART, s);
 }
 
 void
-OutageServer_ComeBack(World *w, Server *s)
+OutageServer_Restart(World *w, Server *s)
 {
     s->listening = true;
-    s->dark = false;
+    s->is_powered_off = false;
     s->draining = false;
-    s->born++;
-    /* Another process: what the one before it named is over. */
+    s->born_ms++;
+    /* A new process: limits stated by the previous one are void. */
     s->limit_us = s->limit_us != 0 ? w->now_us : 0;
     g_array_set_size(s->arrivals, 0);
-    memset(s->told_us, 0, w->p->entries * sizeof(*s->told_us));
-    Outages_At(w, w->now_us + ROW_LAG_US, EV_ROW, s);
+    memset(s->limit_known_us, 0, w->p->entries * sizeof(*s->limit_known_us));
+    Outages_Schedule(w, w->now_us + REGISTRY_LAG_US, EV_REGISTRY_ROW, s);
 }
 
 void
-OutageServer_TellRow(World *w, const Server *s)
+OutageServer_SendRow(World *w, const Server *s)
 {
     for (uint32_t i = 0; i < w->p->entries; i++) {
         OutageEntry_PutServer(&w->entries[i], s,
-                              s->draining && !s->says_nothing);
+                              s->draining && !s->drains_silently);
     }
 }
 
 void
-OutageServer_Lapse(World *w, const Server *s)
+OutageServer_Expire(World *w, const Server *s)
 {
     for (uint32_t i = 0; !s->listening && i < w->p->entries; i++) {
         GwRouter_DropServer(w->entries[i].router, w->now_us, s->id,
                             w->entries[i].actions);
-        OutageEntry_Carry(&w->entries[i]);
+        OutageEntry_RunActions(&w->entries[i]);
     }
 }
 
 static void
-note_send(World *w, Attempt *a)
+count_send(World *w, Attempt *a)
 {
     Content *c = a->call->content;
     const Entry *e = a->call->entry;
 
-    if (c->third_us != 0 && w->now_us > c->third_us + CONTACT_US &&
-        OutageEntry_IsInTouch(e)) {
+    if (c->third_crash_us != 0 && w->now_us > c->third_crash_us + CONTACT_US &&
+        OutageEntry_IsReachable(e)) {
         c->sends_after++;
         w->report.sends_after = MAX(w->report.sends_after, c->sends_after);
     }
 }
 
-/* By the rule: what entries sent that had passed on an answer with the limit
- * half a second before, from `contact` after it was first named. */
+/* Counts requests to a limited server, from CONTACT_US after the limit was
+ * first stated. The rule covers entries that forwarded an answer with the
+ * limit at least 500 ms before. */
 static void
 count_limited(World *w, const Attempt *a)
 {
     Server *s = a->server;
     const Entry *e = a->call->entry;
-    int64_t told_us = s->told_us[e->number];
+    int64_t limit_known_us = s->limit_known_us[e->index];
     double most = 1.5 * 4 * w->p->limit_per_s + 5;
     guint old = 0;
 
     if (!s->is_limited || w->now_us < s->limit_us + CONTACT_US) {
         return;
     }
-    s->got++;
-    if (told_us == 0 || w->now_us - told_us < 500000 ||
-        !OutageEntry_IsInTouch(e)) {
+    s->limited_requests++;
+    if (limit_known_us == 0 || w->now_us - limit_known_us < 500000 ||
+        !OutageEntry_IsReachable(e)) {
         return;
     }
     g_array_append_val(s->arrivals, w->now_us);
@@ -139,14 +143,14 @@
 }
 
 void
-OutageAttempt_Reach(World *w, Attempt *a)
+OutageAttempt_Deliver(World *w, Attempt *a)
 {
     Server *s = a->server;
     Content *c = a->call->content;
-    int64_t back_us = w->now_us + Outages_WayUs(a->call->entry, s);
+    int64_t back_us = w->now_us + Outages_DelayUs(a->call->entry, s);
 
-    if (s->dark) {
-        OutageAttempt_AnswerAt(w, a, w->now_us + SILENT_US,
+    if (s->is_powered_off) {
+        OutageAttempt_AnswerAt(w, a, w->now_us + CONNECT_TIMEOUT_US,
                                (GwAttemptEnd){.outcome = GW_ATTEMPT_UNSENT});
         return;
     }
@@ -156,8 +160,8 @@
         return;
     }
     count_limited(w, a);
-    s->got_after += w->limits_over;
-    if (a->born != s->born) {
+    s->requests_after_limit += w->have_limits_ended;
+    if (a->born_ms != s->born_ms) {
         OutageAttempt_AnswerAt(w, a, back_us,
                                (GwAttemptEnd){.outcome = GW_ATTEMPT_REFUSED,
                                               .status = 421,
@@ -169,12 +173,14 @@
     }
     g_queue_push_tail(&s->running, a);
     if (c->crashes) {
-        note_send(w, a);
-        Outages_At(w, w->now_us + 5000 + Outages_Below(w, 90000), EV_CRASH, a);
+        count_send(w, a);
+        Outages_Schedule(w, w->now_us + 5000 + Outages_RandomBelow(w, 90000),
+                         EV_CRASH, a);
         return;
     }
-    Outages_At(w, w->now_us + WORK_MIN_US + Outages_Below(w, WORK_SPREAD),
-               EV_RAN, a);
+    Outages_Schedule(
+        w, w->now_us + WORK_MIN_US + Outages_RandomBelow(w, WORK_SPREAD_US),
+        EV_RUN_END, a);
 }
 
 void
@@ -182,20 +188,21 @@
 {
     Content *c = a->call->content;
 
-    if (a->ended || a->born != a->server->born || !a->server->listening) {
+    if (a->ended || a->born_ms != a->server->born_ms ||
+        !a->server->listening) {
         return;
     }
     w->report.crashes++;
     if (++c->crash_count == 3) {
-        c->third_us = w->now_us;
+        c->third_crash_us = w->now_us;
     }
     OutageServer_Crash(w, a->server, RESTART_US);
 }
 
 void
-OutageAttempt_Ran(World *w, Attempt *a)
+OutageAttempt_EndRun(World *w, Attempt *a)
 {
-    int64_t back_us = w->now_us + Outages_WayUs(a->call->entry, a->server);
+    int64_t back_us = w->now_us + Outages_DelayUs(a->call->entry, a->server);
     GwAttemptEnd good = {
         .outcome = GW_ATTEMPT_ANSWERED,
         .status = 200,
@@ -206,10 +213,10 @@
     if (a->ended || !g_queue_remove(&a->server->running, a)) {
         return;
     }
-    if (Outages_Chance(w, w->lost_permille)) {
-        OutageAttempt_AnswerAt(w, a, back_us, OutageAttempt_Broken(a));
+    if (Outages_Chance(w, w->lost_answer_permille)) {
+        OutageAttempt_AnswerAt(w, a, back_us, OutageAttempt_ConnectionLost(a));
     }
-    else if (Outages_Chance(w, w->spoilt_permille)) {
+    else if (Outages_Chance(w, w->invalid_answer_permille)) {
         OutageAttempt_AnswerAt(w, a, back_us,
                                (GwAttemptEnd){.outcome = GW_ATTEMPT_LOST});
     }
@@ -219,11 +226,11 @@
 }
 
 void
-Outages_LimitSome(World *w)
+Outages_StartLimits(World *w)
 {
     for (uint32_t i = 0; i < w->p->servers; i++) {
         Server *s = &w->servers[i];
-        s->is_limited = Outages_Below(w, 100) < w->p->limited_percent;
+        s->is_limited = Outages_RandomBelow(w, 100) < w->p->limited_percent;
         s->limit_us = s->is_limited ? w->now_us : 0;
     }
 }
@@ -234,14 +241,14 @@
     for (uint32_t i = 0; i < w->p->servers; i++) {
         w->servers[i].is_limited = false;
     }
-    w->limits_over = true;
+    w->have_limits_ended = true;
 }
 
 void
-Outages_SumUpLimits(World *w)
+Outages_SummarizeLimits(World *w)
 {
     double seconds = w->p->seconds - 2.0 - OUTAGE_CONTACT_MS / 1000.0;
-    double got = 0;
+    double limited_requests = 0;
     double limited = 0;
     double after = 0;
     double after_all = 0;
@@ -249,20 +256,21 @@
 
     for (uint32_t i = 0; i < w->p->servers; i++) {
         const Server *s = &w->servers[i];
-        got += s->got;
+        limited_requests += s->limited_requests;
         limited += s->limit_us != 0;
-        after += s->limit_us != 0 ? s->got_after : 0;
-        others += s->limit_us == 0 ? s->got_after : 0;
-        after_all += s->got_after;
+        after += s->limit_us != 0 ? s->requests_after_limit : 0;
+        others += s->limit_us == 0 ? s->requests_after_limit : 0;
+        after_all += s->requests_after_limit;
     }
     if (limited > 0 && w->p->limit_per_s > 0) {
-        w->report.limit_used = got / (limited * seconds * w->p->limit_per_s);
+        w->report.limit_used =
+            limited_requests / (limited * seconds * w->p->limit_per_s);
     }
-    for (uint32_t i = 0; i < w->p->servers && w->limits_over; i++) {
+    for (uint32_t i = 0; i < w->p->servers && w->have_limits_ended; i++) {
         const Server *s = &w->servers[i];
         double usual = others / (w->p->servers - limited);
         w->report.after_idle +=
-            s->limit_us != 0 && s->got_after < IDLE_SHARE * usual;
+            s->limit_us != 0 && s->requests_after_limit < IDLE_SHARE * usual;
     }
     if (after_all > 0 && limited > 0) {
         w->report.after_used = after / after_all / (limited / w->p->servers);
--- a/tests/fakes/platform.c
+++ b/tests/fakes/platform.c
@@ -12,10 +12,10 @@
 #include <xxhash.h>
 
 struct FakePlatform_s {
-    pthread_mutex_t lock; /* guards all below */
+    pthread_mutex_t lock; /* guards all fields below */
     GsTable *table;
     uint64_t version;
-    GString *instances; /* the array without its brackets */
+    GString *instances; /* elements of the JSON array */
     char address[GW_ADDR_MAX];
     GsHttpOptions options;
     struct mg_context *http;
@@ -137,7 +137,7 @@
     };
     p->http = GsHttp_Start(&p->options);
     if (p->http == NULL) {
-        g_error("cannot listen");
+        g_error("cannot listen on the reserved ports");
     }
     return p;
 }
@@ -218,7 +218,7 @@
     b->options = options;
     b->http = GsHttp_Start(options);
     if (b->http == NULL) {
-        g_error("cannot listen");
+        g_error("cannot listen on the reserved ports");
     }
 }
 
--- a/tests/fakes/platform.h
+++ b/tests/fakes/platform.h
@@ -1,5 +1,5 @@
-/* The platform in memory behind HTTP, and backend servers that a test
- * directs: what a real GwRuntime needs around it. */
+/* Environment of a real GwRuntime: an in-memory platform served over HTTP, and
+ * backend servers with a request handler of the test. */
 #ifndef GW_TESTS_FAKES_PLATFORM_H
 #define GW_TESTS_FAKES_PLATFORM_H
 
@@ -17,8 +17,8 @@
 void FakePlatform_SetConfig(FakePlatform *p, const char *text);
 uint64_t FakePlatform_ConfigVersion(FakePlatform *p);
 
-/* One HTTP server that plays backend servers on several ports. Every request
- * except a health reading goes to the handler, with `ctx`. */
+/* One HTTP server that serves several backend servers, one per port. Requests
+ * other than health checks are passed to the handler with `ctx`. */
 #define FAKE_BACKENDS_MAX 4
 typedef struct {
     uint32_t count;
@@ -34,19 +34,19 @@
                         mg_request_handler handler, void *ctx);
 void FakeBackends_Stop(FakeBackends *b);
 
-/* One daemon in this process. */
+/* One entry that runs in this process. */
 typedef struct {
     char call_address[GW_ADDR_MAX];
     GwSettings *settings;
-    char *dir; /* of its secrets */
+    char *dir; /* holds the key and token files */
     GwRuntime *rt;
 } FakeEntry;
 
-/* Lists itself with the platform. `more` is "" or further settings, each
- * with a comma before it. */
+/* Starts an entry and adds it to the platform's list of instances. `more` is
+ * "" or further JSON settings, each preceded by a comma. */
 void FakeEntry_Start(FakeEntry *e, FakePlatform *p, const char *name,
                      const char *region, const char *more);
-/* Ends it at once, unless `rt` is NULL already. */
+/* Stops the entry at once; `rt` may be NULL. */
 void FakeEntry_Stop(FakeEntry *e);
 
 #endif
--- a/tests/fakes/raw_server.c
+++ b/tests/fakes/raw_server.c
@@ -26,7 +26,7 @@
     atomic_uint requests;
 };
 
-/* Reads one whole request; false at the end of the connection. */
+/* Reads one complete request; false when the connection is closed. */
 static bool
 read_request(int fd)
 {
@@ -129,7 +129,7 @@
     server->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (bind(server->fd, (struct sockaddr *)&at, len) != 0 ||
         listen(server->fd, 16) != 0) {
-        g_error("cannot listen");
+        g_error("cannot listen on a loopback port");
     }
     getsockname(server->fd, (struct sockaddr *)&at, &len);
     snprintf(server->address, sizeof(server->address), "127.0.0.1:%u",
--- a/tests/fakes/raw_server.h
+++ b/tests/fakes/raw_server.h
@@ -1,5 +1,5 @@
-/* A backend server as raw bytes: what each connection does is a list of
- * steps, one a request. */
+/* A backend server that sends scripted bytes: each connection executes a list
+ * of steps, one per request. */
 #ifndef GW_TESTS_FAKES_RAW_SERVER_H
 #define GW_TESTS_FAKES_RAW_SERVER_H
 
@@ -7,11 +7,11 @@
 #include <stdint.h>
 
 typedef enum {
-    RAW_END = 0, /* no more requests expected: wait for the client */
-    RAW_ANSWER,  /* read a request, send the text, go on */
+    RAW_END = 0, /* no more requests: wait until the client closes */
+    RAW_ANSWER,  /* read a request, send the text, continue */
     RAW_CUT,     /* read a request, send the text, close */
     RAW_CLOSE,   /* close without reading */
-    RAW_STALL    /* read a request and say nothing until the end */
+    RAW_STALL    /* read a request and never answer */
 } RawKind;
 
 typedef struct {
--- a/tests/fakes/scenario.c
+++ b/tests/fakes/scenario.c
@@ -14,7 +14,7 @@
 #define CLOSED_US      (5 * FAKE_SEC)
 #define SLOTS          3
 
-/* ---- callers ------------------------------------------------------------------ */
+/* ---- callers ----------------------------------------------------------- */
 
 static void
 send_call(FakeRun *r, uint32_t node)
@@ -35,8 +35,8 @@
     g_array_append_val(r->pending, index);
 }
 
-/* Callers resend the same ticket: to the same entry or to another one, after
- * a refusal, after "unknown", and sometimes while the first still runs. */
+/* Resends a ticket to the same or another entry: after a refusal, after an
+ * unknown outcome, and sometimes while the first send still runs. */
 static void
 maybe_resend(FakeRun *r, const FakeCallerCall *call)
 {
@@ -58,7 +58,7 @@
     g_array_append_val(r->pending, index);
 }
 
-/* A caller that loses patience closes its connection, waiting or not. */
+/* Closes the connection of a caller, whether its call still waits or runs. */
 static void
 maybe_hang_up(FakeRun *r, uint32_t index)
 {
@@ -70,7 +70,7 @@
 }
 
 static void
-look_at_pending(FakeRun *r)
+check_pending(FakeRun *r)
 {
     for (guint i = 0; i < r->pending->len;) {
         uint32_t index = g_array_index(r->pending, uint32_t, i);
@@ -92,10 +92,9 @@
     }
 }
 
-/* A caller that lost track comes back long after, when the ticket's record
- * may have been dropped. */
+/* Resends an old ticket, whose record may have been dropped. */
 static void
-resend_an_old_one(FakeRun *r)
+maybe_resend_old(FakeRun *r)
 {
     if (r->c->calls->len == 0 || GwRng_Below(&r->rng, 10) != 0) {
         return;
@@ -122,10 +121,10 @@
     }
 }
 
-/* ---- the run ------------------------------------------------------------------- */
+/* ---- the run ----------------------------------------------------------- */
 
-/* Shifts above the cap. While a lowered cap spreads, the higher one may
- * still be in force somewhere; the promise is "within seconds". */
+/* Counts shifts above their cap. While a lowered cap propagates, the old cap
+ * may still be in force at some entry; the guarantee is "within seconds". */
 static uint32_t
 count_over_cap(const FakeRun *r)
 {
@@ -147,8 +146,8 @@
     return over;
 }
 
-/* Entries that live, can be reached, and have an older version in force than
- * one accepted SPREAD_US ago or more. */
+/* Counts running, reachable entries whose version is older than one accepted
+ * SPREAD_US ago or more. */
 static uint32_t
 count_slow_spread(FakeRun *r)
 {
@@ -156,16 +155,16 @@
 
     for (uint32_t i = 0; i < NODES; i++) {
         if (!FakeRun_IsReachable(r, i)) {
-            r->reached_us[i] = r->c->now_us;
+            r->reachable_us[i] = r->c->now_us;
         }
-        int64_t since = MAX(r->reached_us[i], r->changed_us);
+        int64_t since = MAX(r->reachable_us[i], r->changed_us);
         slow += r->c->nodes[i].config_version < r->version &&
                 r->c->now_us - since > SPREAD_US;
     }
     return slow;
 }
 
-/* Servers that an operator closed and that began a call after the bound. */
+/* Counts servers closed by an operator that started a call after the bound. */
 static uint32_t
 count_late_work(const FakeRun *r)
 {
@@ -184,8 +183,8 @@
 {
     uint32_t over = 0;
 
-    if (r->fewer_us == 0 ||
-        r->c->now_us - r->fewer_us <= 6 * FAKE_SEC + DEADLINE_US) {
+    if (r->lowered_slots_us == 0 ||
+        r->c->now_us - r->lowered_slots_us <= 6 * FAKE_SEC + DEADLINE_US) {
         return 0;
     }
     for (uint32_t i = 0; i < r->c->backends->len; i++) {
@@ -195,7 +194,7 @@
 }
 
 static void
-watch_promises(FakeRun *r, FakeVerdict *v)
+check_guarantees(FakeRun *r, FakeVerdict *v)
 {
     v->over_cap = MAX(v->over_cap, count_over_cap(r));
     v->slow_spread = MAX(v->slow_spread, count_slow_spread(r));
@@ -221,22 +220,22 @@
                 FakeRun_SetFault(r, i, want);
             }
         }
-        if (r->unaccepted) {
+        if (r->must_retry_change) {
             FakeRun_AcceptChange(r, r->operator_node);
         }
         if (at < end) {
             load_step(r);
         }
-        look_at_pending(r);
+        check_pending(r);
         if (at < end + SETTLE_US - 3 * DEADLINE_US) {
-            resend_an_old_one(r);
+            maybe_resend_old(r);
         }
-        watch_promises(r, v);
+        check_guarantees(r, v);
     }
 }
 
 static void
-judge_nodes(const FakeRun *r, FakeVerdict *v)
+check_nodes(const FakeRun *r, FakeVerdict *v)
 {
     const GwRow *head = g_hash_table_lookup(r->c->rows, "config/head");
     uint64_t version = g_ascii_strtoull(head->value, NULL, 10);
@@ -255,7 +254,8 @@
     }
 }
 
-/* Short lives of tickets, so that a run of a minute sees records expire. */
+/* Shortens the ticket lifetime, so that records expire within a run of a
+ * minute. */
 static void
 tune(GwNodeParams *params)
 {
@@ -275,7 +275,7 @@
                               .slots = SLOTS,
                               .cap = CAP,
                               .seats = 12,
-                              .region = FakeRun_Victim(&r, 0) % REGIONS};
+                              .region = FakeRun_FaultNode(&r, 0) % REGIONS};
     char *text = FakeConfig_Build(&r.spec);
     FakeClusterParams params = {.seed = scenario->seed,
                                 .node_count = NODES,
@@ -294,7 +294,7 @@
     FakeCluster_Run(r.c, r.c->now_us + WARM_UP_US);
     run_load(&r, &v);
     v.judgement = FakeCluster_Judge(r.c);
-    judge_nodes(&r, &v);
+    check_nodes(&r, &v);
 
     FakeCluster_Free(r.c);
     g_array_free(r.pending, TRUE);
--- a/tests/fakes/scenario.h
+++ b/tests/fakes/scenario.h
@@ -1,12 +1,12 @@
-/* Nine entries in three regions under load, with two faults at once, judged
- * against every line that must always hold. Used by the pairs of failures
- * and by the properties over whole nodes. */
+/* Simulates nine entries in three regions under load with two simultaneous
+ * faults, and checks all guarantees. Used by the fault pairs and by the
+ * properties of whole nodes. */
 #ifndef FAKES_SCENARIO_H
 #define FAKES_SCENARIO_H
 
 #include "fakes/cluster.h"
 
-/* The brief's failures, each for some seconds. X(symbol, name) */
+/* Faults, each for some seconds. X(symbol, name) */
 #define FAKE_FAULT_TABLE(X)                                                   \
     X(NONE, "none")                                                           \
     X(REPORTS_STOP, "reports-stop")                                           \
@@ -52,25 +52,26 @@
     uint64_t seed;
     FakeFault faults[2];
     int64_t begin_us[2];  /* after the warm-up */
-    int64_t last_us[2];   /* how long */
-    uint32_t calls_per_s; /* of each entry */
+    int64_t last_us[2];   /* duration */
+    uint32_t calls_per_s; /* per entry */
 } FakeScenario;
 
-/* Which promises were broken: 0 is a pass. */
+/* Violated guarantees: all counts but `shifted` must be 0. */
 typedef struct {
     FakeJudgement judgement;
-    uint32_t over_cap;      /* shifts that ran above their cap */
-    uint32_t version_falls; /* entries whose configuration went back */
-    uint32_t behind;        /* live entries not at the head at the end */
-    uint32_t slow_spread;   /* live, reachable entries 5 s behind a change */
-    uint32_t late_work;    /* servers that began work 4 s after being closed */
+    uint32_t over_cap;      /* shifted calls above their cap */
+    uint32_t version_falls; /* entries whose configuration version decreased */
+    uint32_t
+        behind; /* running entries without the newest version at the end */
+    uint32_t slow_spread; /* running, reachable entries 5 s behind a change */
+    uint32_t late_work; /* servers that started calls 4 s after being closed */
     uint32_t over_lowered; /* servers above a lowered slot count */
-    uint32_t idle_seats;   /* regions whose seats did not come back */
-    uint32_t shifted;      /* calls that ran in another region: not a fault */
+    uint32_t idle_seats;   /* regions whose seats were not recovered */
+    uint32_t shifted;      /* calls that ran in another region; no violation */
 } FakeVerdict;
 
 FakeVerdict FakeScenario_Run(const FakeScenario *scenario);
-/* Number of broken promises. */
+/* Number of violated guarantees. */
 uint32_t FakeVerdict_Violations(const FakeVerdict *verdict);
 void FakeVerdict_Print(const FakeVerdict *verdict, const char *title);
 
--- a/tests/fakes/scenario_faults.c
+++ b/tests/fakes/scenario_faults.c
@@ -1,9 +1,10 @@
-/* The faults of a scenario: what each does, and takes back at its end. */
+/* Faults of a scenario: each is applied at its start and reverted at its
+ * end. */
 #include "fakes/scenario_internal.h"
 
 #include <string.h>
 
-/* Longer than a hold-off of a seat, and than the term of a loan. */
+/* Longer than the hold-off of a seat and the term of a loan. */
 #define STORE_LONG_US (20 * FAKE_SEC)
 #define PAUSE_LONG_US (12 * FAKE_SEC)
 
@@ -23,7 +24,7 @@
 }
 
 uint32_t
-FakeRun_Victim(const FakeRun *r, int which)
+FakeRun_FaultNode(const FakeRun *r, int which)
 {
     return (uint32_t)((r->scenario->seed >> (8 * which)) % NODES);
 }
@@ -67,9 +68,9 @@
         break;
     case FAKE_FAULT_SILENT:
         b->silent = on;
-        /* While it is silent nobody can tell that it drains: no answer, no
-         * reading of its endpoint. The bound counts from the first sign
-         * (backend-silent+backend-drains of one server, seed 7). */
+        /* A silent server sends no answer and no health report, so the
+         * drain is invisible. The bound counts from the first visible
+         * sign (backend-silent+backend-drains of one server, seed 7). */
         if (!on && b->draining) {
             b->draining_since_us = r->c->now_us;
         }
@@ -80,7 +81,7 @@
     case FAKE_FAULT_SLOW:
         b->slow_factor = on ? 8 : 1;
         break;
-    default: /* DRAIN: it does not come back */
+    default: /* DRAIN: the server does not return */
         if (on) {
             b->draining = true;
             b->draining_since_us = r->c->now_us;
@@ -153,7 +154,7 @@
 }
 
 static void
-set_since(const FakeRun *r, int64_t *since_us, bool on)
+set_or_clear(const FakeRun *r, int64_t *since_us, bool on)
 {
     if (!on) {
         *since_us = 0;
@@ -163,35 +164,35 @@
     }
 }
 
-/* Since when each promise of the change just accepted counts. What several
- * changes close stays closed until the last of them is undone. */
+/* Records when each guarantee of the change just accepted starts to apply. A
+ * server closed by several changes stays closed until the last is reverted. */
 static void
 note_bounds(FakeRun *r)
 {
     const FakeConfigSpec *spec = &r->spec;
 
-    set_since(r, &r->lowered_us, spec->cap == LOWERED_CAP);
-    set_since(r, &r->fewer_us, spec->lowered_slots);
+    set_or_clear(r, &r->lowered_us, spec->cap == LOWERED_CAP);
+    set_or_clear(r, &r->lowered_slots_us, spec->lowered_slots);
     for (uint32_t i = 0; i < REGIONS; i++) {
         bool here = i == spec->region;
         bool place = spec->without_service ||
                      (here && (spec->drain_place || spec->without_place));
         for (uint32_t k = 0; k < BACKENDS; k++) { /* of service s0 */
             bool one = here && k == 0 && spec->without_backend;
-            set_since(r, &r->closed_us[i * BACKENDS + k], place || one);
+            set_or_clear(r, &r->closed_us[i * BACKENDS + k], place || one);
         }
     }
 }
 
-/* The configuration as it stands is accepted as the next version, and its
- * first reader is an entry that an operator can reach. While the table is
- * away nothing can be accepted: the operator tries again. */
+/* Writes the current configuration as the next version, through an entry that
+ * the operator can reach. While the table is unavailable no change is
+ * accepted, and the operator retries. */
 void
 FakeRun_AcceptChange(FakeRun *r, uint32_t node)
 {
-    r->unaccepted = r->c->store == FAKE_STORE_AWAY;
+    r->must_retry_change = r->c->store == FAKE_STORE_AWAY;
     r->operator_node = node;
-    if (r->unaccepted) {
+    if (r->must_retry_change) {
         return;
     }
     char *text = FakeConfig_Build(&r->spec);
@@ -205,7 +206,7 @@
     g_free(text);
 }
 
-/* Each of these is an operator's change, and its end another. */
+/* Faults by configuration: start and end are one operator's change each. */
 static void
 set_config(FakeRun *r, FakeFault fault, uint32_t node, bool on)
 {
@@ -261,7 +262,7 @@
 FakeRun_SetFault(FakeRun *r, int which, bool on)
 {
     FakeFault fault = r->scenario->faults[which];
-    uint32_t node = FakeRun_Victim(r, which);
+    uint32_t node = FakeRun_FaultNode(r, which);
     uint32_t region = node % REGIONS;
 
     switch (fault) {
--- a/tests/fakes/steering.c
+++ b/tests/fakes/steering.c
@@ -139,8 +139,8 @@
 }
 
 static void
-put(FakeSteering *f, const char *id, const char *region, const char *domain,
-    uint32_t slots, bool draining, uint32_t cold_ms)
+put_server(FakeSteering *f, const char *id, const char *region,
+           const char *domain, uint32_t slots, bool draining, uint32_t cold_ms)
 {
     GwServerInfo info = FakeSteering_Info(id, "s", region, domain, slots);
 
@@ -155,7 +155,7 @@
                  const char *domain, uint32_t slots)
 {
     server_named(f, id)->listed = true;
-    put(f, id, region, domain, slots, false, 0);
+    put_server(f, id, region, domain, slots, false, 0);
 }
 
 void
@@ -165,7 +165,7 @@
 
     s->draining = true;
     s->draining_us = f->now_us;
-    put(f, id, f->params.region, f->params.domain, 2, true, 0);
+    put_server(f, id, f->params.region, f->params.domain, 2, true, 0);
 }
 
 void
@@ -180,13 +180,13 @@
 FakeSteering_SetCold(FakeSteering *f, const char *id, uint32_t ms)
 {
     server_named(f, id)->cold_until_us = f->now_us + (int64_t)ms * 1000;
-    put(f, id, f->params.region, f->params.domain, 2, false, ms);
+    put_server(f, id, f->params.region, f->params.domain, 2, false, ms);
 }
 
-/* ---- Carrying out -------------------------------------------------------- */
+/* ---- Execution of actions ---------------------------------------------- */
 
 static void
-say(FakeSteering *f, const char *what, const FakeRequest *req)
+note_violation(FakeSteering *f, const char *what, const FakeRequest *req)
 {
     g_string_append_printf(f->broken, "%s (%s, %u sends)\n", what,
                            req->idempotent ? "again" : "once", req->sends);
@@ -198,26 +198,28 @@
     FakeServer *s = server_named(f, GwServer_Id(act->server));
 
     if (req->over) {
-        say(f, "sent after its end", req);
+        note_violation(f, "sent after its end", req);
     }
     if (req->server != NULL) {
-        say(f, "sent twice at once", req);
+        note_violation(f, "sent twice at once", req);
     }
     if (req->may_have_run && !req->idempotent) {
-        say(f, "at most once: sent again though it may have run", req);
+        note_violation(f, "at most once: sent again though it may have run",
+                       req);
     }
     if (s->draining) {
-        say(f, "sent to a server that leaves", req);
+        note_violation(f, "sent to a server that leaves", req);
     }
     if (f->end_us > 0 && f->now_us >= f->end_us) {
-        say(f, "sent when the stop was over", req);
+        note_violation(f, "sent when the stop was over", req);
     }
-    /* A server counts that time from the start of the run, and keeps the
-     * request in its queue for as long at most. */
+    /* The server measures `left_ms` from the start of the run, and the request
+     * may wait in the queue for the same time at most. */
     else if (f->end_us > 0 &&
              MIN(req->until_us, f->now_us + 2 * (int64_t)act->left_ms * 1000) >
                  f->end_us) {
-        say(f, "given a server's time beyond the end of the stop", req);
+        note_violation(f, "given a server's time beyond the end of the stop",
+                       req);
     }
     req->sends++;
     if (req->servers > 0) {
@@ -234,16 +236,17 @@
 }
 
 static void
-on_over(FakeSteering *f, FakeRequest *req, const GwRouterAction *act)
+on_end(FakeSteering *f, FakeRequest *req, const GwRouterAction *act)
 {
     if (req->over) {
-        say(f, "ended twice", req);
+        note_violation(f, "ended twice", req);
     }
     if (act->kind == GW_ROUTER_REPLY) {
         req->status = act->status;
         req->retry_after_ms = act->retry_after_ms;
         if (act->status == 503 && (req->may_have_run || req->server)) {
-            say(f, "refusal is true: 503 though it may have run", req);
+            note_violation(f, "refusal is true: 503 though it may have run",
+                           req);
         }
     }
     req->over = true;
@@ -251,9 +254,9 @@
 }
 
 static void
-carry_one(FakeSteering *f, const GwRouterAction *act)
+run_action(FakeSteering *f, const GwRouterAction *act)
 {
-    FakeRequest *req = act->user; /* NULL for notes of a server */
+    FakeRequest *req = act->user; /* NULL for actions about a server */
 
     switch (act->kind) {
     case GW_ROUTER_ACCEPT:
@@ -268,7 +271,7 @@
         break;
     case GW_ROUTER_ANSWER:
     case GW_ROUTER_REPLY:
-        on_over(f, req, act);
+        on_end(f, req, act);
         break;
     case GW_ROUTER_PROBE:
     case GW_ROUTER_DROP_SERVER:
@@ -283,7 +286,7 @@
 {
     for (guint i = 0; i < f->actions->len; i++) {
         GwRouterAction act = g_array_index(f->actions, GwRouterAction, i);
-        carry_one(f, &act);
+        run_action(f, &act);
     }
     g_array_set_size(f->actions, 0);
 }
--- a/tests/golden/golden.c
+++ b/tests/golden/golden.c
@@ -1,6 +1,6 @@
-/* Prints a fixed session of whole nodes on virtual time, one line an event:
- * milliseconds, who, what. tests/golden/NAME.txt holds what it has to print;
- * `make golden` writes these files anew.
+/* Prints a fixed session of whole nodes on virtual time, one line per event:
+ * milliseconds, node, event. tests/golden/NAME.txt holds the expected output;
+ * `make golden` regenerates these files.
  * usage: golden NAME | golden --list */
 #include "common/log_events.h"
 #include "fakes/cluster_internal.h"
@@ -12,7 +12,7 @@
 #define WARM_UP_US  (8 * FAKE_SEC)
 #define DEADLINE_US (2 * FAKE_SEC)
 
-/* ---- lines ------------------------------------------------------------------ */
+/* ---- lines ------------------------------------------------------------- */
 
 static void
 begin_line(const FakeCluster *c, const char *who)
@@ -22,13 +22,13 @@
 }
 
 static void
-say(const FakeCluster *c, const char *text)
+print_remark(const FakeCluster *c, const char *text)
 {
     begin_line(c, "--");
     printf("%s\n", text);
 }
 
-/* The key of the caller behind a host's handle. */
+/* Key of the call with a host's handle; 0 if unknown. */
 static uint64_t
 key_of(const FakeCluster *c, uint64_t handle)
 {
@@ -93,9 +93,9 @@
     }
 }
 
-/* Gossip, loans and mere reads would drown the rest. */
+/* Prints an action. Gossip, loans and table reads are omitted for brevity. */
 static void
-see(FakeCluster *c, uint32_t node, const GwAction *action)
+print_visible_action(FakeCluster *c, uint32_t node, const GwAction *action)
 {
     bool hidden = action->kind == GW_ACTION_SEND ||
                   action->kind == GW_ACTION_PUBLISH ||
@@ -109,7 +109,7 @@
 }
 
 static void
-see_versions(FakeCluster *c)
+print_version_changes(FakeCluster *c)
 {
     uint64_t *known = c->watch_ctx;
     for (uint32_t i = 0; i < c->params.node_count; i++) {
@@ -122,7 +122,7 @@
     }
 }
 
-/* ---- sessions ------------------------------------------------------------------ */
+/* ---- sessions ---------------------------------------------------------- */
 
 static void
 run_for(FakeCluster *c, int64_t us)
@@ -136,46 +136,47 @@
     char text[64];
     g_snprintf(text, sizeof(text), "call %" PRIu64 " sent to entry-%u%s", key,
                node, ticket != NULL ? ", with its ticket" : "");
-    say(c, text);
+    print_remark(c, text);
     FakeCluster_Call(c, node, "s0", ticket == NULL, ticket, key,
                      c->now_us + DEADLINE_US);
 }
 
-/* The booking runs once; its resend to another entry gets the kept answer
- * from the owner; when the owner is gone, nobody may run it again. */
+/* The call runs once. A resend to another entry gets the stored answer from
+ * the owner; after the owner crashed, no entry may run the call again. */
 static void
-booking(FakeCluster *c, const char *config)
+resend_after_crash(FakeCluster *c, const char *config)
 {
     GwTicket ticket;
     FakeCluster_Mint(c, 0, &ticket);
     call(c, 0, 1, &ticket);
     run_for(c, FAKE_SEC);
-    say(c, "the caller lost the answer and resends");
+    print_remark(c, "the caller lost the answer and resends");
     call(c, 1, 1, &ticket);
     run_for(c, FAKE_SEC);
-    say(c, "entry-0 crashes");
+    print_remark(c, "entry-0 crashes");
     FakeCluster_Crash(c, 0);
     call(c, 1, 1, &ticket);
     run_for(c, 6 * FAKE_SEC);
     call(c, 2, 1, &ticket);
     run_for(c, 20 * FAKE_SEC);
-    say(c, "entry-0 starts again");
+    print_remark(c, "entry-0 starts again");
     FakeCluster_Start(c, 0);
     run_for(c, 5 * FAKE_SEC);
     call(c, 0, 1, &ticket);
     run_for(c, FAKE_SEC);
 }
 
-/* It ends what it holds, hands its seats over, and takes nothing new. */
+/* A stopping entry completes its calls, hands over its seats and accepts no
+ * new calls. */
 static void
-leave(FakeCluster *c, const char *config)
+stop_gracefully(FakeCluster *c, const char *config)
 {
     GwTicket tickets[2];
     FakeCluster_Mint(c, 2, &tickets[0]);
     FakeCluster_Mint(c, 2, &tickets[1]);
     call(c, 2, 1, &tickets[0]);
     run_for(c, 5 * FAKE_MS);
-    say(c, "entry-2 is told to leave");
+    print_remark(c, "entry-2 is told to leave");
     FakeCluster_Leave(c, 2);
     call(c, 2, 2, &tickets[1]);
     run_for(c, 10 * FAKE_SEC);
@@ -185,7 +186,7 @@
 }
 
 static char *
-drained(const char *config)
+drained_config(const char *config)
 {
     static const char place[] = "{\"service\":\"s0\",\"region\":\"r0\",";
     const char *at = strstr(config, place);
@@ -196,14 +197,14 @@
     return g_string_free(text, FALSE);
 }
 
-/* Entry 0 and 2 are of r0, entry 1 of r1. Work goes over as grants come. */
+/* Entries 0 and 2 are in r0, entry 1 in r1. Calls shift as grants arrive. */
 static void
 drain_place(FakeCluster *c, const char *config)
 {
-    char *text = drained(config);
+    char *text = drained_config(config);
     call(c, 0, 1, NULL);
     run_for(c, 5 * FAKE_MS);
-    say(c, "an operator drains place s0 of r0");
+    print_remark(c, "an operator drains place s0 of r0");
     FakeCluster_Change(c, text, 2);
     run_for(c, 200 * FAKE_MS);
     call(c, 0, 2, NULL);
@@ -211,7 +212,7 @@
     call(c, 0, 3, NULL);
     call(c, 2, 4, NULL);
     run_for(c, FAKE_SEC);
-    say(c, "the drain is taken back");
+    print_remark(c, "the drain is taken back");
     FakeCluster_Change(c, config, 0);
     run_for(c, 3 * FAKE_SEC);
     call(c, 0, 5, NULL);
@@ -219,24 +220,25 @@
     g_free(text);
 }
 
-/* The change is in the table and at one entry; peers spread it, also to an
- * entry that starts while the store is away and can't hold seats yet. */
+/* The change is in the table and at one entry. Peers propagate it, also to
+ * an entry that starts while the store is unavailable and can't hold seats
+ * yet. */
 static void
-store_away(FakeCluster *c, const char *config)
+store_unavailable(FakeCluster *c, const char *config)
 {
-    char *text = drained(config);
-    say(c, "the change is accepted, and the store goes away");
+    char *text = drained_config(config);
+    print_remark(c, "the change is accepted, and the store goes away");
     FakeCluster_Change(c, text, 0);
     c->store = FAKE_STORE_AWAY;
     run_for(c, FAKE_SEC);
-    say(c, "entry-2 crashes and starts again");
+    print_remark(c, "entry-2 crashes and starts again");
     FakeCluster_Crash(c, 2);
     FakeCluster_Start(c, 2);
     run_for(c, 3 * FAKE_SEC);
     call(c, 2, 1, NULL);
     call(c, 1, 2, NULL);
     run_for(c, 3 * FAKE_SEC);
-    say(c, "the store is back");
+    print_remark(c, "the store is back");
     c->store = FAKE_STORE_OK;
     run_for(c, 15 * FAKE_SEC);
     call(c, 2, 3, NULL);
@@ -251,10 +253,10 @@
 } Session;
 
 static const Session sessions[] = {
-    {"booking", 1, booking},
-    {"leave", 1, leave},
+    {"booking", 1, resend_after_crash},
+    {"leave", 1, stop_gracefully},
     {"drain-place", 2, drain_place},
-    {"store-away", 2, store_away},
+    {"store-away", 2, store_unavailable},
 };
 
 static void
@@ -273,8 +275,8 @@
     FakeCluster *c = FakeCluster_Create(&params);
     uint64_t known[3] = {1, 1, 1};
     FakeCluster_Run(c, c->now_us + WARM_UP_US);
-    c->see = see;
-    c->watch = see_versions;
+    c->see = print_visible_action;
+    c->watch = print_version_changes;
     c->watch_ctx = known;
     session->run(c, config);
     const FakeJudgement j = FakeCluster_Judge(c);
--- a/tests/property/c_api.hpp
+++ b/tests/property/c_api.hpp
@@ -1,4 +1,4 @@
-// The C headers as the properties include them.
+// Includes the C headers that the properties use.
 #ifndef GW_TESTS_PROPERTY_C_API_HPP
 #define GW_TESTS_PROPERTY_C_API_HPP
 
--- a/tests/property/outages.cpp
+++ b/tests/property/outages.cpp
@@ -1,6 +1,7 @@
-// Many entries beside servers that end in every way, on virtual time: requests
-// that crash servers are sent to few of them, nothing else is refused as if it
-// did, and limits that servers name hold for all entries together. GW_LONG=1 plays a thousand seeds of each outage.
+// Simulates many entries with failing servers: a request that crashes servers
+// reaches few of them, no other request is quarantined, and a rate limit
+// stated by a server holds for all entries together. GW_LONG=1 runs a thousand
+// seeds of each outage.
 #include <glib.h>
 
 extern "C" {
@@ -15,7 +16,7 @@
 
 namespace {
 
-// What a request may still be sent, once entries had time to tell each other.
+// Sends allowed for a crashing request after gossip had time to propagate.
 constexpr uint32_t kSendsMax = 3;
 
 struct Size {
@@ -34,10 +35,10 @@
     return std::getenv("GW_LONG") != nullptr ? size.longSeeds : size.seeds;
 }
 
-// Guards against: servers end for reasons of their own, and the requests that
-// ran there are refused from then on.
+// Guards against: servers fail for unrelated reasons, and the requests that
+// ran there are quarantined.
 bool
-outagesConvictNobody(const Size &size, OutageKind kind)
+outagesQuarantineNoRequest(const Size &size, OutageKind kind)
 {
     uint32_t refused = 0;
     uint32_t unserved = 0;
@@ -55,21 +56,22 @@
         refused += report.innocent_refused;
         unserved += report.answered < report.asked / 2;
     }
-    std::printf("%s, %u entries: %u refused, %u plays unserved, %u seeds\n",
+    std::printf("%s, %u entries: %u requests refused, %u runs with under half "
+                "answered, %u seeds\n",
                 OutageKind_Name(kind), size.entries, refused, unserved,
                 seedsOf(size));
     return refused == 0 && unserved == 0;
 }
 
-// Guards against: a request that crashes servers is sent to them without end,
-// each entry having to learn of it by itself.
+// Guards against: a request that crashes servers is sent again by each entry,
+// because entries do not share their suspects.
 bool
 crashersReachFewServers(const Size &size)
 {
     uint32_t seeds = seedsOf(size);
     uint32_t most = 0;
     uint32_t innocent = 0;
-    uint32_t free = 0;
+    uint32_t notQuarantined = 0;
     uint32_t learned = 0;
     uint64_t crashes = 0;
 
@@ -88,14 +90,15 @@
         learned = report.learned_ms > learned ? report.learned_ms : learned;
         innocent += report.innocent_refused;
         crashes += report.crashes;
-        free += report.crasher_refused == 0;
+        notQuarantined += report.crasher_refused == 0;
     }
-    std::printf("crashers, %u entries: at most %u sends after the third "
-                "crash, %.1f crashes a play, held everywhere within %u ms, "
-                "%u others refused, %u plays without a hold, %u seeds\n",
-                size.entries, most, static_cast<double>(crashes) / seeds,
-                learned, innocent, free, seeds);
-    return most <= kSendsMax && free == 0;
+    std::printf(
+        "crashing requests, %u entries: at most %u sends after the third "
+        "crash, %.1f crashes per run, quarantined everywhere within %u ms, "
+        "%u others refused, %u runs without a quarantine, %u seeds\n",
+        size.entries, most, static_cast<double>(crashes) / seeds, learned,
+        innocent, notQuarantined, seeds);
+    return most <= kSendsMax && notQuarantined == 0;
 }
 
 GwFingerprint
@@ -104,10 +107,10 @@
     return GwFingerprint{number * 0x9e3779b97f4a7c15ULL, number};
 }
 
-// Guards against: requests that shared servers with the one that crashed them
-// are refused with it, though it explains every crash.
+// Guards against: requests that ran beside the crashing request are
+// quarantined as well, though that request explains every crash.
 bool
-theCauseShieldsOthers()
+explainedCrashesQuarantineOnlyTheCause()
 {
     constexpr uint32_t kOthers = 12;
     constexpr uint64_t kCause = 1000;
@@ -141,13 +144,14 @@
         wrong += GwQuarantine_UntilUs(q, now_us, &cause) == 0;
         GwQuarantine_Free(q);
     }
-    std::printf("beside a cause: %u wrongly held or let go, 200 seeds\n",
+    std::printf("beside a crashing request: %u wrong quarantine decisions, "
+                "200 seeds\n",
                 wrong);
     return wrong == 0;
 }
 
-// Guards against: a server that names a limit for all entries together gets it
-// from each, or more while entries come, go and miss each other's word.
+// Guards against: a server with a limit for all entries together receives that
+// rate from each entry, or more while entries join, stop and lose messages.
 bool
 limitsAreKept(const Size &size)
 {
@@ -157,7 +161,7 @@
     } cases[] = {{20, 5.7}, {100, 5.7}, {100, 0.4}, {30, 0}, {20, 40}};
     bool ok = true;
 
-    for (const auto &one : cases) {
+    for (const auto &limit : cases) {
         uint32_t above = 0;
         double used = 0;
         uint32_t seeds = (seedsOf(size) + 4) / 5;
@@ -167,25 +171,26 @@
             params.servers = size.servers;
             params.kind = seed % 3 == 0 ? OUTAGE_CRASHES : OUTAGE_NONE;
             params.entry_faults = seed % 2 == 0;
-            params.limited_percent = one.percent;
-            params.limit_per_s = one.perS;
+            params.limited_percent = limit.percent;
+            params.limit_per_s = limit.perS;
             params.seconds = 14;
             params.seed = seed;
             OutageReport report = Outages_Play(&params);
             above = report.above_limit > above ? report.above_limit : above;
             used += report.limit_used / seeds;
         }
-        std::printf("limit of %.1f a second at %u %% of the servers, %u "
-                    "entries: at most %u above what is allowed, %.2f of it "
-                    "used, %u seeds\n",
-                    one.perS, one.percent, size.entries, above,
-                    one.perS > 0 ? used : 0, seeds);
+        std::printf(
+            "limit of %.1f per second at %u %% of the servers, %u "
+            "entries: at most %u above the allowed number, %.2f of the limit "
+            "used, %u seeds\n",
+            limit.perS, limit.percent, size.entries, above,
+            limit.perS > 0 ? used : 0, seeds);
         ok = ok && above == 0;
     }
     return ok;
 }
 
-// Guards against: servers that name no limit any more stand idle.
+// Guards against: servers stay idle after their limit has ended.
 bool
 limitsEnd()
 {
@@ -208,9 +213,10 @@
             share += report.after_used / kSeeds;
             idle += report.after_idle;
         }
-        std::printf("after a limit of %.1f servers get %.2f of their part, %u "
-                    "stand idle\n",
-                    perS, share, idle);
+        std::printf(
+            "after a limit of %.1f, servers get %.2f of an equal share, %u "
+            "are idle\n",
+            perS, share, idle);
         ok = ok && idle == 0;
     }
     return ok;
@@ -221,10 +227,11 @@
 int
 main()
 {
-    bool ok = theCauseShieldsOthers() && limitsEnd();
+    bool ok = explainedCrashesQuarantineOnlyTheCause() && limitsEnd();
     for (const Size &size : kSizes) {
         for (int kind = 0; kind < OUTAGE_KIND_COUNT; kind++) {
-            ok = outagesConvictNobody(size, static_cast<OutageKind>(kind)) &&
+            ok = outagesQuarantineNoRequest(size,
+                                            static_cast<OutageKind>(kind)) &&
                  ok;
         }
         ok = crashersReachFewServers(size) && ok;
--- a/tests/property/pairs.cpp
+++ b/tests/property/pairs.cpp
@@ -1,6 +1,6 @@
-// Every pair of the brief's failures, at once, under load: no promise may be
-// broken by any of them. One fixed seed a pair here, ten in check-long. The table
-// that is printed goes to docs/MEASURES.md.
+// Runs every pair of faults at the same time under load; no guarantee may be
+// violated. One fixed seed per pair, ten with GW_LONG. Prints one line per
+// run.
 #include <glib.h>
 
 extern "C" {
@@ -20,7 +20,7 @@
     s.seed = seed * 2654435761u + 40503u * a + 977u * b;
     s.faults[0] = a;
     s.faults[1] = b;
-    // Either may come first, by much or by hardly anything.
+    // Either fault may start first, by 20 ms to 2 s.
     const int64_t gaps[] = {2 * FAKE_SEC, 20 * FAKE_MS, 500 * FAKE_MS};
     const uint64_t draw = seed + 5 * a + 3 * b;
     const int first = draw % 2 == 0 ? 1 : 0;
@@ -43,12 +43,12 @@
     uint32_t parts = 1;
     uint32_t pair = 0;
     uint32_t runs = 0;
-    uint32_t broken = 0;
+    uint32_t violated = 0;
 
     if (argc > 1) {
         seeds = std::strtoull(argv[1], nullptr, 10);
     }
-    // GW_PART=2/6 runs the second sixth of the pairs.
+    // GW_PART=2/6 runs the second of six parts of the pairs.
     const char *share = std::getenv("GW_PART");
     if (share == nullptr || std::sscanf(share, "%u/%u", &part, &parts) != 2) {
         part = parts = 1;
@@ -68,15 +68,16 @@
                 FakeVerdict v = FakeScenario_Run(&s);
                 uint32_t count = FakeVerdict_Violations(&v);
                 runs++;
-                broken += count > 0 ? 1 : 0;
+                violated += count > 0 ? 1 : 0;
                 std::string line = title + "#" + std::to_string(seed);
                 if (count > 0) {
-                    line = "BROKEN " + line;
+                    line = "VIOLATION " + line;
                 }
                 FakeVerdict_Print(&v, line.c_str());
             }
         }
     }
-    std::printf("pairs: %u runs, %u with a broken promise\n", runs, broken);
-    return broken == 0 ? 0 : 1;
+    std::printf("pairs: %u runs, %u with a violated guarantee\n", runs,
+                violated);
+    return violated == 0 ? 0 : 1;
 }
--- a/tests/stress/net.c
+++ b/tests/stress/net.c
@@ -1,7 +1,7 @@
-/* Several threads relay calls to a peer that is replaced again and again.
- * The caller of each must get an end, and only one: a second end would be
- * taken for that of another attempt, a missing one would hold its unit until
- * the deadline. And a call reported as never sent must not have arrived. */
+/* Several threads relay calls to a peer that restarts repeatedly. Each call
+ * must end exactly once: a second end would be attributed to another attempt,
+ * and a missing end would hold the call's unit until the deadline. A call
+ * reported as not sent must not have arrived. */
 #include "fakes/free_port.h"
 #include "runtime/net.h"
 
@@ -13,13 +13,13 @@
 
 enum {
     THREADS = 4,
-    CALLS = 2000, /* a thread */
+    CALLS = 2000, /* per thread */
     RESTARTS = 10
 };
 
-static GwNet *near_net;
-static atomic_uint_fast64_t far_start;
-static char far_address[GW_ADDR_MAX];
+static GwNet *local_net;
+static atomic_uint_fast64_t remote_start;
+static char remote_address[GW_ADDR_MAX];
 static atomic_uint ends[THREADS * CALLS + 1];    /* by id, from 1 */
 static atomic_uint arrived[THREADS * CALLS + 1]; /* by id, from 1 */
 static atomic_uint unsent[THREADS * CALLS + 1];  /* by id, from 1 */
@@ -110,10 +110,10 @@
                        .method = "POST",
                        .target = "/x"},
         };
-        GwNodeId to = {2, atomic_load(&far_start)};
+        GwNodeId to = {2, atomic_load(&remote_start)};
         size_t len;
         uint8_t *frame = GwCodec_Frame(&envelope, &len);
-        if (!GwNet_Call(near_net, far_address, to, id, frame, len)) {
+        if (!GwNet_Call(local_net, remote_address, to, id, frame, len)) {
             atomic_store(&unsent[id], 1);
             end_call(id);
         }
@@ -129,11 +129,11 @@
 {
     uint32_t faults = 0;
     for (uint32_t id = 1; id <= THREADS * CALLS; id++) {
-        bool once =
+        bool is_single =
             atomic_load(&ends[id]) == 1 && atomic_load(&arrived[id]) <= 1;
-        bool honest =
+        bool is_unsent_correct =
             atomic_load(&unsent[id]) == 0 || atomic_load(&arrived[id]) == 0;
-        faults += !once || !honest;
+        faults += !is_single || !is_unsent_correct;
     }
     return faults;
 }
@@ -141,24 +141,26 @@
 int
 main(void)
 {
-    static GwNet *near_self;
-    static GwNet *far_self;
+    static GwNet *local_self;
+    static GwNet *remote_self;
     pthread_t threads[THREADS];
     char address[GW_ADDR_MAX];
 
     FreePort_Address(address);
-    FreePort_Address(far_address);
-    near_net = create_net(address, (GwNodeId){1, 1}, &near_self);
-    atomic_store(&far_start, 1);
-    GwNet *far = create_net(far_address, (GwNodeId){2, 1}, &far_self);
+    FreePort_Address(remote_address);
+    local_net = create_net(address, (GwNodeId){1, 1}, &local_self);
+    atomic_store(&remote_start, 1);
+    GwNet *remote_net =
+        create_net(remote_address, (GwNodeId){2, 1}, &remote_self);
     for (uintptr_t i = 0; i < THREADS; i++) {
         pthread_create(&threads[i], NULL, send_calls, (void *)i);
     }
     for (uint64_t start = 2; start < RESTARTS + 2; start++) {
         g_usleep(5000);
-        GwNet_Free(far);
-        atomic_store(&far_start, start);
-        far = create_net(far_address, (GwNodeId){2, start}, &far_self);
+        GwNet_Free(remote_net);
+        atomic_store(&remote_start, start);
+        remote_net =
+            create_net(remote_address, (GwNodeId){2, start}, &remote_self);
     }
     for (uint32_t i = 0; i < THREADS; i++) {
         pthread_join(threads[i], NULL);
@@ -166,8 +168,8 @@
     while (atomic_load(&ended) < THREADS * CALLS) {
         g_usleep(1000);
     }
-    GwNet_Free(near_net);
-    GwNet_Free(far);
+    GwNet_Free(local_net);
+    GwNet_Free(remote_net);
     uint32_t faults = count_faults();
     printf("%u calls, %u replied, %u faults\n", THREADS * CALLS,
            atomic_load(&replied), faults);
