--- a/tests/fakes/cluster.c
+++ b/tests/fakes/cluster.c
@@ -160,7 +160,7 @@
     uint64_t version = config == NULL ? 0 : config->version;
 
     if (version != n->config_version) {
-        n->version_falls += version < n->config_version;
+        n->version_decreases += version < n->config_version;
         n->config_version = version;
         n->config_at_us = c->now_us;
     }
@@ -235,7 +235,7 @@
 
     for (uint32_t i = 0; i < c->params.node_count && i < GW_LIST_MAX; i++) {
         const FakeNode *n = &c->nodes[i];
-        if (n->node == NULL || n->listed_wrongly) {
+        if (n->node == NULL || n->is_missing_from_list) {
             continue;
         }
         GwListed *item = &items[list.count++];
--- a/tests/fakes/cluster.h
+++ b/tests/fakes/cluster.h
@@ -32,8 +32,8 @@
     /* Service time of a call by its key instead of a random one; or NULL.
      * A server above its slots then slows down in proportion. */
     int64_t (*work_us)(uint64_t key);
-    uint32_t
-        shed_over_percent; /* a server refuses calls above slots*this/100 */
+    /* A server refuses calls above slots * this / 100. */
+    uint32_t shed_over_percent;
     int64_t list_lag_us;
     bool count_bytes; /* encode each message and sum the sizes */
     bool count_cpu;   /* CPU time of GwNode_Step, by kind of event */
@@ -43,10 +43,10 @@
 
 typedef enum {
     FAKE_STORE_OK = 0,
-    FAKE_STORE_AWAY = 1,  /* no effect, no reply */
-    FAKE_STORE_LOSES = 2, /* writes take effect, no reply */
-    FAKE_STORE_SLOW = 3,  /* replies after 900 ms */
-    FAKE_STORE_FLAKY = 4, /* one of the above at random per request */
+    FAKE_STORE_AWAY = 1,          /* no effect, no reply */
+    FAKE_STORE_LOSES_REPLIES = 2, /* writes take effect, no reply */
+    FAKE_STORE_SLOW = 3,          /* replies after 900 ms */
+    FAKE_STORE_RANDOM = 4,        /* one of the above at random per request */
 } FakeStoreMode;
 
 typedef struct {
@@ -64,7 +64,7 @@
     bool no_reports; /* no load in answers or at the health endpoint */
     bool draining;
     int64_t draining_since_us;
-    int64_t last_work_us;  /* start of the last call */
+    int64_t last_start_us; /* start of the last call */
     int64_t busy_until_us; /* end of the last call */
     uint32_t slow_factor;  /* 0 and 1: normal speed */
 } FakeBackend;
@@ -78,12 +78,12 @@
     int64_t paused_until_us;
     bool stopped; /* stopped gracefully */
     bool leaving;
-    bool listed_wrongly; /* missing from the list though running */
+    bool is_missing_from_list; /* missing from the list though running */
     uint64_t messages_sent;
     uint64_t bytes_sent;
     int64_t config_at_us; /* when the last version was applied */
     uint64_t config_version;
-    uint64_t version_falls; /* times the version decreased */
+    uint64_t version_decreases; /* times the version decreased */
 } FakeNode;
 
 /* Runs of one key over all backend servers. */
@@ -109,7 +109,7 @@
     bool not_sent; /* the entry was down, so the connection failed */
     uint32_t service;
     uint64_t handle; /* at the entry */
-    bool hung_up;
+    bool is_disconnected;
 } FakeCallerCall;
 
 typedef struct {
@@ -157,8 +157,8 @@
     uint64_t table_writes;
     uint64_t next_handle;
     bool cut[FAKE_REGIONS_MAX][FAKE_REGIONS_MAX];
-    uint32_t
-        isolated; /* 1 + index of a node isolated from all others; 0: none */
+    /* 1 + index of the node that is isolated from all others; 0: none. */
+    uint32_t isolated;
     /* Calls shifted from one region to another, [service][from][to]: now and
      * at most. */
     uint32_t shifted[FAKE_SERVICES_MAX][FAKE_REGIONS_MAX][FAKE_REGIONS_MAX];
@@ -192,7 +192,7 @@
                           bool idempotent, const GwTicket *ticket,
                           uint64_t key, int64_t deadline_us);
 /* The caller closes its connection; the entry must still emit one FINISH. */
-void FakeCluster_HangUp(FakeCluster *c, uint32_t index);
+void FakeCluster_Disconnect(FakeCluster *c, uint32_t index);
 FakeCallerCall *FakeCluster_CallAt(FakeCluster *c, uint32_t i);
 GwResult FakeCluster_Mint(FakeCluster *c, uint32_t node, GwTicket *out);
 FakeJudgement FakeCluster_Judge(const FakeCluster *c);
--- a/tests/fakes/cluster_calls.c
+++ b/tests/fakes/cluster_calls.c
@@ -107,7 +107,7 @@
 }
 
 void
-FakeCluster_HangUp(FakeCluster *c, uint32_t index)
+FakeCluster_Disconnect(FakeCluster *c, uint32_t index)
 {
     FakeCallerCall *call = FakeCluster_CallAt(c, index);
     const FakeNode *n = &c->nodes[call->node];
@@ -118,7 +118,7 @@
         n->epoch != host->epoch || n->paused_until_us > c->now_us) {
         return;
     }
-    call->hung_up = true;
+    call->is_disconnected = true;
     FakeCluster_Step(c, call->node, &event);
 }
 
@@ -227,7 +227,7 @@
     }
     b->in_flight++;
     b->runs++;
-    b->last_work_us = c->now_us;
+    b->last_start_us = c->now_us;
     if (b->in_flight > b->most_in_flight) {
         b->most_in_flight = b->in_flight;
     }
@@ -444,8 +444,8 @@
     for (uint32_t i = 0; i < c->backends->len; i++) {
         const FakeBackend *b = g_ptr_array_index(c->backends, i);
         j.over_slots += b->most_in_flight > b->slots;
-        if (b->draining && b->last_work_us > b->draining_since_us) {
-            int64_t late = b->last_work_us - b->draining_since_us;
+        if (b->draining && b->last_start_us > b->draining_since_us) {
+            int64_t late = b->last_start_us - b->draining_since_us;
             j.late_ms = MAX(j.late_ms, (uint32_t)(late / FAKE_MS));
         }
     }
--- a/tests/fakes/cluster_table.c
+++ b/tests/fakes/cluster_table.c
@@ -53,7 +53,7 @@
 static FakeStoreMode
 mode_of_request(FakeCluster *c)
 {
-    if (c->store != FAKE_STORE_FLAKY) {
+    if (c->store != FAKE_STORE_RANDOM) {
         return c->store;
     }
     uint32_t draw = GwRng_Below(&c->rng, 10);
@@ -156,7 +156,7 @@
     if (mode == FAKE_STORE_SLOW) {
         wait = STORE_SLOW_US;
     }
-    if (mode == FAKE_STORE_LOSES && req->op == GW_TABLE_TXN) {
+    if (mode == FAKE_STORE_LOSES_REPLIES && req->op == GW_TABLE_TXN) {
         FakeTable_FreeReply(reply);
         reply = g_new0(GwTableReply, 1);
         reply->token = req->token;
--- a/tests/fakes/edge_entry.c
+++ b/tests/fakes/edge_entry.c
@@ -185,7 +185,8 @@
     g_string_free(caller->got, TRUE);
 }
 
-/* Whether the entry's kernel acknowledged all bytes or closed the connection. */
+/* Whether the entry's kernel acknowledged all bytes or closed the
+ * connection. */
 static bool
 has_arrived(const PlainCaller *caller)
 {
--- a/tests/fakes/edge_entry.h
+++ b/tests/fakes/edge_entry.h
@@ -55,7 +55,8 @@
 /* Runs the loop until an answer was received and acknowledged, or the
  * connection is closed. */
 CallerState PlainCaller_AwaitAnswer(PlainCaller *caller);
-/* Runs the loop until the connection is closed; keeps bytes received before. */
+/* Runs the loop until the connection is closed; keeps bytes received
+ * before. */
 CallerState PlainCaller_AwaitEnd(PlainCaller *caller);
 /* Runs the loop until the connection is reset, or the entry has read and
  * dropped a request. */
--- a/tests/fakes/fleet.c
+++ b/tests/fakes/fleet.c
@@ -18,7 +18,7 @@
 }
 
 int64_t
-Fleet_Us(const Fleet *f, double ms)
+Fleet_ScaledUs(const Fleet *f, double ms)
 {
     return (int64_t)(ms * 1000 * scale_of(f));
 }
@@ -61,7 +61,7 @@
     if (!answered) {
         window->retry_or_end++;
     }
-    else if (took_us <= Fleet_Us(f, call->kind->objective_ms)) {
+    else if (took_us <= Fleet_ScaledUs(f, call->kind->objective_ms)) {
         window->in_time++;
         f->earned[w] += worth;
     }
@@ -136,7 +136,7 @@
         .kind = kind,
         .entry = f->entries->pdata[region],
         .first_us = f->now_us,
-        .until_us = f->now_us + Fleet_Us(f, kind->left_ms),
+        .until_us = f->now_us + Fleet_ScaledUs(f, kind->left_ms),
     };
     g_snprintf(call->key, sizeof(call->key), "%u-%u", region,
                GwRng_Below(&f->rng, kind->objects));
@@ -168,8 +168,9 @@
 static int64_t
 delay_us(const Fleet *f, const Entry *entry, const Server *s)
 {
-    return entry->region == s->region ? Fleet_Us(f, SAME_REGION_US / 1000.0)
-                                      : Fleet_Us(f, f->p->far_ms);
+    return entry->region == s->region
+               ? Fleet_ScaledUs(f, SAME_REGION_US / 1000.0)
+               : Fleet_ScaledUs(f, f->p->far_ms);
 }
 
 static void
@@ -182,7 +183,7 @@
 
     s->running++;
     Fleet_Schedule(
-        f, f->now_us + Fleet_Us(f, call->kind->work_ms * share * spread),
+        f, f->now_us + Fleet_ScaledUs(f, call->kind->work_ms * share * spread),
         EV_RUN_END, a);
 }
 
@@ -404,7 +405,7 @@
         .attempts = g_ptr_array_new_with_free_func(g_free),
     };
     Fleet *f = &fleet;
-    int64_t end_us = START_US + Fleet_Us(f, params->seconds * 1000);
+    int64_t end_us = START_US + Fleet_ScaledUs(f, params->seconds * 1000);
 
     Fleet_SetUp(f);
     for (uint32_t i = 0; i < params->kind_count; i++) {
--- a/tests/fakes/fleet_internal.h
+++ b/tests/fakes/fleet_internal.h
@@ -88,7 +88,7 @@
 };
 
 /* Milliseconds of the case as scaled microseconds. */
-int64_t Fleet_Us(const Fleet *f, double ms);
+int64_t Fleet_ScaledUs(const Fleet *f, double ms);
 void Fleet_Schedule(Fleet *f, int64_t when_us, EventKind kind, void *subject);
 
 /* fleet_setup.c */
--- a/tests/fakes/fleet_news.c
+++ b/tests/fakes/fleet_news.c
@@ -23,7 +23,7 @@
 Fleet_SendReports(Fleet *f)
 {
     Snapshot *snap = g_new0(Snapshot, 1);
-    int64_t age_us = Fleet_Us(f, f->p->report_ms);
+    int64_t age_us = Fleet_ScaledUs(f, f->p->report_ms);
 
     snap->own = g_ptr_array_new_with_free_func(free_array);
     snap->placements = g_ptr_array_new_with_free_func(free_array);
@@ -37,10 +37,10 @@
         g_ptr_array_add(snap->own, own);
         g_ptr_array_add(snap->placements, placements);
     }
-    Fleet_Schedule(f, f->now_us + Fleet_Us(f, f->p->lag_ms), EV_APPLY_REPORTS,
-                   snap);
-    Fleet_Schedule(f, f->now_us + Fleet_Us(f, f->p->report_ms), EV_REPORT,
-                   NULL);
+    Fleet_Schedule(f, f->now_us + Fleet_ScaledUs(f, f->p->lag_ms),
+                   EV_APPLY_REPORTS, snap);
+    Fleet_Schedule(f, f->now_us + Fleet_ScaledUs(f, f->p->report_ms),
+                   EV_REPORT, NULL);
 }
 
 static void
--- a/tests/fakes/fleet_setup.c
+++ b/tests/fakes/fleet_setup.c
@@ -23,8 +23,9 @@
             .prefix = g_strdup(kind->name),
             .idempotent = kind->idempotent,
             .warm_keys = true,
-            .timeout_ms = (uint32_t)(Fleet_Us(f, kind->left_ms) / 1000),
-            .objective_ms = (uint32_t)(Fleet_Us(f, kind->objective_ms) / 1000),
+            .timeout_ms = (uint32_t)(Fleet_ScaledUs(f, kind->left_ms) / 1000),
+            .objective_ms =
+                (uint32_t)(Fleet_ScaledUs(f, kind->objective_ms) / 1000),
             .priority = kind->priority,
             .attempts_max = 2,
             .part_count = 1,
--- a/tests/fakes/member_net.h
+++ b/tests/fakes/member_net.h
@@ -51,7 +51,8 @@
 
 MemberNet *MemberNet_Create(uint32_t count, uint32_t regions, uint64_t seed);
 void MemberNet_Free(MemberNet *net);
-/* Applies a platform list of the first `listed` nodes at every running node. */
+/* Applies a platform list of the first `listed` nodes at every running
+ * node. */
 void MemberNet_List(MemberNet *net, uint32_t listed);
 void MemberNet_Run(MemberNet *net, int64_t for_us);
 void MemberNet_Kill(MemberNet *net, uint32_t i);
--- a/tests/fakes/outages.h
+++ b/tests/fakes/outages.h
@@ -31,10 +31,10 @@
     uint32_t crashers; /* number of requests that crash any server */
     bool entry_faults; /* entries freeze, are partitioned, restart */
     bool hot;          /* two requests make up more than half of the traffic */
-    uint32_t
-        limited_percent; /* of the servers state a rate limit from 2 s on */
-    double limit_per_s;  /* the limit, for all entries together */
-    double unlimited_s;  /* when the limits end; 0: never */
+    /* Percentage of servers that state a rate limit from 2 s on. */
+    uint32_t limited_percent;
+    double limit_per_s; /* the limit, for all entries together */
+    double unlimited_s; /* when the limits end; 0: never */
     double seconds;
     uint64_t seed;
 } OutageParams;
@@ -49,7 +49,7 @@
      * OUTAGE_CONTACT_MS after its third crash. */
     uint32_t sends_after;
     uint32_t crasher_refused;
-    uint64_t records_told; /* suspect records, between entries */
+    uint64_t records_sent; /* suspect records, between entries */
     uint32_t learned_ms;   /* from the third crash until all reachable entries
                               quarantine the request; 0: never */
     /* Most requests above the allowed number that a limited server received in
--- a/tests/fakes/outages_host.c
+++ b/tests/fakes/outages_host.c
@@ -223,7 +223,7 @@
     }
     d->checksum = GwQuarantine_Checksum(q);
     fill_limits(e, to, d);
-    w->report.records_told += d->count;
+    w->report.records_sent += d->count;
     if (Outages_Chance(w, LOSS_PERMILLE) || w->now_us < e->cut_until_us ||
         w->now_us < d->to->cut_until_us) {
         g_free(d);
--- a/tests/fakes/scenario.c
+++ b/tests/fakes/scenario.c
@@ -10,7 +10,7 @@
 #define DEADLINE_US    (3 * FAKE_SEC)
 #define DRAIN_BOUND_MS 4000
 #define RESENDS_MAX    2
-#define SPREAD_US      (5 * FAKE_SEC)
+#define PROPAGATION_US (5 * FAKE_SEC)
 #define CLOSED_US      (5 * FAKE_SEC)
 #define SLOTS          3
 
@@ -60,12 +60,13 @@
 
 /* Closes the connection of a caller, whether its call still waits or runs. */
 static void
-maybe_hang_up(FakeRun *r, uint32_t index)
+maybe_disconnect(FakeRun *r, uint32_t index)
 {
     const FakeCallerCall *call = FakeCluster_CallAt(r->c, index);
 
-    if (r->hang_up && !call->hung_up && GwRng_Below(&r->rng, 30) == 0) {
-        FakeCluster_HangUp(r->c, index);
+    if (r->may_disconnect && !call->is_disconnected &&
+        GwRng_Below(&r->rng, 30) == 0) {
+        FakeCluster_Disconnect(r->c, index);
     }
 }
 
@@ -74,7 +75,7 @@
 {
     for (guint i = 0; i < r->pending->len;) {
         uint32_t index = g_array_index(r->pending, uint32_t, i);
-        maybe_hang_up(r, index);
+        maybe_disconnect(r, index);
         const FakeCallerCall *call = FakeCluster_CallAt(r->c, index);
         bool late = r->c->now_us - call->sent_us > 400 * FAKE_MS &&
                     GwRng_Below(&r->rng, 200) == 0;
@@ -147,9 +148,9 @@
 }
 
 /* Counts running, reachable entries whose version is older than one accepted
- * SPREAD_US ago or more. */
+ * PROPAGATION_US ago or more. */
 static uint32_t
-count_slow_spread(FakeRun *r)
+count_slow_propagation(FakeRun *r)
 {
     uint32_t slow = 0;
 
@@ -159,27 +160,27 @@
         }
         int64_t since = MAX(r->reachable_us[i], r->changed_us);
         slow += r->c->nodes[i].config_version < r->version &&
-                r->c->now_us - since > SPREAD_US;
+                r->c->now_us - since > PROPAGATION_US;
     }
     return slow;
 }
 
 /* Counts servers closed by an operator that started a call after the bound. */
 static uint32_t
-count_late_work(const FakeRun *r)
+count_late_starts(const FakeRun *r)
 {
     uint32_t late = 0;
 
     for (uint32_t i = 0; i < r->c->backends->len; i++) {
         const FakeBackend *b = FakeCluster_Backend(r->c, i);
         late += r->closed_us[i] != 0 &&
-                b->last_work_us > r->closed_us[i] + CLOSED_US;
+                b->last_start_us > r->closed_us[i] + CLOSED_US;
     }
     return late;
 }
 
 static uint32_t
-count_over_lowered(const FakeRun *r)
+count_over_lowered_slots(const FakeRun *r)
 {
     uint32_t over = 0;
 
@@ -197,9 +198,10 @@
 check_guarantees(FakeRun *r, FakeVerdict *v)
 {
     v->over_cap = MAX(v->over_cap, count_over_cap(r));
-    v->slow_spread = MAX(v->slow_spread, count_slow_spread(r));
-    v->late_work = MAX(v->late_work, count_late_work(r));
-    v->over_lowered = MAX(v->over_lowered, count_over_lowered(r));
+    v->slow_propagation = MAX(v->slow_propagation, count_slow_propagation(r));
+    v->late_starts = MAX(v->late_starts, count_late_starts(r));
+    v->over_lowered_slots =
+        MAX(v->over_lowered_slots, count_over_lowered_slots(r));
 }
 
 static void
@@ -242,7 +244,7 @@
 
     for (uint32_t i = 0; i < NODES; i++) {
         const FakeNode *n = &r->c->nodes[i];
-        v->version_falls += n->version_falls > 0;
+        v->version_decreases += n->version_decreases > 0;
         v->behind += n->node != NULL && n->config_version != version;
     }
     for (uint32_t s = 0; s < SERVICES; s++) {
@@ -293,7 +295,7 @@
 
     FakeCluster_Run(r.c, r.c->now_us + WARM_UP_US);
     run_load(&r, &v);
-    v.judgement = FakeCluster_Judge(r.c);
+    v.calls = FakeCluster_Judge(r.c);
     check_nodes(&r, &v);
 
     FakeCluster_Free(r.c);
@@ -306,17 +308,17 @@
 uint32_t
 FakeVerdict_Violations(const FakeVerdict *v)
 {
-    const FakeJudgement *j = &v->judgement;
+    const FakeJudgement *j = &v->calls;
     return j->doubled + j->false_refusals + j->wrong_answers + j->unfinished +
            j->over_slots + j->cut_off + (j->late_ms > DRAIN_BOUND_MS) +
-           v->over_cap + v->version_falls + v->behind + v->slow_spread +
-           v->late_work + v->over_lowered;
+           v->over_cap + v->version_decreases + v->behind +
+           v->slow_propagation + v->late_starts + v->over_lowered_slots;
 }
 
 void
 FakeVerdict_Print(const FakeVerdict *v, const char *title)
 {
-    const FakeJudgement *j = &v->judgement;
+    const FakeJudgement *j = &v->calls;
     printf("%-48s sent=%u answered=%u not_run=%u unknown=%u shifted=%u | "
            "doubled=%u false_refusals=%u wrong=%u unfinished=%u "
            "over_slots=%u cut_off=%u late_ms=%u over_cap=%u falls=%u "
@@ -324,6 +326,6 @@
            title, j->sent, j->answered, j->not_run, j->unknown, v->shifted,
            j->doubled, j->false_refusals, j->wrong_answers, j->unfinished,
            j->over_slots, j->cut_off, j->late_ms, v->over_cap,
-           v->version_falls, v->behind, v->slow_spread, v->late_work,
-           v->over_lowered);
+           v->version_decreases, v->behind, v->slow_propagation,
+           v->late_starts, v->over_lowered_slots);
 }
--- a/tests/fakes/scenario.h
+++ b/tests/fakes/scenario.h
@@ -56,18 +56,17 @@
     uint32_t calls_per_s; /* per entry */
 } FakeScenario;
 
-/* Violated guarantees: all counts but `shifted` must be 0. */
+/* Results of a run; see FakeVerdict_Violations for the checks. */
 typedef struct {
-    FakeJudgement judgement;
-    uint32_t over_cap;      /* shifted calls above their cap */
-    uint32_t version_falls; /* entries whose configuration version decreased */
-    uint32_t
-        behind; /* running entries without the newest version at the end */
-    uint32_t slow_spread; /* running, reachable entries 5 s behind a change */
-    uint32_t late_work; /* servers that started calls 4 s after being closed */
-    uint32_t over_lowered; /* servers above a lowered slot count */
-    uint32_t idle_seats;   /* regions whose seats were not recovered */
-    uint32_t shifted;      /* calls that ran in another region; no violation */
+    FakeJudgement calls;
+    uint32_t over_cap;          /* shifted calls above their cap */
+    uint32_t version_decreases; /* entries whose version decreased */
+    uint32_t behind;            /* entries with an old version at the end */
+    uint32_t slow_propagation;  /* reachable entries 5 s behind a change */
+    uint32_t late_starts; /* servers that started calls after CLOSED_US */
+    uint32_t over_lowered_slots; /* servers above a lowered slot count */
+    uint32_t idle_seats;         /* regions whose seats were not recovered */
+    uint32_t shifted; /* calls that ran in another region; no violation */
 } FakeVerdict;
 
 FakeVerdict FakeScenario_Run(const FakeScenario *scenario);
--- a/tests/fakes/scenario_faults.c
+++ b/tests/fakes/scenario_faults.c
@@ -97,7 +97,7 @@
         fault == FAKE_FAULT_STORE_AWAY || fault == FAKE_FAULT_STORE_LONG
             ? FAKE_STORE_AWAY
         : fault == FAKE_FAULT_STORE_SLOW ? FAKE_STORE_SLOW
-                                         : FAKE_STORE_LOSES;
+                                         : FAKE_STORE_LOSES_REPLIES;
     r->c->store = on ? mode : FAKE_STORE_OK;
 }
 
@@ -120,7 +120,7 @@
         }
         break;
     case FAKE_FAULT_LIST_WRONG:
-        n->listed_wrongly = on;
+        n->is_missing_from_list = on;
         break;
     case FAKE_FAULT_ISOLATED:
         c->isolated = on ? node + 1 : 0;
@@ -294,7 +294,7 @@
         set_config(r, fault, node, on);
         break;
     case FAKE_FAULT_HANG_UP:
-        r->hang_up = on;
+        r->may_disconnect = on;
         break;
     case FAKE_FAULT_TWO_CRASHES:
         set_two_entries(r, node, on);
--- a/tests/fakes/scenario_internal.h
+++ b/tests/fakes/scenario_internal.h
@@ -22,11 +22,11 @@
     uint64_t version;    /* of the last change */
     int64_t changed_us;
     int64_t reachable_us[NODES]; /* running and reachable since */
-    int64_t closed_us[SERVICES * REGIONS *
-                      BACKENDS]; /* by backend server; 0: open */
-    int64_t
-        lowered_slots_us; /* since when servers have one slot less; 0: never */
-    bool hang_up;
+    /* Since when a server is closed, by backend server; 0: open. */
+    int64_t closed_us[SERVICES * REGIONS * BACKENDS];
+    /* Since when every server has one slot less; 0: never. */
+    int64_t lowered_slots_us;
+    bool may_disconnect;
     bool must_retry_change; /* a change that the operator must retry */
     uint32_t operator_node;
 } FakeRun;
