--- a/tests/fakes/fleet_internal.h
+++ b/tests/fakes/fleet_internal.h
@@ -96,7 +96,7 @@
 /* Frees everything, including pending events. */
 void Fleet_TearDown(Fleet *f);
 
-/* fleet_news.c */
+/* fleet_reports.c */
 void Fleet_SendReports(Fleet *f);
 /* Applies the reports of all entries at all entries. */
 void Fleet_ApplyReports(Fleet *f, Snapshot *snap);
