--- a/tests/fakes/cluster_table.c
+++ b/tests/fakes/cluster_table.c
@@ -1,4 +1,4 @@
-/* The fake table: rows with versions, transactions, and its failures. */
+/* The simulated platform table: versioned rows, transactions and faults. */
 #include "fakes/cluster_internal.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 #define STORE_ONE_WAY_US 2000
 #define STORE_SLOW_US    900000
 #define STORE_TIMEOUT_US 1000000
-/* Punctuation and names of fields of one row in the table's JSON. */
+/* Punctuation and field names of one row in the table's JSON. */
 #define ROW_JSON_BYTES 38
 
 void
@@ -53,14 +53,14 @@
 static FakeStoreMode
 mode_of_request(FakeCluster *c)
 {
-    if (c->store != FAKE_STORE_FLAKY) {
+    if (c->store != FAKE_STORE_RANDOM) {
         return c->store;
     }
     uint32_t draw = GwRng_Below(&c->rng, 10);
     return draw < 5 ? FAKE_STORE_OK : (FakeStoreMode)(1 + draw % 3);
 }
 
-/* The request travels; the answer, or its loss, comes back later. */
+/* Sends a request to the table. The reply or its loss is a later event. */
 void
 FakeTable_Request(FakeCluster *c, uint32_t node, GwTableRequest *req)
 {
@@ -132,7 +132,7 @@
     }
 }
 
-/* The request has arrived: it takes effect now, or not, by the mode. */
+/* Executes a request that reached the table, according to the fault mode. */
 void
 FakeTable_Run(FakeCluster *c, FakeEvent *ev)
 {
@@ -156,7 +156,7 @@
     if (mode == FAKE_STORE_SLOW) {
         wait = STORE_SLOW_US;
     }
-    if (mode == FAKE_STORE_LOSES && req->op == GW_TABLE_TXN) {
+    if (mode == FAKE_STORE_LOSES_REPLIES && req->op == GW_TABLE_TXN) {
         FakeTable_FreeReply(reply);
         reply = g_new0(GwTableReply, 1);
         reply->token = req->token;
--- a/tests/fakes/scenario.c
+++ b/tests/fakes/scenario.c
@@ -10,11 +10,11 @@
 #define DEADLINE_US    (3 * FAKE_SEC)
 #define DRAIN_BOUND_MS 4000
 #define RESENDS_MAX    2
-#define SPREAD_US      (5 * FAKE_SEC)
+#define PROPAGATION_US (5 * FAKE_SEC)
 #define CLOSED_US      (5 * FAKE_SEC)
 #define SLOTS          3
 
-/* ---- callers ------------------------------------------------------------------ */
+/* ---- callers ----------------------------------------------------------- */
 
 static void
 send_call(FakeRun *r, uint32_t node)
@@ -35,8 +35,8 @@
     g_array_append_val(r->pending, index);
 }
 
-/* Callers resend the same ticket: to the same entry or to another one, after
- * a refusal, after "unknown", and sometimes while the first still runs. */
+/* Resends a ticket to the same or another entry: after a refusal, after an
+ * unknown outcome, and sometimes while the first send still runs. */
 static void
 maybe_resend(FakeRun *r, const FakeCallerCall *call)
 {
@@ -58,23 +58,24 @@
     g_array_append_val(r->pending, index);
 }
 
-/* A caller that loses patience closes its connection, waiting or not. */
+/* Closes the connection of a caller, whether its call still waits or runs. */
 static void
-maybe_hang_up(FakeRun *r, uint32_t index)
+maybe_disconnect(FakeRun *r, uint32_t index)
 {
     const FakeCallerCall *call = FakeCluster_CallAt(r->c, index);
 
-    if (r->hang_up && !call->hung_up && GwRng_Below(&r->rng, 30) == 0) {
-        FakeCluster_HangUp(r->c, index);
+    if (r->may_disconnect && !call->is_disconnected &&
+        GwRng_Below(&r->rng, 30) == 0) {
+        FakeCluster_Disconnect(r->c, index);
     }
 }
 
 static void
-look_at_pending(FakeRun *r)
+check_pending(FakeRun *r)
 {
     for (guint i = 0; i < r->pending->len;) {
         uint32_t index = g_array_index(r->pending, uint32_t, i);
-        maybe_hang_up(r, index);
+        maybe_disconnect(r, index);
         const FakeCallerCall *call = FakeCluster_CallAt(r->c, index);
         bool late = r->c->now_us - call->sent_us > 400 * FAKE_MS &&
                     GwRng_Below(&r->rng, 200) == 0;
@@ -92,10 +93,9 @@
     }
 }
 
-/* A caller that lost track comes back long after, when the ticket's record
- * may have been dropped. */
+/* Resends an old ticket, whose record may have been dropped. */
 static void
-resend_an_old_one(FakeRun *r)
+maybe_resend_old(FakeRun *r)
 {
     if (r->c->calls->len == 0 || GwRng_Below(&r->rng, 10) != 0) {
         return;
@@ -122,10 +122,10 @@
     }
 }
 
-/* ---- the run ------------------------------------------------------------------- */
+/* ---- the run ----------------------------------------------------------- */
 
-/* Shifts above the cap. While a lowered cap spreads, the higher one may
- * still be in force somewhere; the promise is "within seconds". */
+/* Counts shifts above their cap. While a lowered cap propagates, the old cap
+ * may still be in force at some entry; the guarantee is "within seconds". */
 static uint32_t
 count_over_cap(const FakeRun *r)
 {
@@ -147,45 +147,45 @@
     return over;
 }
 
-/* Entries that live, can be reached, and have an older version in force than
- * one accepted SPREAD_US ago or more. */
+/* Counts running, reachable entries whose version is older than one accepted
+ * PROPAGATION_US ago or more. */
 static uint32_t
-count_slow_spread(FakeRun *r)
+count_slow_propagation(FakeRun *r)
 {
     uint32_t slow = 0;
 
     for (uint32_t i = 0; i < NODES; i++) {
         if (!FakeRun_IsReachable(r, i)) {
-            r->reached_us[i] = r->c->now_us;
+            r->reachable_us[i] = r->c->now_us;
         }
-        int64_t since = MAX(r->reached_us[i], r->changed_us);
+        int64_t since = MAX(r->reachable_us[i], r->changed_us);
         slow += r->c->nodes[i].config_version < r->version &&
-                r->c->now_us - since > SPREAD_US;
+                r->c->now_us - since > PROPAGATION_US;
     }
     return slow;
 }
 
-/* Servers that an operator closed and that began a call after the bound. */
+/* Counts servers closed by an operator that started a call after the bound. */
 static uint32_t
-count_late_work(const FakeRun *r)
+count_late_starts(const FakeRun *r)
 {
     uint32_t late = 0;
 
     for (uint32_t i = 0; i < r->c->backends->len; i++) {
         const FakeBackend *b = FakeCluster_Backend(r->c, i);
         late += r->closed_us[i] != 0 &&
-                b->last_work_us > r->closed_us[i] + CLOSED_US;
+                b->last_start_us > r->closed_us[i] + CLOSED_US;
     }
     return late;
 }
 
 static uint32_t
-count_over_lowered(const FakeRun *r)
+count_over_lowered_slots(const FakeRun *r)
 {
     uint32_t over = 0;
 
-    if (r->fewer_us == 0 ||
-        r->c->now_us - r->fewer_us <= 6 * FAKE_SEC + DEADLINE_US) {
+    if (r->lowered_slots_us == 0 ||
+        r->c->now_us - r->lowered_slots_us <= 6 * FAKE_SEC + DEADLINE_US) {
         return 0;
     }
     for (uint32_t i = 0; i < r->c->backends->len; i++) {
@@ -195,12 +195,13 @@
 }
 
 static void
-watch_promises(FakeRun *r, FakeVerdict *v)
+check_guarantees(FakeRun *r, FakeVerdict *v)
 {
     v->over_cap = MAX(v->over_cap, count_over_cap(r));
-    v->slow_spread = MAX(v->slow_spread, count_slow_spread(r));
-    v->late_work = MAX(v->late_work, count_late_work(r));
-    v->over_lowered = MAX(v->over_lowered, count_over_lowered(r));
+    v->slow_propagation = MAX(v->slow_propagation, count_slow_propagation(r));
+    v->late_starts = MAX(v->late_starts, count_late_starts(r));
+    v->over_lowered_slots =
+        MAX(v->over_lowered_slots, count_over_lowered_slots(r));
 }
 
 static void
@@ -221,29 +222,29 @@
                 FakeRun_SetFault(r, i, want);
             }
         }
-        if (r->unaccepted) {
+        if (r->must_retry_change) {
             FakeRun_AcceptChange(r, r->operator_node);
         }
         if (at < end) {
             load_step(r);
         }
-        look_at_pending(r);
+        check_pending(r);
         if (at < end + SETTLE_US - 3 * DEADLINE_US) {
-            resend_an_old_one(r);
+            maybe_resend_old(r);
         }
-        watch_promises(r, v);
+        check_guarantees(r, v);
     }
 }
 
 static void
-judge_nodes(const FakeRun *r, FakeVerdict *v)
+check_nodes(const FakeRun *r, FakeVerdict *v)
 {
     const GwRow *head = g_hash_table_lookup(r->c->rows, "config/head");
     uint64_t version = g_ascii_strtoull(head->value, NULL, 10);
 
     for (uint32_t i = 0; i < NODES; i++) {
         const FakeNode *n = &r->c->nodes[i];
-        v->version_falls += n->version_falls > 0;
+        v->version_decreases += n->version_decreases > 0;
         v->behind += n->node != NULL && n->config_version != version;
     }
     for (uint32_t s = 0; s < SERVICES; s++) {
@@ -255,7 +256,8 @@
     }
 }
 
-/* Short lives of tickets, so that a run of a minute sees records expire. */
+/* Shortens the ticket lifetime, so that records expire within a run of a
+ * minute. */
 static void
 tune(GwNodeParams *params)
 {
@@ -275,7 +277,7 @@
                               .slots = SLOTS,
                               .cap = CAP,
                               .seats = 12,
-                              .region = FakeRun_Victim(&r, 0) % REGIONS};
+                              .region = FakeRun_FaultNode(&r, 0) % REGIONS};
     char *text = FakeConfig_Build(&r.spec);
     FakeClusterParams params = {.seed = scenario->seed,
                                 .node_count = NODES,
@@ -293,8 +295,8 @@
 
     FakeCluster_Run(r.c, r.c->now_us + WARM_UP_US);
     run_load(&r, &v);
-    v.judgement = FakeCluster_Judge(r.c);
-    judge_nodes(&r, &v);
+    v.calls = FakeCluster_Judge(r.c);
+    check_nodes(&r, &v);
 
     FakeCluster_Free(r.c);
     g_array_free(r.pending, TRUE);
@@ -306,17 +308,17 @@
 uint32_t
 FakeVerdict_Violations(const FakeVerdict *v)
 {
-    const FakeJudgement *j = &v->judgement;
+    const FakeJudgement *j = &v->calls;
     return j->doubled + j->false_refusals + j->wrong_answers + j->unfinished +
            j->over_slots + j->cut_off + (j->late_ms > DRAIN_BOUND_MS) +
-           v->over_cap + v->version_falls + v->behind + v->slow_spread +
-           v->late_work + v->over_lowered;
+           v->over_cap + v->version_decreases + v->behind +
+           v->slow_propagation + v->late_starts + v->over_lowered_slots;
 }
 
 void
 FakeVerdict_Print(const FakeVerdict *v, const char *title)
 {
-    const FakeJudgement *j = &v->judgement;
+    const FakeJudgement *j = &v->calls;
     printf("%-48s sent=%u answered=%u not_run=%u unknown=%u shifted=%u | "
            "doubled=%u false_refusals=%u wrong=%u unfinished=%u "
            "over_slots=%u cut_off=%u late_ms=%u over_cap=%u falls=%u "
@@ -324,6 +326,6 @@
            title, j->sent, j->answered, j->not_run, j->unknown, v->shifted,
            j->doubled, j->false_refusals, j->wrong_answers, j->unfinished,
            j->over_slots, j->cut_off, j->late_ms, v->over_cap,
-           v->version_falls, v->behind, v->slow_spread, v->late_work,
-           v->over_lowered);
+           v->version_decreases, v->behind, v->slow_propagation,
+           v->late_starts, v->over_lowered_slots);
 }
