--- a/tests/property/found.cpp
+++ b/tests/property/found.cpp
@@ -50,13 +50,13 @@
     // another region than its caller, which resends and is answered meanwhile.
     // The delayed refusal is allowed, since the caller has the answer of a
     // later send. The check counted it as a false refusal.
-    {"a refusal overtaken by the next sending",
+    {"a refusal overtaken by the next send",
      scenario(FAKE_FAULT_REGION_BACKENDS, FAKE_FAULT_NO_PLACE, 3,
               3 * SEC + 500 * MS, 3 * SEC)},
     // A resend reaches the owner while the refusal of the first send is in
     // transit through an entry in another region; the resend runs and is
     // answered. See above.
-    {"a refusal on its way while the resend runs",
+    {"a refusal in transit while the resend runs",
      scenario(FAKE_FAULT_CRASH, FAKE_FAULT_REGION_BACKENDS, 3, 3 * SEC,
               5 * SEC)},
     // An operator's change is accepted, and 20 ms later the table becomes
@@ -64,7 +64,7 @@
     // document because it carried its own name as origin, and no other entry
     // had a copy: all entries kept the old version until the table returned.
     // An entry must apply its own document.
-    {"the table goes away right after a change",
+    {"the table fails right after a change",
      scenario(FAKE_FAULT_STORE_AWAY, FAKE_FAULT_NO_BACKEND, 1,
               3 * SEC + 20 * MS, 3 * SEC)},
     {"the same, for longer than a hold-off",
@@ -79,8 +79,9 @@
     // received the change. It resumes 6 s later and started calls at servers
     // closed long before. A resumed entry must wait until the table or a peer
     // confirms its version.
-    {"a pause over a change", scenario(FAKE_FAULT_PAUSE, FAKE_FAULT_NO_SERVICE,
-                                       1, 3 * SEC + 20 * MS, 3 * SEC)},
+    {"a pause during a change",
+     scenario(FAKE_FAULT_PAUSE, FAKE_FAULT_NO_SERVICE, 1, 3 * SEC + 20 * MS,
+              3 * SEC)},
     // Health reports stop for long, and a server announces its drain only in
     // its answers. Without a report that the server is open again, the drain
     // state must not expire after ten seconds, or new calls are sent each
