--- a/tests/fakes/outages.h
+++ b/tests/fakes/outages.h
@@ -17,7 +17,7 @@
     OUTAGE_LOST_ANSWERS,      /* runs that end with a connection reset */
     OUTAGE_RESETS,            /* resets of half of all connections */
     OUTAGE_INVALID_ANSWERS,   /* invalid answers */
-    OUTAGE_POWER_LOSSES,      /* servers lose power, one by one */
+    OUTAGE_POWER_LOSSES,      /* a server loses power every 300 ms */
     OUTAGE_DRAINS,            /* drains; some servers do not announce them */
     OUTAGE_KIND_COUNT
 } OutageKind;
--- a/tests/fakes/scenario.c
+++ b/tests/fakes/scenario.c
@@ -216,7 +216,7 @@
         FakeCluster_Run(r->c, at);
         for (int i = 0; i < 2; i++) {
             int64_t since = at - start - s->begin_us[i];
-            bool want = since >= 0 && since < FakeScenario_LastUs(s, i);
+            bool want = since >= 0 && since < FakeScenario_DurationUs(s, i);
             if (want != on[i]) {
                 on[i] = want;
                 FakeRun_SetFault(r, i, want);
--- a/tests/fakes/scenario.h
+++ b/tests/fakes/scenario.h
@@ -70,7 +70,7 @@
 } FakeVerdict;
 
 FakeVerdict FakeScenario_Run(const FakeScenario *scenario);
-/* Number of violated guarantees. */
+/* Number of violated guarantees; 0: passed. */
 uint32_t FakeVerdict_Violations(const FakeVerdict *verdict);
 void FakeVerdict_Print(const FakeVerdict *verdict, const char *title);
 
--- a/tests/fakes/scenario_faults.c
+++ b/tests/fakes/scenario_faults.c
@@ -131,8 +131,9 @@
         }
         break;
     }
-    bool gone = fault == FAKE_FAULT_CRASH || fault == FAKE_FAULT_REPLACE;
-    if (!on && gone && n->node == NULL) {
+    bool may_restart =
+        fault == FAKE_FAULT_CRASH || fault == FAKE_FAULT_REPLACE;
+    if (!on && may_restart && n->node == NULL) {
         FakeCluster_Start(c, node);
     }
 }
@@ -175,11 +176,13 @@
     set_or_clear(r, &r->lowered_slots_us, spec->lowered_slots);
     for (uint32_t i = 0; i < REGIONS; i++) {
         bool here = i == spec->region;
-        bool place = spec->without_service ||
-                     (here && (spec->drain_place || spec->without_place));
+        bool is_place_closed =
+            spec->without_service ||
+            (here && (spec->drain_place || spec->without_place));
         for (uint32_t k = 0; k < BACKENDS; k++) { /* of service s0 */
-            bool one = here && k == 0 && spec->without_backend;
-            set_or_clear(r, &r->closed_us[i * BACKENDS + k], place || one);
+            bool is_server_closed = here && k == 0 && spec->without_backend;
+            set_or_clear(r, &r->closed_us[i * BACKENDS + k],
+                         is_place_closed || is_server_closed);
         }
     }
 }
@@ -246,7 +249,7 @@
 }
 
 int64_t
-FakeScenario_LastUs(const FakeScenario *s, int which)
+FakeScenario_DurationUs(const FakeScenario *s, int which)
 {
     switch (s->faults[which]) {
     case FAKE_FAULT_STORE_LONG:
@@ -319,7 +322,8 @@
     case FAKE_FAULT_LIST_WRONG:
     case FAKE_FAULT_REPLACE:
     case FAKE_FAULT_ISOLATED:
-        set_entry(r, fault, node, FakeScenario_LastUs(r->scenario, which), on);
+        set_entry(r, fault, node, FakeScenario_DurationUs(r->scenario, which),
+                  on);
         break;
     }
 }
--- a/tests/fakes/scenario_internal.h
+++ b/tests/fakes/scenario_internal.h
@@ -38,7 +38,7 @@
 /* Submits the changed configuration, as an operator at that entry. */
 void FakeRun_AcceptChange(FakeRun *r, uint32_t node);
 /* Duration of the fault in microseconds. */
-int64_t FakeScenario_LastUs(const FakeScenario *s, int which);
+int64_t FakeScenario_DurationUs(const FakeScenario *s, int which);
 /* Starts or ends the fault. */
 void FakeRun_SetFault(FakeRun *r, int which, bool on);
 
