--- a/lib/godwitridge.h
+++ b/lib/godwitridge.h
@@ -1,18 +1,19 @@
 /* godwitridge: global traffic steering as a library.
  *
- * A GwNode is one entry instance without its sockets. It is plain state: it
- * reads no clock, opens no socket, starts no thread and has no source of
- * chance but its seed. The host (the daemon, or a test) feeds it events with
- * the time, and carries out the actions it gives back:
+ * A GwNode is the deterministic state machine of one entry. It performs no
+ * I/O, reads no clock, starts no thread and draws random numbers from its seed
+ * only. The host (the daemon, or a test) passes events with the current time
+ * and executes the actions that GwNode_Step() returns:
  *
  *     GwActions actions = {0};
  *     GwNode_Step(node, now_us, &event, &actions);
- *     for (uint32_t i = 0; i < actions.count; i++) { ...carry out... }
+ *     for (uint32_t i = 0; i < actions.count; i++) { ...execute... }
  *     GwActions_Clear(&actions);
  *
- * Time is in microseconds on a clock that keeps running while the machine is
- * suspended (CLOCK_BOOTTIME), so that a paused process sees how long it was
- * away. A GwNode is not thread-safe: the host serialises its steps. */
+ * Times are in microseconds on a monotonic clock that advances while the
+ * machine is suspended (CLOCK_BOOTTIME), so that a resumed process detects the
+ * length of its pause. A GwNode is not thread-safe: the host serializes all
+ * calls on it. */
 #ifndef GODWITRIDGE_H
 #define GODWITRIDGE_H
 
@@ -26,16 +27,19 @@
 #define GW_VERSION_STRING "0.2.0"
 
 /* ------------------------------------------------------------------------
- * Outcomes. Exactly one of three reaches a caller; they are never mixed.
+ * Outcomes. Every call ends with exactly one of three.
  * ---------------------------------------------------------------------- */
 
 typedef enum {
-    GW_OUTCOME_ANSWERED = 1, /* the whole answer of the backend server */
-    GW_OUTCOME_NOT_RUN = 2,  /* proven: no backend server ran it */
-    GW_OUTCOME_UNKNOWN = 3   /* it may have run */
+    GW_OUTCOME_ANSWERED = 1, /* complete answer of a backend server */
+    GW_OUTCOME_NOT_RUN = 2,  /* proven: no backend server ran the call */
+    GW_OUTCOME_UNKNOWN = 3   /* a backend server may have run the call */
 } GwOutcome;
 
-/* Why a call was not run, or why its outcome is unknown. X(sym, num, name) */
+/* Reasons of the outcomes NOT_RUN and UNKNOWN: X(symbol, number, name). SILENT
+ * is a time-out after sending, BROKEN a connection lost after sending, SHED an
+ * overload refusal by the backend server, OLD_TICKET a ticket whose record has
+ * expired. */
 #define GW_REASON_TABLE(X)                                                    \
     X(NONE, 0, "none")                                                        \
     X(NO_SERVICE, 1, "no-service")                                            \
@@ -69,7 +73,9 @@
 const char *GwOutcome_Name(GwOutcome outcome);
 const char *GwReason_Name(GwReason reason);
 
-/* A ticket binds one non-idempotent call to the entry start that may run it.
+/* A ticket binds one non-idempotent call to one run of one entry, its owner:
+ * no other process may start the call. The owner keeps the outcome, so that a
+ * resend with the same ticket gets that outcome and does not run again.
  * Text form: <node hex16>-<start hex16>-<minted ms hex>-<seq hex>. */
 #define GW_TICKET_TEXT_MAX 72
 typedef struct {
@@ -78,15 +84,17 @@
     uint64_t seq;      /* 0: no ticket */
 } GwTicket;
 
+/* Reads the text form; an error if `text` is not a ticket. */
 GwResult GwTicket_Parse(const char *text, GwTicket *out);
+/* Writes the text form, NUL-terminated. */
 void GwTicket_Format(const GwTicket *t, char out[GW_TICKET_TEXT_MAX]);
 
 /* ------------------------------------------------------------------------
- * Events in.
+ * Events: input of GwNode_Step().
  * ---------------------------------------------------------------------- */
 
-/* A call, from a caller or relayed by a peer. `call` is the host's handle;
- * the host keeps headers and bodies. */
+/* A call from a caller, or relayed by a peer entry. `call` is the host's
+ * handle; headers and bodies stay with the host. */
 typedef struct {
     uint64_t call;
     char service[GW_NAME_MAX];
@@ -94,27 +102,28 @@
     char path[GW_PATH_MAX];
     GwTicket ticket;
     int64_t deadline_us; /* absolute, on this node's clock */
-    bool relayed;        /* from a peer; never relayed a second time */
+    bool relayed;        /* from a peer; is not relayed a second time */
     bool to_owner;       /* relayed because this node owns the ticket */
-    GwNodeId relay_from; /* the peer, when relayed */
-    uint64_t grant;      /* the loan it comes on, when shifted; else 0 */
+    GwNodeId relay_from; /* relaying peer, if relayed */
+    uint64_t grant;      /* loan that covers a shifted call; else 0 */
 } GwCallEvent;
 
-/* How one attempt ended. NOT_RUN means proven: connection never made, no
- * byte written, or the whole explicit refusal came on that connection. */
+/* End of one attempt. NOT_RUN requires proof: the connection was not
+ * established, no byte was written, or a complete explicit refusal arrived on
+ * that connection. */
 typedef struct {
     uint64_t call;
     uint32_t attempt;
     GwOutcome outcome;
     GwReason reason;
     uint32_t retry_after_ms;
-    bool draining;          /* the answer said that its server is draining */
-    bool has_load;          /* the answer carried a load report: */
-    uint32_t reported_load; /*   requests running there */
+    bool draining;          /* the answer marks its server as draining */
+    bool has_load;          /* the answer carried a load report */
+    uint32_t reported_load; /* requests running on the server, if has_load */
     uint32_t body_len;
 } GwAttemptEvent;
 
-/* A reading of a backend server's health endpoint. */
+/* Result of one poll of a backend server's health endpoint. */
 typedef struct {
     uint64_t backend;
     bool reachable;
@@ -123,14 +132,14 @@
     uint32_t reported_load;
 } GwHealthEvent;
 
-/* Rows of the platform's table service. */
+/* A row of the platform's table service. */
 #define GW_ROW_KEY_MAX 96
 #define GW_TXN_MAX     8
 typedef struct {
     char key[GW_ROW_KEY_MAX];
-    uint64_t version; /* 0: the row is absent */
-    uint32_t len;
-    char *value; /* owned by the holder of the row */
+    uint64_t version; /* 0: the row does not exist */
+    uint32_t len;     /* bytes of value */
+    char *value;      /* owned by the structure that contains the row */
 } GwRow;
 
 typedef enum {
@@ -139,9 +148,9 @@
     GW_TABLE_GET = 3
 } GwTableOp;
 
-/* LIST: rows whose key starts with rows[0].key. GET: that row. TXN: each
- * row's `version` must be the present one; then every value is written, or
- * nothing is. */
+/* A request to the table service. LIST reads all rows whose key starts with
+ * rows[0].key, GET the row with that key. TXN is an atomic compare-and-set: if
+ * each row's `version` is current, all values are written, else none. */
 typedef struct {
     uint64_t token;
     GwTableOp op;
@@ -151,18 +160,18 @@
 
 typedef enum {
     GW_TABLE_DONE = 1,
-    GW_TABLE_CONFLICT = 2, /* TXN only: refused, nothing written */
-    GW_TABLE_LOST = 3      /* no answer: a TXN may have taken effect */
+    GW_TABLE_CONFLICT = 2, /* TXN only: stale version, nothing written */
+    GW_TABLE_LOST = 3      /* no reply: a TXN may have been applied */
 } GwTableStatus;
 
 typedef struct {
     uint64_t token;
     GwTableStatus status;
     uint32_t row_count;
-    GwRow *rows; /* LIST, GET: as read. TXN: new versions. Owned by sender */
+    GwRow *rows; /* rows read, or new versions of a TXN; owned by the host */
 } GwTableReply;
 
-/* The platform's list of instances. It lags; it is a hint. */
+/* The platform's list of instances: a discovery hint that may be stale. */
 #define GW_LIST_MAX 1024
 typedef struct {
     char name[GW_NAME_MAX];
@@ -176,18 +185,18 @@
 } GwListEvent;
 
 typedef enum {
-    GW_EVENT_TICK = 1, /* every GW_TICK_US, and at once after start */
+    GW_EVENT_TICK = 1, /* every GW_TICK_US; the first right after start */
     GW_EVENT_MESSAGE,
     GW_EVENT_CALL,
-    GW_EVENT_CALL_GONE, /* the caller hung up */
+    GW_EVENT_CALL_GONE, /* the caller disconnected */
     GW_EVENT_ATTEMPT,
     GW_EVENT_HEALTH,
     GW_EVENT_TABLE,
     GW_EVENT_LIST,
-    GW_EVENT_LEAVE /* begin a graceful stop */
+    GW_EVENT_LEAVE /* starts the graceful stop */
 } GwEventKind;
 
-#define GW_TICK_US 10000
+#define GW_TICK_US 10000 /* period of GW_EVENT_TICK */
 
 typedef struct {
     GwEventKind kind;
@@ -203,24 +212,24 @@
 } GwEvent;
 
 /* ------------------------------------------------------------------------
- * Actions out.
+ * Actions: output of GwNode_Step(), executed by the host in order.
  * ---------------------------------------------------------------------- */
 
 typedef enum {
-    GW_ACTION_SEND = 1, /* message to a peer, best effort */
-    GW_ACTION_DISPATCH, /* one attempt at a backend server */
-    GW_ACTION_RELAY,    /* one attempt through a peer entry */
-    GW_ACTION_CANCEL,   /* abandon an attempt; its connection is closed */
-    GW_ACTION_FINISH,   /* the final outcome of a call, at once */
-    GW_ACTION_TABLE,    /* a request to the platform's table */
-    GW_ACTION_PUBLISH,  /* look-up or configuration changed: copy it out */
-    GW_ACTION_LOG,      /* a numbered event (common/log_events.h) */
-    GW_ACTION_STOPPED   /* the graceful stop is over */
+    GW_ACTION_SEND = 1, /* send a message to a peer, best effort */
+    GW_ACTION_DISPATCH, /* start an attempt at a backend server */
+    GW_ACTION_RELAY,    /* start an attempt through a peer entry */
+    GW_ACTION_CANCEL,   /* cancel an attempt and close its connection */
+    GW_ACTION_FINISH,   /* send the final outcome of a call */
+    GW_ACTION_TABLE,    /* send a request to the platform's table service */
+    GW_ACTION_PUBLISH,  /* refresh copies of look-ups and configuration */
+    GW_ACTION_LOG,      /* log an event (number in common/log_events.h) */
+    GW_ACTION_STOPPED   /* the graceful stop is complete */
 } GwActionKind;
 
 typedef struct {
     char address[GW_ADDR_MAX];
-    GwNodeId to;        /* node 0 when only the address is known (seeding) */
+    GwNodeId to;        /* node 0: only the address is known (seed member) */
     GwMessage *message; /* owned by the action */
 } GwSendAction;
 
@@ -230,7 +239,7 @@
     uint64_t backend;
     char address[GW_ADDR_MAX];
     bool idempotent;
-    int64_t give_up_us; /* absolute end of this attempt */
+    int64_t give_up_us; /* absolute deadline of the attempt */
 } GwDispatchAction;
 
 typedef struct {
@@ -238,23 +247,23 @@
     uint32_t attempt;
     GwNodeId to;
     char address[GW_ADDR_MAX];
-    bool to_owner;
-    uint64_t grant;
-    int64_t give_up_us;
+    bool to_owner;      /* the peer owns the ticket of the call */
+    uint64_t grant;     /* loan that covers the call; else 0 */
+    int64_t give_up_us; /* absolute deadline of the attempt */
 } GwRelayAction;
 
 typedef struct {
     uint64_t call;
     GwOutcome outcome;
     GwReason reason;
-    uint32_t retry_after_ms; /* when to come back; 0: no hint */
-    uint64_t answer_of;      /* the call whose answer body is to be sent */
-    uint32_t answer_attempt; /* the attempt that carried it */
-    GwTicket ticket;         /* of a non-idempotent call */
+    uint32_t retry_after_ms; /* retry hint for the caller; 0: none */
+    uint64_t answer_of;      /* call whose answer body the host sends */
+    uint32_t answer_attempt; /* attempt of that call with the answer */
+    GwTicket ticket;         /* of a non-idempotent call; else seq 0 */
 } GwFinishAction;
 
 typedef struct {
-    uint32_t event;
+    uint32_t event; /* number in common/log_events.h */
     char text[160];
 } GwLogAction;
 
@@ -274,27 +283,32 @@
     } u;
 } GwAction;
 
-/* A growing list of actions; zero-initialised, reused between steps. */
+/* A growable array of actions. Starts zero-initialized; the host clears and
+ * reuses it between steps. */
 typedef struct {
     uint32_t count;
     uint32_t capacity;
     GwAction *items;
 } GwActions;
 
+/* Appends a zeroed action of that kind; valid until the next call. */
 GwAction *GwActions_Add(GwActions *actions, GwActionKind kind);
+/* Appends a LOG action; text beyond the size of GwLogAction is cut off. */
 void GwActions_Log(GwActions *actions, uint32_t event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
-void GwActions_Clear(GwActions *actions); /* frees what actions own */
+/* Removes all actions, frees what they own and keeps the array. */
+void GwActions_Clear(GwActions *actions);
+/* Clears and frees the array. */
 void GwActions_Free(GwActions *actions);
 
 /* ------------------------------------------------------------------------
  * The node.
  * ---------------------------------------------------------------------- */
 
-/* Parameters of the decision code. Each has a type, unit, default and bounds
- * in params.h, from which settings and docs are made. */
+/* Parameters of a node. Defaults are in the comments; units, bounds and
+ * meanings are in config/settings_table.c. */
 typedef struct {
-    /* Who this is. */
+    /* Identity. */
     GwNodeId id;
     char name[GW_NAME_MAX];
     char region[GW_NAME_MAX];
@@ -305,46 +319,50 @@
     /* Membership. */
     uint32_t probe_period_ms;    /* 500 */
     uint32_t probe_timeout_ms;   /* 250 */
-    uint32_t suspect_timeout_ms; /* 1500 */
+    uint32_t suspect_timeout_ms; /* 1500: a silent suspect is then dead */
     uint32_t indirect_probes;    /* 3 */
     /* Configuration. */
     uint32_t config_poll_ms; /* 2000 */
-    /* Seats and loans. */
-    uint32_t fence_ms;        /* 2000: a longer gap between beats fences */
+    /* Seats and loans. A seat is an exclusive share of the slots of backend
+     * servers, a loan a temporary transfer of its units to a peer. */
+    uint32_t fence_ms;        /* 2000: a longer pause revokes both */
     uint32_t seat_poll_ms;    /* 3000 */
-    uint32_t seat_holdoff_ms; /* 15000 */
+    uint32_t seat_holdoff_ms; /* 15000: from notice to claim */
     uint32_t loan_term_ms;    /* 10000 */
-    uint32_t loan_margin_ms;  /* 1000 */
+    uint32_t loan_margin_ms;  /* 1000: safety margin at both ends */
     /* Calls. */
     uint32_t queue_max;            /* 1024 */
     uint32_t ticket_table_max;     /* 65536 */
     uint32_t ticket_valid_ms;      /* 60000 */
     uint32_t ticket_retention_ms;  /* 120000 */
-    uint32_t attempt_timeout_ms;   /* 1000, idempotent attempts */
-    uint32_t retry_budget_percent; /* 20 */
+    uint32_t attempt_timeout_ms;   /* 1000; idempotent calls only */
+    uint32_t retry_budget_percent; /* 20: retries per successes */
     uint32_t drain_hint_ttl_ms;    /* 10000 */
     uint32_t leave_bound_ms;       /* 30000 */
-    uint32_t lookup_ttl_ms;        /* 2000: life of a look-up answer */
+    uint32_t lookup_ttl_ms;        /* 2000: validity of a look-up */
     uint32_t policy;               /* GwPolicyKind of steer/steer.h */
 } GwNodeParams;
 
-/* Every numeric parameter at its default. */
+/* Sets every numeric parameter to its default. */
 void GwNodeParams_SetDefaults(GwNodeParams *params);
 
 typedef struct GwNode_s GwNode;
 
+/* Copies `params`. Free the node with GwNode_Free(). */
 GwNode *GwNode_Create(const GwNodeParams *params);
 void GwNode_Free(GwNode *node);
 
-/* Feeds one event and appends what has to be done. now_us never falls. */
+/* Processes one event at time now_us and appends the resulting actions to
+ * `out`. now_us must not decrease between steps. */
 void GwNode_Step(GwNode *node, int64_t now_us, const GwEvent *event,
                  GwActions *out);
 
-/* The configuration in force, or NULL before the first. Borrowed: valid
- * until the next step. */
+/* Returns the current configuration, or NULL before the first. Borrowed:
+ * valid until the next step. */
 const GwConfig *GwNode_Config(const GwNode *node);
 
-/* Entries a caller should use for a service, best first. */
+/* A look-up lists the entries that a caller should use for a service, best
+ * first. */
 #define GW_LOOKUP_MAX 16
 typedef struct {
     char address[GW_ADDR_MAX];
@@ -356,26 +374,26 @@
 typedef struct {
     uint64_t config_version;
     uint32_t ttl_ms;
-    uint32_t moving_draws; /* draws below this name another entry first */
-    bool self_first;       /* else no tickets are given with the answer */
+    uint32_t moving_draws; /* lower draws list another entry first */
+    bool self_first;       /* if false, the reply carries no tickets */
     uint32_t count;
     GwLookupEntry entries[GW_LOOKUP_MAX];
 } GwLookup;
 
-/* GW_ERR(NOT_FOUND) for an unknown service, GW_ERR(NOT_READY) before a
- * configuration is in force; else the number of entries. `draw` is a number
- * below GW_LOOKUP_DRAWS, another one for each caller in turn: an entry that
- * carries more than its share sends some of its callers to others. */
+/* Returns the number of entries, GW_ERR(NOT_FOUND) for an unknown service, or
+ * GW_ERR(NOT_READY) without a configuration. `draw` is below GW_LOOKUP_DRAWS
+ * and rotates over callers: an entry with more than its share of the load
+ * directs a part of its callers to other entries. */
 #define GW_LOOKUP_DRAWS 4
 GwResult GwNode_Lookup(const GwNode *node, const char *service, uint32_t draw,
                        GwLookup *out);
 
-/* Mints `count` tickets; GW_ERR(LEAVING) or GW_ERR(NOT_READY) when this node
- * may not take new work. */
+/* Issues `count` tickets. GW_ERR(LEAVING) during a graceful stop,
+ * GW_ERR(NOT_READY) before the node accepts calls. */
 GwResult GwNode_MintTickets(GwNode *node, int64_t now_us, uint32_t count,
                             GwTicket *out);
 
-/* The whole state as JSON text; free with g_free. */
+/* Returns the state of the node as JSON text; free with g_free(). */
 char *GwNode_Dump(const GwNode *node, int64_t now_us);
 
 #endif
--- a/lib/godwitridge_errors.h
+++ b/lib/godwitridge_errors.h
@@ -1,9 +1,8 @@
-/* Result codes of godwitridge: one number space for every function that can
- * fail, for GError codes of the domain GW_ERROR and for the "code" member of
- * admin replies. docs/RESULTS.md is the table for users; a test holds the
- * two against each other.
+/* Result codes of godwitridge: one numbering for all functions that can fail,
+ * for GError codes of the domain GW_ERROR and for the "code" member of admin
+ * replies. A test compares this table with docs/RESULTS.md.
  *
- * A number is never reused or renumbered: callers store them. */
+ * Numbers are never changed or reused: users store them. */
 #ifndef GODWITRIDGE_ERRORS_H
 #define GODWITRIDGE_ERRORS_H
 
@@ -39,7 +38,7 @@
 #undef GW_RESULT_ENUM
 } GwResultCode;
 
-/* A size (>= 0) or a negated GwResultCode, in one value. */
+/* A size or count (>= 0), or a negated GwResultCode (< 0). */
 typedef int64_t GwResult;
 
 #define GW_ERR(sym) (-(GwResult)GW_RESULT_##sym)
