--- a/lib/godwitridge.h
+++ b/lib/godwitridge.h
@@ -296,7 +296,8 @@
 /* Appends a LOG action; text beyond the size of GwLogAction is cut off. */
 void GwActions_Log(GwActions *actions, uint32_t event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
-/* Removes all actions, frees what they own and keeps the array. */
+/* Removes all actions and frees what they own; keeps the array. A host that
+ * takes over a message or table request sets its pointer to NULL before. */
 void GwActions_Clear(GwActions *actions);
 /* Clears and frees the array. */
 void GwActions_Free(GwActions *actions);
@@ -323,9 +324,10 @@
     uint32_t indirect_probes;    /* 3 */
     /* Configuration. */
     uint32_t config_poll_ms; /* 2000 */
-    /* Seats and loans. A seat is an exclusive share of the slots of backend
-     * servers, a loan a temporary transfer of its units to a peer. */
-    uint32_t fence_ms;        /* 2000: a longer pause revokes both */
+    /* Seats and loans. A seat is an exclusive share of all units (slots of
+     * backend servers and units of caps). A loan lends units of a seat to
+     * another entry for a limited time. */
+    uint32_t fence_ms;        /* 2000: a longer pause ends use of both */
     uint32_t seat_poll_ms;    /* 3000 */
     uint32_t seat_holdoff_ms; /* 15000: from notice to claim */
     uint32_t loan_term_ms;    /* 10000 */
