--- a/programs/godwitctl.c
+++ b/programs/godwitctl.c
@@ -1,10 +1,10 @@
-/* The operators' command line.
+/* Command line of the operators.
  *
  * Exit codes:
- *   0  accepted, or what was asked for was printed
- *   1  refused; of a call: not run
- *   2  usage
- *   3  pending; of a call: unknown
+ *   0  accepted, or the requested output was printed
+ *   1  refused; for a call: not run
+ *   2  usage error
+ *   3  pending; for a call: outcome unknown
  *   4  the entry instance is unreachable */
 #include "admin/ctl.h"
 
@@ -49,13 +49,14 @@
         o->admin_address = strdup(ADMIN_DEFAULT);
     }
     if (o->timeout_ms <= 0 || o->wait_ms <= 0) {
-        (void)fprintf(stderr, "godwitctl: times must be above 0\n");
+        (void)fprintf(
+            stderr, "godwitctl: --timeout-ms and --wait-ms must be above 0\n");
         return GW_CTL_USAGE;
     }
     return GwCtl_Run(o, argc, args);
 }
 
-/* popt hands over a copy of each text. */
+/* popt allocates each string option; the program owns it. */
 static void
 free_options(GwCtlOptions *o)
 {
@@ -83,33 +84,35 @@
         {"admin", 'a', POPT_ARG_STRING, &o.admin_address, 0,
          "admin address of an entry instance", "IP:PORT"},
         {"token-file", 't', POPT_ARG_STRING, &o.token_file, 0,
-         "file with the operators' token", "FILE"},
+         "file with the operator token", "FILE"},
         {"json", 'j', POPT_ARG_NONE, &o.json, 0, "print JSON", NULL},
         {"timeout-ms", 0, POPT_ARG_INT, &o.timeout_ms, 0,
-         "longest wait for one reply (15000)", "N"},
+         "time-out of one request in ms (15000)", "N"},
         {"call-address", 'c', POPT_ARG_STRING, &o.call_address, 0,
-         "callers' address of an entry instance", "IP:PORT"},
+         "caller address of an entry instance", "IP:PORT"},
         {"base", 'b', POPT_ARG_STRING, &o.base_version, 0,
-         "refuse unless this version is in force", "VERSION"},
+         "refuse unless VERSION is the current version", "VERSION"},
         {"request-id", 'r', POPT_ARG_STRING, &o.request_id, 0,
-         "id of the change; one id never applies twice", "ID"},
+         "id of the change; an id is applied at most once", "ID"},
         {"operator", 'o', POPT_ARG_STRING, &o.operator_name, 0,
-         "name for the log of changes (the user's)", "NAME"},
+         "operator name for the change log (default: login name)", "NAME"},
         {"wait", 'w', POPT_ARG_NONE, &o.wait, 0,
          "wait until every live member has the version", NULL},
         {"wait-ms", 0, POPT_ARG_INT, &o.wait_ms, 0,
-         "longest wait of --wait (30000)", "N"},
-        {"cap", 0, POPT_ARG_INT, &o.cap, 0, "requests in flight", "N"},
+         "time-out of --wait in ms (30000)", "N"},
+        {"cap", 0, POPT_ARG_INT, &o.cap, 0,
+         "maximum number of requests in flight", "N"},
         {"percent", 0, POPT_ARG_INT, &o.percent, 0,
-         "share that moves although the local place could carry it", "P"},
-        {"limit", 0, POPT_ARG_INT, &o.limit, 0, "lines of history", "N"},
+         "percentage moved even if local servers have capacity", "P"},
+        {"limit", 0, POPT_ARG_INT, &o.limit, 0,
+         "maximum number of history lines", "N"},
         {"before", 0, POPT_ARG_STRING, &o.before, 0,
-         "history of versions below this", "VERSION"},
-        {"body", 0, POPT_ARG_STRING, &o.body_file, 0, "body of a call",
-         "FILE"},
+         "print history of versions below VERSION", "VERSION"},
+        {"body", 0, POPT_ARG_STRING, &o.body_file, 0,
+         "file with the body of a call", "FILE"},
         {"deadline-ms", 0, POPT_ARG_INT, &o.deadline_ms, 0,
-         "deadline of a call (5000)", "N"},
-        {"help", 'h', POPT_ARG_NONE, &help, 0, "help, also of a COMMAND",
+         "deadline of a call in ms (5000)", "N"},
+        {"help", 'h', POPT_ARG_NONE, &help, 0, "print help, or help on COMMAND",
          NULL},
         POPT_TABLEEND,
     };
--- a/programs/godwitd.c
+++ b/programs/godwitd.c
@@ -1,10 +1,10 @@
 /* The daemon of one entry instance.
  *
  * Exit codes:
- *   0  graceful stop, or a question on the command line was answered
- *   1  failure at run time: a port is taken, a key can't be read
- *   2  usage
- *   3  the settings were refused */
+ *   0  graceful stop, or the option only printed or checked something
+ *   1  failure at run time, such as a port in use or an unreadable key
+ *   2  usage error
+ *   3  the settings are invalid */
 #include "common/command.h"
 #include "common/log.h"
 #include "runtime/runtime.h"
@@ -34,7 +34,7 @@
 {
     struct poptOption options[] = {
         {"settings", 's', POPT_ARG_STRING, &args->settings, 0,
-         "settings of this instance, JSON with comments", "FILE"},
+         "settings file of this instance (JSON with comments)", "FILE"},
         {"check-settings", 'c', POPT_ARG_NONE, &args->check, 0,
          "check the settings and exit", NULL},
         {"print-settings", 'p', POPT_ARG_NONE, &args->print, 0,
@@ -51,33 +51,34 @@
     return GwCommand_Parse(&command, argc, argv);
 }
 
-/* Serves until the graceful stop is over. A second signal to stop ends it at
- * once. */
+/* Runs until the graceful stop is complete. SIGTERM or SIGINT starts the stop,
+ * a second one ends it immediately. SIGUSR1 dumps the state to standard
+ * error. */
 static void
 serve(GwRuntime *rt, const sigset_t *signals)
 {
-    struct timespec nap = {.tv_nsec = 20000000};
-    bool leaving = false;
+    struct timespec poll_interval = {.tv_nsec = 20000000};
+    bool is_stopping = false;
 
     while (!GwRuntime_IsStopped(rt)) {
-        int signal = sigtimedwait(signals, NULL, &nap);
+        int signal = sigtimedwait(signals, NULL, &poll_interval);
         if (signal == SIGUSR1) {
             char *dump = GwRuntime_Dump(rt);
             (void)fprintf(stderr, "%s\n", dump);
             g_free(dump);
         }
         else if (signal == SIGTERM || signal == SIGINT) {
-            if (leaving) {
+            if (is_stopping) {
                 return;
             }
-            leaving = true;
+            is_stopping = true;
             GwRuntime_Leave(rt);
         }
     }
 }
 
-/* Signals are blocked before the first thread starts, so that only serve()
- * sees them. */
+/* Blocks the signals before the first thread starts, so that only serve()
+ * receives them. */
 static GwExit
 run(const GwSettings *settings)
 {
@@ -91,7 +92,7 @@
     pthread_sigmask(SIG_BLOCK, &signals, NULL);
     (void)signal(SIGPIPE, SIG_IGN);
     if (GwLog_Start(settings->log_level) != 0) {
-        (void)fprintf(stderr, "godwitd: the log can't be started\n");
+        (void)fprintf(stderr, "godwitd: cannot open the log\n");
         return GW_EXIT_RUNTIME;
     }
     GwRuntime *rt = GwRuntime_Start(settings, &error);
@@ -109,7 +110,7 @@
 }
 
 static GwExit
-run_with(const Arguments *args)
+load_and_run(const Arguments *args)
 {
     GError *error = NULL;
     GwExit code = GW_EXIT_OK;
@@ -142,7 +143,7 @@
         (void)puts("godwitd " GW_VERSION_STRING);
     }
     else if (code == GW_EXIT_OK) {
-        code = run_with(&args);
+        code = load_and_run(&args);
     }
     free(args.settings);
     return (int)code;
--- a/programs/godwitedge.c
+++ b/programs/godwitedge.c
@@ -1,10 +1,10 @@
 /* The daemon of one entry on the users' platform.
  *
  * Exit codes:
- *   0  graceful stop, or a question on the command line was answered
- *   1  failure at run time: an address is taken
- *   2  usage
- *   3  the settings were refused */
+ *   0  graceful stop, or the option only printed or checked something
+ *   1  failure at run time, such as an address in use
+ *   2  usage error
+ *   3  the settings are invalid */
 #include "common/command.h"
 #include "common/log.h"
 #include "edge/edge.h"
@@ -26,8 +26,8 @@
 {
     struct poptOption options[] = {
         {"settings", 's', POPT_ARG_STRING, &args->settings, 0,
-         "settings, JSON with comments; default: the file that the platform "
-         "names",
+         "settings file (JSON with comments); default: "
+         "$" PLATFORM_SETTINGS_VARIABLE,
          "FILE"},
         {"check-settings", 'c', POPT_ARG_NONE, &args->check, 0,
          "check the settings and exit", NULL},
@@ -74,7 +74,8 @@
                            ? args.settings
                            : getenv(PLATFORM_SETTINGS_VARIABLE);
     if (path == NULL) {
-        (void)fprintf(stderr, "godwitedge: no settings; see --help\n");
+        (void)fprintf(stderr,
+                      "godwitedge: no settings file given; see --help\n");
         return GW_EXIT_USAGE;
     }
     GwEdgeSettings *settings = GwEdgeSettings_Load(path, &error);
