--- a/Makefile
+++ b/Makefile
@@ -2,21 +2,25 @@
 #
 #   deps     install the Debian packages (root)        .ci/install
 #   all      library, daemons, stand-ins               build/
-#   demo     the whole system under failures           SITE=hen-viec|dyehouse
-#   target   the entry for the users' platform, as deploy/ builds it
-#   demo-site  entries of the platform's program beside a small site
-#   check    unit tests, properties, sessions          SAN=address|thread
-#   soak     real processes under seeded faults         SEED=n SEEDS=count
+#   tests    build the test programs; stress: its stress part
+#   demo     all daemons and stand-ins with faults     SITE=hen-viec|dyehouse
+#   target   godwitedge, as deploy/ builds it          target/
+#   demo-site  godwitedge entries with a small stand-in site
+#   check    unit, property, golden, stress, session and soak tests
+#                                                      SAN=address|thread
+#   check-long  check with more cases and soak seeds
+#   soak     daemons under seeded faults               SEED=n SEEDS=count
 #   lint     formatter and linters, warnings are errors
-#   format   rewrite sources in the house format
+#   format   apply the formatter to the sources
 #   proto    regenerate the committed protobuf-c code (needs protoc-c)
-#   golden   write tests/golden/*.txt anew, to be read before committing
-#   fuzz     short seeded run of every decoder         FUZZ_RUNS=20000
-#   bench    decisions and the caller's path, measured
-#   slopes   cost of control by number of nodes
-#   policies load shapes on virtual time, by the real steering core
-#   mutants  each safeguard broken in turn must fail its property
-#   install  DESTDIR=, PREFIX=
+#   golden   regenerate tests/golden/*.txt; review before committing
+#   fuzz     short seeded run of every fuzz target     FUZZ_RUNS=20000
+#   bench    benchmarks of decisions, request path, steering core and log
+#   slopes   control-plane cost by number of nodes
+#   policies load shapes in virtual time, with the real steering core
+#   mutants  mutation tests: each property detects its broken safeguard
+#   install  library, headers, godwitd and godwitctl   DESTDIR=, PREFIX=
+#   clean    remove the build folders
 
 SHELL   := /bin/bash
 PREFIX  ?= /usr/local
@@ -127,7 +131,7 @@
 	+$(MAKE) all
 	standins/demo.sh $(O) $(SITE)
 
-# What the deploy file builds on a machine that has its packages.
+# Builds as the deployment file does; needs the packages installed.
 target:
 	+$(MAKE) O=target target/godwitedge
 
@@ -164,27 +168,27 @@
 slopes: $(O)/bench_slopes
 	$(O)/bench_slopes
 
-# Formatter, clang-tidy and cppcheck over what people write; generated code
-# is left out.
-hand_c   := $(filter-out %.pb-c.c,$(lib_src) $(wildcard programs/*.c \
+# Sources for the formatter, clang-tidy and cppcheck; generated code is
+# excluded.
+src_c   := $(filter-out %.pb-c.c,$(lib_src) $(wildcard programs/*.c \
               standins/*.c standins/common/*.c standins/site/*.c tests/*/*.c platform/tests/*.c bench/*.c fuzz/*.c))
-hand_h   := $(filter-out %.pb-c.h,$(wildcard lib/*.h lib/*/*.h platform/*.h \
+src_h   := $(filter-out %.pb-c.h,$(wildcard lib/*.h lib/*/*.h platform/*.h \
               standins/common/*.h standins/site/*.h tests/*/*.h bench/*.h))
-hand_cpp := $(wildcard tests/property/*.cpp)
+src_cpp := $(wildcard tests/property/*.cpp)
 
 format:
-	clang-format -i $(hand_c) $(hand_h) $(hand_cpp)
+	clang-format -i $(src_c) $(src_h) $(src_cpp)
 
 lint:
 	tests/layout.sh
-	clang-format --dry-run --Werror $(hand_c) $(hand_h) $(hand_cpp)
-	printf '%s\n' $(filter lib/% platform/% programs/% standins/%,$(hand_c)) | \
+	clang-format --dry-run --Werror $(src_c) $(src_h) $(src_cpp)
+	printf '%s\n' $(filter lib/% platform/% programs/% standins/%,$(src_c)) | \
 	    xargs -P 8 -n 4 sh -c 'clang-tidy --quiet "$$@" -- $(CSTD) $(INC) \
 	    $(PKGC) 2>/dev/null' tidy
 	cppcheck --quiet --std=c11 --enable=warning,performance,portability \
 	    --inline-suppr --error-exitcode=1 --suppress=missingIncludeSystem \
 	    --suppress='*:*.pb-c.*' -j 8 -Ilib -I. $(filter lib/% platform/% programs/% \
-	    standins/%,$(hand_c))
+	    standins/%,$(src_c))
 
 fuzz:
 	fuzz/run.sh $(FUZZ_RUNS)
--- a/tests/check.sh
+++ b/tests/check.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# Runs every test program of a build folder and counts what passed. A test
-# named in KNOWN-RED.txt is run and printed, and does not fail the whole.
+# Runs every test program of a build folder and counts the results. A failing
+# test that is listed in KNOWN-RED.txt is printed and does not fail the run.
 # usage: check.sh BUILD   GW_ONLY=unit|prop|golden|stress|script|soak
 set -uo pipefail
 cd "$(dirname "$0")/.."
 out=$1
 only=${GW_ONLY:-}
-# The slice allocator of GLib hides its locks from the thread sanitizer.
+# GLib's slice allocator uses locks that the thread sanitizer cannot see.
 export G_SLICE=always-malloc
 export RC_PARAMS=${RC_PARAMS:-"seed=20261202 max_success=${GW_LONG:+10}100"}
 passed=0
@@ -24,8 +24,8 @@
     fi
 }
 
-# Unit cases that failed and stand in KNOWN-RED.txt as unit.SUITE.CASE: lines;
-# prints their number, and on standard error their names.
+# Prints the number of failed unit cases that KNOWN-RED.txt lists as
+# unit.SUITE.CASE:, and their names on standard error.
 known_red_units() {
     local count=0 name
     while read -r name; do
@@ -55,7 +55,8 @@
     failed=$((failed + bad - $(known_red_units)))
 }
 
-# Runs the programs of a kind, several at once; pairs, the longest, in parts.
+# Runs the programs of a kind in parallel. prop_pairs takes longest and is
+# split into parts.
 parts=6
 jobs_of() { # prefix
     for bin in "$out"/"$1"_*; do
@@ -88,7 +89,7 @@
     done <"$list"
 }
 
-# Each fixed session against the committed lines.
+# Compares the output of each golden session with the committed file.
 run_golden() {
     local name rc
     for name in $("$out"/golden --list); do
@@ -109,18 +110,18 @@
     done
 }
 
-# A few seeds of the fault soak, all at once; `make soak` plays more. Each
-# promise counts as a test, so that a known fault hides no other.
+# Runs a few seeds of the fault soak in parallel; `make soak` runs more. Each
+# guarantee counts as a test, so that a known failure hides no other.
 run_soak() {
-    local promise verdict rc log=$out/soak.log
+    local guarantee verdict rc log=$out/soak.log
     SOAK_JOBS=4 tests/soak/soak.sh "$out" 1 "${GW_LONG:+2}4" >"$log" 2>&1
     rc=$?
     [ "$rc" -ne 0 ] && tail -80 "$log"
-    while read -r _ promise verdict; do
+    while read -r _ guarantee verdict; do
         [ "$verdict" = kept ]
-        note "soak.${promise%:}" $?
+        note "soak.${guarantee%:}" $?
     done < <(grep '^promise ' "$log")
-    # A seed that failed must have broken a promise.
+    # A failed run must have violated a guarantee.
     [ "$rc" -eq 0 ] || grep '^promise ' "$log" | grep -qv ' kept$'
     note soak.verdict $?
 }
--- a/tests/layout.sh
+++ b/tests/layout.sh
@@ -1,19 +1,18 @@
 #!/bin/bash
-# How the sources are laid out, as docs/DEVELOPING.md says: names that the
-# users' platform speaks stand in platform/ and deploy/ only; no file of the
-# library has more than 600 lines; packages include each other without a
-# circle. Part of `make lint`.
+# Checks the source layout of docs/DEVELOPING.md: wire names of the users'
+# platform occur in platform/ and deploy/ only, no source file has more than
+# 600 lines, and includes between packages form no cycle. Part of `make lint`.
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
 failed=0
 
-complain() {
+fail() {
     printf 'layout: %s\n' "$*" >&2
     failed=1
 }
 
-# Literals of the adapter that look like names on the wire: with a dash, an
-# underscore or a slash in them.
+# String literals of the adapter with the form of wire names: they contain a
+# dash, an underscore or a slash.
 wire_names() {
     grep -ohE '"[A-Za-z/][A-Za-z0-9]*([-_/][A-Za-z0-9]+)+"' platform/*.c |
         sort -u | grep -vxF -e '"application/json"'
@@ -21,11 +20,11 @@
 
 while read -r name; do
     found=$(grep -rnF --include='*.[ch]' -- "$name" lib programs)
-    [ -z "$found" ] || complain "$name belongs in platform/: $found"
+    [ -z "$found" ] || fail "$name belongs in platform/: $found"
 done < <(wire_names)
 
 while read -r lines file; do
-    [ "$lines" -le 600 ] || complain "$file has $lines lines, above 600"
+    [ "$lines" -le 600 ] || fail "$file has $lines lines, above 600"
 done < <(find lib platform programs -name '*.[ch]' ! -name '*.pb-c.*' \
     -exec wc -l {} + | grep -v ' total$')
 
@@ -36,9 +35,9 @@
         awk '$1 != $2' | sort -u
 }
 
-circle=$(pairs | tsort 2>&1 >/dev/null)
-[ -z "$circle" ] || complain "packages include each other: $circle"
+cycle=$(pairs | tsort 2>&1 >/dev/null)
+[ -z "$cycle" ] || fail "include cycle between packages: $cycle"
 
 [ "$(wire_names | wc -l)" -ge 20 ] ||
-    complain "found hardly any names in platform/: is the pattern still right?"
+    fail "fewer than 20 wire names found in platform/: check the pattern"
 exit "$failed"
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,88 +1,89 @@
 #!/bin/bash
-# Breaks each safeguard in turn and shows that its property fails.
-# usage: mutants.sh [NUMBER...]      docs/MUTANTS.md is the table for readers
+# Mutation tests: builds each GW_MUTANT, which breaks one safeguard, and checks
+# that its property fails. docs/MUTANTS.md describes the mutants.
+# usage: mutants.sh [NUMBER...]
 set -uo pipefail
 cd "$(dirname "$0")/.."
 
-# number, property program, arguments, the promise it guards
+# number, property program, environment (-: none), guarantee
 table='
 1 calls - at-most-once: an old ticket is not run again
-2 calls - a refusal is true: not reaching the owner is no proof
+2 calls - a refusal is proven: failing to reach the owner proves nothing
 3 calls - at-most-once: nothing is sent again after UNKNOWN
-4 calls - at-most-once: an UNKNOWN record is kept
-5 found - a leaving server gets no new work
-6 calls - no place above its slots: a cancelled call holds its slot
-7 pairs GW_PAIR=replaced a planned stop cuts off no request
-8 calls - a refusal is true: an earlier attempt may have run
-9 calls - a refusal is true: a known ticket of a removed service
-10 found - a woken entry obeys what it slept through
+4 calls - at-most-once: the record of an UNKNOWN outcome is kept
+5 found - a draining server gets no new work
+6 calls - no server exceeds its slots: a cancelled call keeps its slot
+7 pairs GW_PAIR=replaced a planned stop aborts no request
+8 calls - a refusal is proven: an earlier attempt may have run
+9 calls - a refusal is proven: the ticket of a removed service stays known
+10 found - a resumed entry applies drains of its pause before new work
 11 calls - no call outlasts the hold-off of its seat
-12 calls - a ticket is guarded under every version
-13 calls - nothing is shifted here without a grant
-14 found - an accepted change spreads though the table goes away
-15 found - a drain is remembered while its service is gone
-16 calls - a resend that waits gets the outcome of the first
-17 calls - one dispatch a ticket: a running one is joined
-18 calls - the table of tickets is bounded
-19 pairs GW_PAIR=region-backends-down a refusal is true: it stands for its ticket
+12 calls - a ticket is protected under every configuration version
+13 calls - no call is shifted to this entry without a grant
+14 found - an accepted change spreads while the table is unavailable
+15 found - a drain is remembered while its service is removed
+16 calls - a waiting resend gets the outcome of the first call
+17 calls - one dispatch per ticket: a resend joins the running call
+18 calls - the ticket table is bounded
+19 pairs GW_PAIR=region-backends-down a refusal is proven: it is final for its ticket
 20 steer_units - a lent unit is not used by its lender
 21 steer_units - units above a lowered cap take no new work
 22 steer_units - no call outlives the loan it runs on
-23 steer_units - the lender counts longer than the borrower
+23 steer_units - the lender counts a longer term than the borrower
 24 steer_units - no return while calls run on the loan
-25 steer_units - a late or copied GIVE is not used
-26 steer_cases - a shift unit of a running call stays out
+25 steer_units - a late or duplicated GIVE is not used
+26 steer_cases - the shift unit of a running call stays lent
 27 steer_units - no return while calls run on the loan
-28 steer_units - a grant carries no more calls than units
+28 steer_units - a grant carries at most as many calls as it has units
 29 steer_units - a link unit carries one call
-30 steer_cases - grants grow by warmup_step a second at most
-31 steer_units - a shift unit is out on one grant only
+30 steer_cases - grants grow by at most warmup_step per second
+31 steer_units - a shift unit is lent by one grant only
 32 steer_units - units of a fenced or lost seat are not used
-33 steer_units - a seat goes only when its units are idle
+33 steer_units - a seat is handed over only when its units are idle
 34 steer_units - an UNKNOWN end keeps its unit in use
-40 members - updates travel
-41 members - old news revives nobody
+40 members - membership updates propagate
+41 members - an outdated update does not revive a dead member
 42 members - a live member refutes its suspicion
 43 members - a lost member is found again
-44 sync - versions never fall
-45 sync - a corrupt document is never in force
+44 sync - versions never decrease
+45 sync - a corrupt document is never applied
 50 seats - a paused holder is fenced
-51 seats - a lost claim is not used before it was read back
+51 seats - a claim without reply is not used before it is read back
 52 seats - a row of another holder is not used
 53 seats - a reclaim waits for its hold-off
-54 seats - a reclaim needs the list and silence
-55 seats - a seat given away is not used
-56 seats - a handover is taken once
+54 seats - a reclaim needs absence from the list and silence
+55 seats - a seat that was handed over is not used
+56 seats - a handover is accepted once
 57 seats - a live holder objects to a notice
-60 change - the same id never applies twice
+60 change - an id is applied at most once
 61 change - a change is one transaction
-62 change - no accept without its row
-63 change - no refusal without a void row
-64 change - a lost answer is read back
+62 change - no change is accepted without its row
+63 change - no change is refused without a void row
+64 change - a transaction without reply is read back
 65 change - the head is checked
-66 change - a conflict is not an accept
+66 change - a conflict is not reported as accepted
 67 change - versions are dense
-70 router - at-most-once: nothing is sent again that may have run
-71 router - a refusal is true: 503 only with proof
-72 router - a leaving server gets no new work
-73 router - a cold server gets what it bears
+70 router - at-most-once: a request that may have run is not resent
+71 router - a refusal is proven: 503 only with proof
+72 router - a draining server gets no new work
+73 router - a cold server gets at most its cold rate
 74 router - retries stay within their budget
-75 router - no more servers than the route allows
-76 router - versions never fall
-77 router - a stopping entry begins nothing that its end would cut
+75 router - a request uses at most as many servers as the route allows
+76 router - versions never decrease
+77 router - a stopping entry starts nothing that its end would abort
 78 router - a server is given no time beyond the end of a stop
-79 sums - a copy of sums is never wrong
-80 outages - who runs beside the cause of crashes is not held with it
-81 outages - a run that ends well clears a request
-82 outages - a request that crashes servers is sent to few
-83 outages - crashes of one moment hold no request
+79 sums - a copy of the load sums is never wrong
+80 outages - a request that ran beside the cause of crashes is not quarantined
+81 outages - a successful run clears a request
+82 outages - a request that crashes servers is sent to few servers
+83 outages - simultaneous crashes quarantine no request
 84 outages - a limit is shared by all entries
-85 outages - a limit ends when its server says so
+85 outages - a limit ends when its server reports the end
 '
 
-# Builds what the mutant changes, over a copy of the plain objects, and runs
-# its property once. Shrinking is left out: only the verdict counts.
-run_one() { # number program env promise...
+# Rebuilds the objects that the mutant changes, in a copy of the normal build,
+# and runs its property once, without shrinking: only the verdict counts.
+run_mutant() { # number program env guarantee...
     local number=$1 program=$2 env=$3
     shift 3
     local out=build-mutant/$number
@@ -94,20 +95,20 @@
     done
     if ! make -s MUTANT="$number" O="$out" "$out/prop_$program" \
         >"$out/make.log" 2>&1; then
-        echo "MISSED $number: does not build, see $out/make.log"
+        echo "MISSED $number: build failed, see $out/make.log"
     else
         [ "$env" = - ] && env=GW_PAIR=
         env RC_PARAMS="seed=20261202 max_success=${GW_TESTS:-100} noshrink=1" \
             "$env" timeout 300 "$out/prop_$program" >"$out/run.log" 2>&1
         case $? in
         0) echo "MISSED $number ($program): $*" ;;
-        124) echo "MISSED $number ($program): out of time: $*" ;;
+        124) echo "MISSED $number ($program): timed out: $*" ;;
         *) echo "caught $number ($program): $*" ;;
         esac
     fi
     rm -rf "$out/obj"
 }
-export -f run_one
+export -f run_mutant
 
 base=build
 mkdir -p build-mutant
@@ -121,7 +122,7 @@
     fi
     echo "$number $rest"
 done <<<"$table" |
-    xargs -P 4 -L 1 bash -c 'run_one "$@"' mutant | tee build-mutant/all.log
+    xargs -P 4 -L 1 bash -c 'run_mutant "$@"' mutant | tee build-mutant/all.log
 caught=$(grep -c ^caught build-mutant/all.log)
 missed=$(grep -c ^MISSED build-mutant/all.log)
 echo "mutants: $caught caught, $missed missed"
