--- a/bench/ablation.sh
+++ b/bench/ablation.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Switches each mechanism of bench/mechanisms.txt off in a copy of the sources
-# and plays bench_policies. With a folder, the copies are left there, one a
-# mechanism, to be played elsewhere.
+# Ablation study: disables each mechanism of bench/mechanisms.txt in a copy of
+# the sources and runs bench_policies. NUMBER: line of the table; 0: unchanged
+# sources. With --keep, only writes the copies to DIR/NUMBER.
 # usage: ablation.sh [--keep DIR] [NUMBER...]
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
@@ -12,8 +12,8 @@
 
 mapfile -t table < <(grep -v '^#' bench/mechanisms.txt)
 
-# Writes the sources with that line's mechanism switched off to a folder.
-switch_off() { # LINE DIR
+# Copies the sources to a folder and disables the mechanism of a line there.
+disable_mechanism() { # LINE DIR
     mkdir -p "$2"
     cp -r Makefile bench deploy lib platform programs proto standins tests "$2"
     python3 - "$1" "$2" <<'PY'
@@ -30,30 +30,30 @@
 PY
 }
 
-play() { # NAME DIR
+build_and_run() { # NAME DIR
     if ! make -s -C "$2" -j6 CFLAGS=-O2 O=build build/bench_policies \
         >"$2/log" 2>&1; then
-        printf '%-32s does not build: %s\n' "$1" "$(tail -1 "$2/log")"
+        printf '%-32s build failed: %s\n' "$1" "$(tail -1 "$2/log")"
         return 1
     fi
     printf '%-32s %s\n' "$1" "$("$2"/build/bench_policies | tail -1)"
 }
 
-wanted=("$@")
-[ ${#wanted[@]} -gt 0 ] || mapfile -t wanted < <(seq 0 ${#table[@]})
+numbers=("$@")
+[ ${#numbers[@]} -gt 0 ] || mapfile -t numbers < <(seq 0 ${#table[@]})
 rc=0
-for i in "${wanted[@]}"; do
+for i in "${numbers[@]}"; do
     if [ "$i" -eq 0 ]; then
         mkdir -p "$work/0"
         cp -r Makefile bench deploy lib platform programs proto standins \
             tests "$work/0"
-        play "as it is" "$work/0" || rc=1
+        build_and_run "unchanged" "$work/0" || rc=1
         continue
     fi
     line=${table[$((i - 1))]}
-    switch_off "$line" "$work/$i" || { rc=1; continue; }
+    disable_mechanism "$line" "$work/$i" || { rc=1; continue; }
     [ -n "$keep" ] && continue
-    play "${line%%$'\t'*}" "$work/$i" || rc=1
+    build_and_run "${line%%$'\t'*}" "$work/$i" || rc=1
     rm -rf "${work:?}/$i"
 done
 exit "$rc"
--- a/bench/blocks.c
+++ b/bench/blocks.c
@@ -1,6 +1,7 @@
-/* Client blocks at the target size: 670,000 blocks, 86 sites. Prints bytes
- * per block, build time, delta bytes, and look-ups beside a plain binary
- * search. Times are of this machine; the ratio is the figure. */
+/* Client blocks at the target size: 670,000 blocks, 86 sites. Prints bytes per
+ * block, build time, bytes of a delta, and the cost of an indexed look-up and
+ * of a binary search without index. Only the ratio of the two compares between
+ * machines. */
 #include "blocks/blocks.h"
 #include "common/rng.h"
 
@@ -13,7 +14,7 @@
 #define LOOKUPS 4000000u
 
 static double
-seconds(void)
+wall_seconds(void)
 {
     struct timespec ts;
     clock_gettime(CLOCK_MONOTONIC, &ts);
@@ -28,8 +29,8 @@
     return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-/* Blocks of /16 to /24 spread over the unicast space, as routing tables
- * have them: each a random /24-aligned start, most of them /24. */
+/* Makes distinct random blocks of /16 to /24 in the unicast address space,
+ * most of them /24, as in routing tables. */
 static GwBlock *
 make_blocks(void)
 {
@@ -57,10 +58,10 @@
     return blocks;
 }
 
-typedef uint16_t (*Finder)(const GwBlockMap *, GwAddress);
+typedef uint16_t (*FindFn)(const GwBlockMap *, GwAddress);
 
 static double
-time_lookups(const GwBlockMap *map, Finder find, uint64_t *sum)
+time_lookups(const GwBlockMap *map, FindFn find, uint64_t *sum)
 {
     GwRng rng = GwRng_Make(1);
     double start = cpu_seconds();
@@ -82,21 +83,22 @@
     uint64_t sum[2] = {0};
 
     uint8_t *snapshot = GwBlocks_EncodeSnapshot(1, blocks, BLOCKS, &len);
-    double start = seconds();
+    double start = wall_seconds();
     GwResult count = GwBlockSet_ApplySnapshot(set, snapshot, len);
-    double read_s = seconds() - start;
-    start = seconds();
+    double read_s = wall_seconds() - start;
+    start = wall_seconds();
     GwBlockMap *map = GwBlockMap_Build(set);
-    double build_s = seconds() - start;
+    double build_s = wall_seconds() - start;
     uint8_t *delta = GwBlocks_EncodeDelta(1, 2, blocks, 100, &delta_len);
-    start = seconds();
+    start = wall_seconds();
     GwResult changed = GwBlockSet_ApplyDelta(set, delta, delta_len);
-    double delta_s = seconds() - start;
+    double delta_s = wall_seconds() - start;
 
-    double indexed = time_lookups(map, GwBlockMap_Find, &sum[0]);
-    double plain = time_lookups(map, GwBlockMap_FindPlain, &sum[1]);
+    double indexed_s = time_lookups(map, GwBlockMap_Find, &sum[0]);
+    double plain_s = time_lookups(map, GwBlockMap_FindPlain, &sum[1]);
     if (count != BLOCKS || changed != 100 || sum[0] != sum[1]) {
-        fprintf(stderr, "blocks: the two searches disagree\n");
+        fprintf(stderr,
+                "blocks: wrong counts, or the two searches disagree\n");
         return 1;
     }
     printf("blocks=%u sites=%u ranges=%u\n", BLOCKS, SITES,
@@ -106,9 +108,9 @@
     printf("read_ms=%.0f build_ms=%.0f delta_100_bytes=%zu delta_ms=%.0f\n",
            read_s * 1e3, build_s * 1e3, delta_len, delta_s * 1e3);
     printf("lookup_ns=%.0f plain_ns=%.0f ratio=%.2f per_core_s=%.0f\n",
-           indexed * 1e9 / LOOKUPS, plain * 1e9 / LOOKUPS, indexed / plain,
-           LOOKUPS / indexed);
-    printf("share_of_core_at_370_s=%.6f%%\n", indexed / LOOKUPS * 370 * 100);
+           indexed_s * 1e9 / LOOKUPS, plain_s * 1e9 / LOOKUPS,
+           indexed_s / plain_s, LOOKUPS / indexed_s);
+    printf("share_of_core_at_370_s=%.6f%%\n", indexed_s / LOOKUPS * 370 * 100);
     g_free(delta);
     g_free(snapshot);
     GwBlockMap_Free(map);
--- a/bench/decision_cost.c
+++ b/bench/decision_cost.c
@@ -1,6 +1,6 @@
-/* What one decision costs: GwSteer_Pick and GwSteer_Done of one entry, by
- * number of servers, entries and places, and the allocations they make. The
- * times are of this machine and of CPU time; the slope is the figure. */
+/* CPU time and allocations of one decision (GwSteer_Pick and GwSteer_Done) by
+ * number of servers, entries and places (a service in a region). Only the
+ * slope compares between machines. */
 #include "entry/node_internal.h"
 #include "fakes/cluster.h"
 
@@ -10,7 +10,7 @@
 #define ROUNDS  200000u
 #define WARM_US (20 * FAKE_SEC)
 
-/* Counts allocations by standing before the C library's. */
+/* Interposes the allocation functions of the C library to count calls. */
 extern void *__libc_malloc(size_t size);
 extern void *__libc_realloc(void *old, size_t size);
 extern void *__libc_calloc(size_t count, size_t size);
@@ -47,18 +47,18 @@
 }
 
 static void
-decide(GwNode *node, int64_t now_us, uint32_t rounds, uint32_t *picked)
+make_decisions(GwNode *node, int64_t now_us, uint32_t rounds, uint32_t *picked)
 {
-    GwAttemptEvent end = {.outcome = GW_OUTCOME_ANSWERED};
-    GwPickRequest ask = {.idempotent = true,
-                         .deadline_us = now_us + 2 * FAKE_SEC};
+    GwAttemptEvent result = {.outcome = GW_OUTCOME_ANSWERED};
+    GwPickRequest request = {.idempotent = true,
+                             .deadline_us = now_us + 2 * FAKE_SEC};
 
     for (uint32_t i = 0; i < rounds; i++) {
         GwPick pick;
-        GwSteer_Pick(node->steer, now_us, &ask, node->members, node->seats,
+        GwSteer_Pick(node->steer, now_us, &request, node->members, node->seats,
                      &pick);
         *picked += pick.kind == GW_PICK_BACKEND;
-        GwSteer_Done(node->steer, now_us, pick.use, &end, now_us);
+        GwSteer_Done(node->steer, now_us, pick.use, &result, now_us);
     }
 }
 
@@ -81,11 +81,11 @@
 
     FakeCluster_Run(c, WARM_US);
     GwNode *node = c->nodes[0].node;
-    decide(node, c->now_us, 1000, &picked);
+    make_decisions(node, c->now_us, 1000, &picked);
     picked = 0;
     uint64_t before = allocations;
     double start_ns = cpu_ns();
-    decide(node, c->now_us, ROUNDS, &picked);
+    make_decisions(node, c->now_us, ROUNDS, &picked);
     double spent_ns = cpu_ns() - start_ns;
     printf("cost policy=%u servers=%u entries=%u places=%u picked=%u "
            "pick_done_ns=%.0f allocations=%lu\n",
@@ -101,18 +101,18 @@
 {
     static const uint32_t servers[] = {3, 9, 12, 35, 100, 300};
     static const uint32_t entries[] = {3, 9, 30, 60};
-    bool good = true;
+    bool is_complete = true;
 
     for (uint32_t policy = 0; policy <= GW_POLICY_SUBSET; policy++) {
         for (uint32_t i = 0; i < G_N_ELEMENTS(servers); i++) {
-            good &= measure(policy, servers[i], 9, 3, 2);
+            is_complete &= measure(policy, servers[i], 9, 3, 2);
         }
     }
     for (uint32_t i = 0; i < G_N_ELEMENTS(entries); i++) {
-        good &= measure(GW_POLICY_SLOTS, 12, entries[i], 3, 2);
+        is_complete &= measure(GW_POLICY_SLOTS, 12, entries[i], 3, 2);
     }
     for (uint32_t regions = 1; regions <= 8; regions *= 2) {
-        good &= measure(GW_POLICY_SLOTS, 12, 3 * regions, regions, 4);
+        is_complete &= measure(GW_POLICY_SLOTS, 12, 3 * regions, regions, 4);
     }
-    return good ? 0 : 1;
+    return is_complete ? 0 : 1;
 }
--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -1,9 +1,10 @@
-/* The decisions under load on virtual time, beside an all-knowing queue.
+/* Simulates decisions under load in virtual time and compares them with an
+ * ideal queue that knows all service times.
  *
- * Both users' sizes, each policy, loads in percent of all slots, and four
- * conditions. The arrivals and the service time of each call depend on the
- * seed alone, so every policy and the baseline carry the same work. The
- * figures repeat to the digit.
+ * Runs both site sizes with each policy, loads in percent of all slots, and
+ * four conditions. Arrivals and service times depend on the seed only, so that
+ * all policies and the ideal queue get the same work. Results are
+ * deterministic.
  *
  * usage: bench_decisions [--long] [--site N] [--policy N] [--load PERCENT]
  *                        [--condition N] */
@@ -13,7 +14,7 @@
 #include <popt.h>
 #include <stdio.h>
 
-#define LOST           2 /* the region that is lost */
+#define LOST_REGION    2
 #define LOAD_FROM_US   (5 * FAKE_SEC)
 #define FAULT_US       (12 * FAKE_SEC)
 #define MEASURE_US     (16 * FAKE_SEC)
@@ -21,11 +22,12 @@
 #define END_US         (25 * FAKE_SEC)
 #define PERMILLE       1000
 
+/* A pool is the servers of one service in one region. */
 typedef enum {
-    CALM = 0,
-    REGION_LOST = 1, /* all servers of one region refuse connections */
-    LYING = 2,       /* one server of each place reports no load */
-    NO_REPORTS = 3,  /* no server reports its load any more */
+    CONDITION_CALM = 0,
+    CONDITION_REGION_LOST = 1,   /* a region's servers refuse connections */
+    CONDITION_FALSE_REPORTS = 2, /* a server per pool reports load 0 */
+    CONDITION_NO_REPORTS = 3,    /* no server reports its load */
     CONDITION_COUNT
 } Condition;
 
@@ -50,32 +52,32 @@
     bool lookup;
     uint32_t call; /* index in the cluster's calls */
     bool ideal_answered;
-    int64_t ideal_us; /* latency at the all-knowing queue */
+    int64_t ideal_us; /* latency in the ideal queue */
 } Arrival;
 
-/* Pooled over seeds. */
+/* Sums over all seeds of a case. */
 typedef struct {
-    GArray *over;    /* int64 latency over the bare service time, all calls */
-    GArray *lookups; /* int64 latency */
-    GArray *ideal;   /* int64 latency of the same look-ups */
+    GArray *over;    /* int64_t us: latency minus service time, all calls */
+    GArray *lookups; /* int64_t us: latency of look-ups */
+    GArray *ideal;   /* int64_t us: their latency in the ideal queue */
     uint32_t sent;
     uint32_t refused;
     uint32_t unknown;
     uint32_t false_refusals;
     uint32_t doubled;
-    uint32_t most_percent; /* most in flight over slots */
+    uint32_t most_percent; /* maximum in flight per slots of a server */
     uint32_t lost_sent;
     uint32_t lost_answered;
     int64_t good_us;
     int64_t slot_us;
     uint64_t samples;
     uint64_t free_slots;
-    uint64_t free_beside_queue;
+    uint64_t free_while_queued;
     uint64_t slots;
 } Stats;
 
 static uint32_t
-slots_of(const Site *site, uint32_t service, uint32_t region)
+slot_count(const Site *site, uint32_t service, uint32_t region)
 {
     const FakeServiceSize *size = &site->sizes[service];
     uint32_t servers = (size->backends + REGIONS - 1 - region) / REGIONS;
@@ -83,7 +85,7 @@
     return servers * size->slots;
 }
 
-/* ---- the workload -------------------------------------------------------- */
+/* ---- workload ------------------------------------------------------------ */
 
 static gint
 by_time(gconstpointer a, gconstpointer b)
@@ -93,9 +95,9 @@
     return (x > y) - (x < y);
 }
 
-/* The time to the next arrival of a Poisson process: a geometric number of
- * 64ths of the mean, and a uniform part. Whole numbers only, so that figures
- * do not depend on a C library's logarithm. */
+/* Approximates the exponential gap between arrivals of a Poisson process by a
+ * geometric number of 64ths of the mean and a uniform part. Integers only, so
+ * that results do not depend on the logarithm of a C library. */
 static int64_t
 next_gap_us(GwRng *rng, int64_t mean_us)
 {
@@ -112,7 +114,7 @@
 {
     const Site *site = k->site;
     GwRng rng = GwRng_Make(k->seed * 7919 + service * 31 + region);
-    int64_t slots = slots_of(site, service, region);
+    int64_t slots = slot_count(site, service, region);
     int64_t mean_us = (int64_t)WORK_MEAN_US * 100 / (slots * k->load_percent);
 
     for (int64_t at = LOAD_FROM_US + next_gap_us(&rng, mean_us);
@@ -141,17 +143,18 @@
     return arrivals;
 }
 
-/* ---- the all-knowing queue ----------------------------------------------- */
+/* ---- ideal queue --------------------------------------------------------- */
 
-/* One queue a region and service over all slots, without delays. All calls
- * have the same time to their deadline, so first come is earliest deadline.
- * It knows service times: a call that can't end in time is never begun. */
+/* Simulates one FIFO queue per region and service over all slots, without
+ * network delay. All calls have the same relative deadline, so FIFO order is
+ * earliest deadline first. A call that would miss its deadline is not
+ * started. */
 static void
 run_ideal(GArray *arrivals, const Site *site, uint32_t service,
           uint32_t region)
 {
-    uint32_t slots = slots_of(site, service, region);
-    int64_t *free_at_us = g_new0(int64_t, slots);
+    uint32_t slots = slot_count(site, service, region);
+    int64_t *slot_free_us = g_new0(int64_t, slots);
 
     for (guint i = 0; i < arrivals->len; i++) {
         Arrival *a = &g_array_index(arrivals, Arrival, i);
@@ -160,38 +163,40 @@
             continue;
         }
         for (uint32_t s = 1; s < slots; s++) {
-            first = free_at_us[s] < free_at_us[first] ? s : first;
+            first = slot_free_us[s] < slot_free_us[first] ? s : first;
         }
-        int64_t start_us = MAX(a->at_us, free_at_us[first]);
+        int64_t start_us = MAX(a->at_us, slot_free_us[first]);
         int64_t end_us = start_us + work_of(i + 1);
         a->ideal_us = end_us - a->at_us;
         a->ideal_answered = a->ideal_us <= DEADLINE_US;
         if (a->ideal_answered) {
-            free_at_us[first] = end_us;
+            slot_free_us[first] = end_us;
         }
     }
-    g_free(free_at_us);
+    g_free(slot_free_us);
 }
 
-/* ---- one run --------------------------------------------------------------- */
+/* ---- simulation ------------------------------------------------------------ */
 
 static void
-break_it(FakeCluster *c, const Case *k)
+inject_fault(FakeCluster *c, const Case *k)
 {
     uint64_t seen = 0;
 
     for (uint32_t i = 0; i < c->backends->len; i++) {
         FakeBackend *b = FakeCluster_Backend(c, i);
         uint64_t bit = 1ULL << (b->region + (b->slots == 3 ? 0 : 8));
-        b->down = k->condition == REGION_LOST && b->region == LOST;
-        b->no_reports = k->condition == NO_REPORTS;
-        b->lies_idle = k->condition == LYING && (seen & bit) == 0;
+        b->down =
+            k->condition == CONDITION_REGION_LOST && b->region == LOST_REGION;
+        b->no_reports = k->condition == CONDITION_NO_REPORTS;
+        b->lies_idle =
+            k->condition == CONDITION_FALSE_REPORTS && (seen & bit) == 0;
         seen |= bit;
     }
 }
 
 static uint32_t
-waiting_in(const FakeCluster *c, uint32_t region)
+waiting_count(const FakeCluster *c, uint32_t region)
 {
     uint32_t count = 0;
 
@@ -204,7 +209,8 @@
     return count;
 }
 
-/* Idle slots now, and those of them that a waiting call stands beside. */
+/* Counts idle slots, and those of them that a call waiting in the same region
+ * could use. */
 static void
 sample(const FakeCluster *c, const Case *k, Stats *st)
 {
@@ -219,25 +225,25 @@
         st->slots += b->down ? 0 : b->slots;
     }
     for (uint32_t r = 0; r < REGIONS; r++) {
-        if (k->condition == REGION_LOST && r == LOST) {
+        if (k->condition == CONDITION_REGION_LOST && r == LOST_REGION) {
             continue;
         }
         st->free_slots += idle[r];
-        st->free_beside_queue += MIN(idle[r], waiting_in(c, r));
+        st->free_while_queued += MIN(idle[r], waiting_count(c, r));
     }
 }
 
 static void
-drive(FakeCluster *c, const Case *k, GArray *arrivals, Stats *st)
+run_workload(FakeCluster *c, const Case *k, GArray *arrivals, Stats *st)
 {
-    bool broken = false;
+    bool is_fault_active = false;
 
     for (guint i = 0; i < arrivals->len; i++) {
         Arrival *a = &g_array_index(arrivals, Arrival, i);
-        if (!broken && a->at_us >= FAULT_US) {
+        if (!is_fault_active && a->at_us >= FAULT_US) {
             FakeCluster_Run(c, FAULT_US);
-            break_it(c, k);
-            broken = true;
+            inject_fault(c, k);
+            is_fault_active = true;
         }
         FakeCluster_Run(c, a->at_us);
         if (a->at_us >= MEASURE_US && i % 8 == 0) {
@@ -256,7 +262,7 @@
     int64_t latency_us = call->ended_us - a->at_us;
     bool answered = call->done && call->outcome == GW_OUTCOME_ANSWERED;
 
-    if (k->condition == REGION_LOST && a->region == LOST) {
+    if (k->condition == CONDITION_REGION_LOST && a->region == LOST_REGION) {
         st->lost_sent++;
         st->lost_answered += answered;
         return;
@@ -314,13 +320,13 @@
             run_ideal(arrivals, k->site, s, r);
         }
     }
-    drive(c, k, arrivals, st);
+    run_workload(c, k, arrivals, st);
     collect(c, k, arrivals, st);
     FakeCluster_Free(c);
     g_array_free(arrivals, TRUE);
 }
 
-/* ---- the table -------------------------------------------------------------- */
+/* ---- output ----------------------------------------------------------------- */
 
 static gint
 by_value(gconstpointer a, gconstpointer b)
@@ -330,7 +336,7 @@
     return (x > y) - (x < y);
 }
 
-/* In milliseconds; the array is sorted. */
+/* Returns a quantile in ms; the array must be sorted. */
 static double
 quantile_ms(const GArray *values, uint32_t permille)
 {
@@ -369,7 +375,7 @@
            st->unknown, st->false_refusals, st->doubled, st->most_percent,
            percent((double)st->good_us, (double)st->slot_us),
            percent((double)st->free_slots, (double)st->slots),
-           percent((double)st->free_beside_queue, (double)st->slots),
+           percent((double)st->free_while_queued, (double)st->slots),
            percent(st->lost_answered, st->lost_sent));
     fflush(stdout);
 }
@@ -402,7 +408,7 @@
 } Options;
 
 static bool
-chosen(int option, uint32_t value)
+is_selected(int option, uint32_t value)
 {
     return option < 0 || (uint32_t)option == value;
 }
@@ -417,8 +423,9 @@
         for (uint32_t p = 0; p <= GW_POLICY_SUBSET; p++) {
             for (uint32_t l = 0; l < G_N_ELEMENTS(loads); l++) {
                 for (uint32_t x = 0; x < CONDITION_COUNT; x++) {
-                    if (chosen(o->site, s) && chosen(o->policy, p) &&
-                        chosen(o->load, loads[l]) && chosen(o->condition, x)) {
+                    if (is_selected(o->site, s) && is_selected(o->policy, p) &&
+                        is_selected(o->load, loads[l]) &&
+                        is_selected(o->condition, x)) {
                         run_seeds((Case){.site = &sites[s],
                                          .policy = (GwPolicyKind)p,
                                          .load_percent = loads[l],
--- a/bench/drain.c
+++ b/bench/drain.c
@@ -1,9 +1,10 @@
-/* How fast a drain is: time until idle beside the longest request that was in
- * flight, calls cut off, and work begun after the order. Virtual time: the
- * figures repeat to the digit.
+/* Duration of a drain in virtual time: time until idle and the longest request
+ * in flight at its start, aborted calls, and work started after the drain.
+ * Results are deterministic.
  *
- * A server says that it drains in its answers and its health endpoint; a
- * place drains by a change of the configuration; an entry is told to leave. */
+ * A server announces its drain in answers and at its health endpoint, a place
+ * (a service in a region) drains by a configuration change, an entry by a
+ * graceful stop. */
 #include "sites.h"
 
 #include <stdio.h>
@@ -23,14 +24,15 @@
     Kind kind;
     FakeCluster *c;
     GwRng rng;
-    bool ordered;
-    int64_t longest_us; /* left of the longest in flight at the order */
-    int64_t idle_us;    /* from the order until idle */
+    bool is_draining;
+    int64_t longest_us; /* longest remaining work at the start of the drain */
+    int64_t idle_us;    /* from the start of the drain until idle */
 } Drain;
 
-/* Part of what drains: node 0 leaves; its region's first place or server. */
+/* Whether a server drains: server 0, or all of the first service in region 0;
+ * none if node 0 stops. */
 static bool
-is_part(const Drain *d, uint32_t backend)
+is_drained(const Drain *d, uint32_t backend)
 {
     const FakeBackend *b = FakeCluster_Backend(d->c, backend);
 
@@ -50,7 +52,7 @@
     int64_t until_us = 0;
 
     for (uint32_t i = 0; i < d->c->backends->len; i++) {
-        if (is_part(d, i)) {
+        if (is_drained(d, i)) {
             const FakeBackend *b = FakeCluster_Backend(d->c, i);
             until_us = MAX(until_us, b->busy_until_us);
         }
@@ -58,7 +60,7 @@
     return until_us;
 }
 
-/* The longest time to its deadline among the calls open at the entry. */
+/* The longest service time among the open calls of node 0. */
 static int64_t
 longest_open_us(const Drain *d)
 {
@@ -74,12 +76,12 @@
 }
 
 static void
-order(Drain *d)
+start_drain(Drain *d)
 {
     FakeBackend *b = FakeCluster_Backend(d->c, 0);
     FakeServiceSize sizes[SERVICES];
 
-    d->ordered = true;
+    d->is_draining = true;
     d->longest_us = d->kind == ENTRY ? longest_open_us(d)
                                      : busy_until_us(d) - d->c->now_us;
     switch (d->kind) {
@@ -103,10 +105,10 @@
     }
 }
 
-/* Even arrivals over all entries and services by their slots; callers stop
- * asking an entry that leaves. */
+/* Arrivals are spread evenly over entries, and over services by their slots.
+ * Callers do not use an entry after its graceful stop began. */
 static void
-drive(Drain *d)
+run_workload(Drain *d)
 {
     uint32_t slots[SERVICES];
     uint32_t total = 0;
@@ -119,15 +121,15 @@
     for (int64_t at = LOAD_FROM_US; at < LOAD_END_US; at += gap_us) {
         uint32_t node = GwRng_Below(&d->rng, NODES);
         uint32_t s = GwRng_Below(&d->rng, total) < slots[0] ? 0 : 1;
-        if (!d->ordered && at >= DRAIN_US) {
+        if (!d->is_draining && at >= DRAIN_US) {
             FakeCluster_Run(d->c, DRAIN_US);
-            order(d);
+            start_drain(d);
         }
         FakeCluster_Run(d->c, at);
         if (d->c->nodes[0].stopped && d->idle_us == 0) {
             d->idle_us = at - DRAIN_US;
         }
-        if (d->ordered && d->kind == ENTRY && node == 0) {
+        if (d->is_draining && d->kind == ENTRY && node == 0) {
             node = REGIONS;
         }
         FakeCluster_Call(d->c, node, s == 0 ? "s0" : "s1",
@@ -144,7 +146,7 @@
     Drain d = {.site = site, .kind = kind, .rng = GwRng_Make(seed)};
 
     d.c = make_cluster(site, GW_POLICY_SLOTS, seed);
-    drive(&d);
+    run_workload(&d);
     if (kind != ENTRY) {
         d.idle_us = busy_until_us(&d) - DRAIN_US;
     }
--- a/bench/edge.sh
+++ b/bench/edge.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# What an entry adds to a request, against the direct call in the same run.
-# usage: edge.sh BUILD [ROUNDS]
+# Starts godwitedge and measures the latency that it adds to a request.
+# usage: edge.sh BUILD [REQUESTS]
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
 . standins/lib.sh
--- a/bench/edge_path.c
+++ b/bench/edge_path.c
@@ -1,6 +1,6 @@
-/* What an entry adds to a request: the same small request, direct to a stand-in
- * backend server and through godwitedge, in turn on kept connections.
- * bench/edge.sh starts the entry. */
+/* Latency that an entry adds to a small request: alternates between requests
+ * direct to a stand-in backend server and requests through godwitedge, on
+ * persistent connections. bench/edge.sh starts the entry. */
 #include "platform/platform.h"
 #include "standins/site/site.h"
 
@@ -11,13 +11,13 @@
 
 typedef struct {
     uv_loop_t loop;
-    GwConn *conns[2]; /* direct, through the entry */
+    GwConn *conns[2]; /* by side. 0: direct, 1: through the entry */
     const char *addresses[2];
-    bool open[2];
+    bool is_open[2];
     int side;
     uint32_t left;
     int64_t sent_us;
-    GArray *took[2]; /* int64_t us */
+    GArray *latencies[2]; /* int64_t us */
     uint32_t errors;
     uv_timer_t retry;
 } Bench;
@@ -38,7 +38,7 @@
 }
 
 static void
-open_link(int side)
+open_connection(int side)
 {
     GwConnParams params = {
         .loop = &bench.loop,
@@ -53,7 +53,7 @@
 }
 
 static void
-send_one(void)
+send_request(void)
 {
     const GwAdapter *a = &Platform_Adapter;
     GString *out = g_string_new(NULL);
@@ -73,9 +73,9 @@
 {
     Link *link = owner;
 
-    bench.open[link->side] = true;
-    if (bench.open[0] && bench.open[1]) {
-        send_one();
+    bench.is_open[link->side] = true;
+    if (bench.is_open[0] && bench.is_open[1]) {
+        send_request();
     }
 }
 
@@ -83,10 +83,10 @@
 on_message(void *owner, GwHttpMessage *msg)
 {
     Link *link = owner;
-    int64_t took = now_us() - bench.sent_us;
+    int64_t latency_us = now_us() - bench.sent_us;
 
     if (msg->status == 200) {
-        g_array_append_val(bench.took[link->side], took);
+        g_array_append_val(bench.latencies[link->side], latency_us);
     }
     else {
         bench.errors++;
@@ -97,7 +97,7 @@
         return;
     }
     bench.side = 1 - bench.side;
-    send_one();
+    send_request();
 }
 
 static void
@@ -106,7 +106,7 @@
     (void)timer;
     for (int side = 0; side < 2; side++) {
         if (bench.conns[side] == NULL) {
-            open_link(side);
+            open_connection(side);
         }
     }
 }
@@ -118,7 +118,7 @@
 
     (void)end;
     bench.conns[link->side] = NULL;
-    bench.open[link->side] = false;
+    bench.is_open[link->side] = false;
     (void)uv_timer_start(&bench.retry, on_retry, 200, 0);
 }
 
@@ -143,7 +143,8 @@
            1000.0;
 }
 
-/* usage: bench_edge_path STORE SERVER ENTRY CONFIG ENTRY-OF-SERVER ROUNDS */
+/* usage: bench_edge_path STORE SERVER ENTRY CONFIG SERVER-ROW REQUESTS
+ * The first three are addresses, the next two files. */
 int
 main(int argc, char **argv)
 {
@@ -153,7 +154,8 @@
 
     if (argc != 7 || !g_file_get_contents(argv[4], &config, NULL, NULL) ||
         !g_file_get_contents(argv[5], &server, NULL, NULL)) {
-        (void)fprintf(stderr, "see bench/edge.sh\n");
+        (void)fprintf(stderr, "usage: bench_edge_path STORE SERVER ENTRY "
+                              "CONFIG SERVER-ROW REQUESTS\n");
         return 2;
     }
     (void)signal(SIGPIPE, SIG_IGN);
@@ -178,16 +180,17 @@
     SiteStore_Put(store, Platform_Adapter.operator_table, "config", config);
     SiteStore_Put(store, Platform_Adapter.server_table, "server-0", server);
     for (int side = 0; side < 2; side++) {
-        bench.took[side] = g_array_new(FALSE, FALSE, sizeof(int64_t));
+        bench.latencies[side] = g_array_new(FALSE, FALSE, sizeof(int64_t));
     }
     (void)uv_timer_start(&bench.retry, on_retry, 2500, 0);
     (void)uv_run(&bench.loop, UV_RUN_DEFAULT);
-    double direct = quantile_ms(bench.took[0], 0.5);
-    double through = quantile_ms(bench.took[1], 0.5);
+    double direct = quantile_ms(bench.latencies[0], 0.5);
+    double through = quantile_ms(bench.latencies[1], 0.5);
     printf("direct p50 %.3f ms, through the entry %.3f ms: added %.3f ms, "
            "ratio %.2f; p99 %.3f and %.3f; %u + %u requests, %u errors\n",
            direct, through, through - direct, through / direct,
-           quantile_ms(bench.took[0], 0.99), quantile_ms(bench.took[1], 0.99),
-           bench.took[0]->len, bench.took[1]->len, bench.errors);
+           quantile_ms(bench.latencies[0], 0.99),
+           quantile_ms(bench.latencies[1], 0.99), bench.latencies[0]->len,
+           bench.latencies[1]->len, bench.errors);
     return bench.errors == 0 ? 0 : 1;
 }
--- a/bench/log_cost.c
+++ b/bench/log_cost.c
@@ -1,5 +1,5 @@
-/* What one line of a request costs, from its fields to the ring, and what
- * writing the ring out costs a line. */
+/* CPU time of formatting one log line of a request into the ring buffer, and
+ * of writing the buffer, per line. */
 #include "common/log.h"
 
 #include <fcntl.h>
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 #define ROUNDS 20
-#define LINES  100 /* a round: below the burst of one event */
+#define LINES  100 /* per round; below the burst limit of one event */
 
 static int64_t
 now_ns(void)
@@ -33,29 +33,29 @@
 int
 main(void)
 {
-    int report = dup(STDOUT_FILENO);
-    int null = open("/dev/null", O_WRONLY);
+    int report_fd = dup(STDOUT_FILENO);
+    int null_fd = open("/dev/null", O_WRONLY);
     int64_t line_ns = 0;
     int64_t flush_ns = 0;
 
-    (void)dup2(null, STDOUT_FILENO);
+    (void)dup2(null_fd, STDOUT_FILENO);
     (void)GwLog_StartBuffered("info");
     for (int round = 0; round <= ROUNDS; round++) {
         int64_t begin = now_ns();
         for (int i = 0; i < LINES; i++) {
             log_answer(i);
         }
-        int64_t middle = now_ns();
+        int64_t formatted = now_ns();
         GwLog_Flush();
-        line_ns += middle - begin;
-        flush_ns += now_ns() - middle;
-        (void)usleep(LINES * 1000000 / 200); /* the rate of one event */
+        line_ns += formatted - begin;
+        flush_ns += now_ns() - formatted;
+        (void)usleep(LINES * 1000000 / 200); /* rate limit per event: 200/s */
         if (round == 0) {
-            line_ns = flush_ns = 0; /* the first fills caches */
+            line_ns = flush_ns = 0; /* the first round only warms caches */
         }
     }
     GwLog_Stop();
-    (void)dprintf(report,
+    (void)dprintf(report_fd,
                   "log: %" PRId64 " ns a line, %" PRId64
                   " ns a line to write out 100\n",
                   line_ns / (ROUNDS * LINES), flush_ns / (ROUNDS * LINES));
--- a/bench/path.c
+++ b/bench/path.c
@@ -1,8 +1,8 @@
-/* What an entry adds to a call. In one run each caller thread takes turns:
- * a look-up, a call through the entry, and the same call straight to a
- * backend server, so that all three see the same machine.
+/* Latency that an entry adds to a call. The caller threads alternate between a
+ * look-up, a call through the entry and the same call direct to a backend
+ * server, so that all three run under the same conditions.
  * usage: bench_path ENTRY PID RATE SECONDS BACKEND...
- * RATE: look-ups a second, and as many calls of either kind. */
+ * RATE: requests per second of each kind. */
 #include "common/client.h"
 #include "common/metrics.h"
 #include "runtime/net_internal.h"
@@ -26,8 +26,8 @@
     uint32_t backend_count;
     char **backends;
     GsClient client; /* to the entry */
-    /* Each server has its own: a client keeps idle connections by the time
-     * of their last use, whichever address they lead to. */
+    /* One client per server: a client evicts idle connections by last use,
+     * whatever their address. */
     GsClient direct[BACKENDS_MAX];
     int64_t start_us;
     atomic_uint_fast64_t next;
@@ -44,22 +44,23 @@
 }
 
 static void
-send_one(Bench *b, uint64_t number)
+send_request(Bench *b, uint64_t sequence)
 {
-    Kind kind = (Kind)(number % KINDS);
-    uint64_t turn = number / KINDS;
+    Kind kind = (Kind)(sequence % KINDS);
+    uint64_t round = sequence / KINDS;
     const char *const paths[] = {"/v1/entries/lich-hen?tickets=1",
                                  "/v1/call/lich-hen/slots/k1", "/slots/k1"};
     GsRequest request = {
         .method = "GET",
-        .address = kind == KIND_DIRECT ? b->backends[turn % b->backend_count]
+        .address = kind == KIND_DIRECT ? b->backends[round % b->backend_count]
                                        : b->entry,
         .path = paths[kind],
         .deadline_ms = 5000,
         .timeout_ms = 10000,
     };
-    GsClient *client =
-        kind == KIND_DIRECT ? &b->direct[turn % b->backend_count] : &b->client;
+    GsClient *client = kind == KIND_DIRECT
+                           ? &b->direct[round % b->backend_count]
+                           : &b->client;
     GsReply reply;
     int64_t begin_ns = now_ns();
     GsSend sent = GsClient_Send(client, &request, &reply);
@@ -75,21 +76,21 @@
 {
     Bench *b = arg;
     uint64_t total = b->rate * KINDS * b->seconds;
-    uint64_t number;
+    uint64_t sequence;
 
-    while ((number = atomic_fetch_add(&b->next, 1)) < total) {
+    while ((sequence = atomic_fetch_add(&b->next, 1)) < total) {
         int64_t due_us =
-            b->start_us + (int64_t)(number * 1000000 / (b->rate * KINDS));
+            b->start_us + (int64_t)(sequence * 1000000 / (b->rate * KINDS));
         int64_t wait_us = due_us - GwNet_NowUs();
         if (wait_us > 0) {
             g_usleep((gulong)wait_us);
         }
-        send_one(b, number);
+        send_request(b, sequence);
     }
     return NULL;
 }
 
-/* Clock ticks of the process, both modes. */
+/* Returns the CPU time of a process in clock ticks, user and system mode. */
 static uint64_t
 cpu_ticks(const char *pid)
 {
@@ -167,7 +168,7 @@
     double cpu_s = (double)ticks / (double)sysconf(_SC_CLK_TCK);
 
     printf("path: %" PRIu64 " look-ups and %" PRIu64 " calls a second, "
-           "%.1f s (asked: %" PRIu64 ")\n",
+           "%.1f s (requested: %" PRIu64 ")\n",
            b->rate, b->rate, elapsed_s, b->seconds);
     print_kind(b, KIND_DIRECT, "direct");
     print_kind(b, KIND_THROUGH, "through");
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -1,11 +1,11 @@
-/* A bench of policies without a network: many entries with the real steering
- * core on virtual time (tests/fakes/fleet.h), over load shapes that name what
- * they try. A hundred plays take about ten seconds of eight cores.
- * usage: bench_policies [SEEDS]     one line a shape, then the mean
+/* Simulates entries with the real steering core in virtual time, without a
+ * network (tests/fakes/fleet.h), under several load shapes. A hundred runs
+ * take about ten seconds on eight cores.
+ * usage: bench_policies [SEEDS]     one line per shape, then the mean
  *
- * What it leaves out: faults of servers and links, prices, worst seconds and
- * worst failure domains. Where it and the users' bench differ on a change, the
- * users' bench decides (docs/STEERING.md has cases of both). */
+ * Not simulated: faults of servers and links, prices, worst seconds and worst
+ * failure domains. If the users' benchmark gives a different result for a
+ * change, that one decides (docs/STEERING.md has examples). */
 #include "fakes/fleet.h"
 
 #include <stdio.h>
@@ -16,16 +16,17 @@
 
 #define SEEDS 3
 #define JOBS  6
-/* Loads by sums, and from each to each. */
-#define LARGE_LAG_MS 75
-#define SMALL_LAG_MS 50
+/* Age of load reports: aggregated in large fleets, sent from each entry to
+ * each in small ones. */
+#define AGGREGATED_LAG_MS 75
+#define DIRECT_LAG_MS     50
 
 typedef struct {
     const char *name;
     uint32_t entries;
     double burst;
-    bool urgent; /* short urgent work behind long work on the same slots */
-    double scale;
+    bool urgent;  /* short urgent requests share slots with long ones */
+    double scale; /* factor of the service time */
 } Shape;
 
 static const Shape shapes[] = {
@@ -47,12 +48,12 @@
 
 typedef struct {
     double worth;
-    double first;  /* of the first two seconds, all work cold */
-    double calm;   /* of six seconds before the burst */
-    double within; /* answers in time within it, over those before */
-    double after;  /* and from four seconds after it */
-    double moved;  /* most change of a region's share elsewhere in 2 s */
-} Line;
+    double first;  /* worth of the first two seconds: all objects cold */
+    double calm;   /* worth of six seconds before the burst */
+    double within; /* answers in time during the burst, relative to before */
+    double after;  /* the same from four seconds after the burst */
+    double moved;  /* largest change in 2 s of a region's cross-region share */
+} Result;
 
 static void
 set_kinds(FleetParams *p, const Shape *shape, double size)
@@ -100,9 +101,9 @@
     };
 }
 
-/* Three regions, the second with a fifth of the servers of the others. */
+/* Three regions; the second has about a fifth of the servers of the others. */
 static FleetParams
-params_of(const Shape *shape, uint64_t seed)
+make_params(const Shape *shape, uint64_t seed)
 {
     double size = shape->entries / 70.0;
     FleetParams p = {
@@ -117,7 +118,7 @@
                       .keeps = 15}},
         .far_ms = 20,
         .report_ms = 50,
-        .lag_ms = shape->entries > 15 ? LARGE_LAG_MS : SMALL_LAG_MS,
+        .lag_ms = shape->entries > 15 ? AGGREGATED_LAG_MS : DIRECT_LAG_MS,
         .burst = shape->burst,
         .burst_from_s = 14,
         .burst_to_s = 20,
@@ -141,13 +142,13 @@
     return sum / (to - from);
 }
 
-static Line
-play(const Shape *shape, uint64_t seed)
+static Result
+run_shape(const Shape *shape, uint64_t seed)
 {
-    FleetParams p = params_of(shape, seed);
+    FleetParams p = make_params(shape, seed);
     FleetReport r = Fleet_Play(&p);
     double before = in_time(&r, 3, 7);
-    Line line = {
+    Result result = {
         .worth = r.worth,
         .first = r.windows[0].worth,
         .calm =
@@ -158,15 +159,15 @@
 
     for (uint32_t g = 0; g < p.regions; g++) {
         for (uint32_t w = 1; w < r.window_count; w++) {
-            double by = r.far_share[g][w] - r.far_share[g][w - 1];
-            line.moved = MAX(line.moved, ABS(by));
+            double change = r.far_share[g][w] - r.far_share[g][w - 1];
+            result.moved = MAX(result.moved, ABS(change));
         }
     }
-    return line;
+    return result;
 }
 
 static void
-play_all(Line *lines, uint32_t seeds)
+run_all(Result *results, uint32_t seeds)
 {
     uint32_t running = 0;
 
@@ -176,7 +177,7 @@
             running--;
         }
         if (fork() == 0) {
-            lines[i] = play(&shapes[i / seeds], i % seeds + 1);
+            results[i] = run_shape(&shapes[i / seeds], i % seeds + 1);
             _exit(0);
         }
         running++;
@@ -189,20 +190,20 @@
 main(int argc, char **argv)
 {
     uint32_t seeds = argc > 1 ? (uint32_t)MAX(atoi(argv[1]), 1) : SEEDS;
-    Line *lines =
-        mmap(NULL, sizeof(Line) * SHAPES * seeds, PROT_READ | PROT_WRITE,
+    Result *results =
+        mmap(NULL, sizeof(Result) * SHAPES * seeds, PROT_READ | PROT_WRITE,
              MAP_SHARED | MAP_ANONYMOUS, -1, 0);
     double total = 0;
 
-    if (lines == MAP_FAILED) {
+    if (results == MAP_FAILED) {
         perror("mmap");
         return 1;
     }
-    play_all(lines, seeds);
+    run_all(results, seeds);
     for (uint32_t i = 0; i < SHAPES; i++) {
-        Line sum = {0};
+        Result sum = {0};
         for (uint32_t s = 0; s < seeds; s++) {
-            const Line *one = &lines[i * seeds + s];
+            const Result *one = &results[i * seeds + s];
             sum.worth += one->worth / seeds;
             sum.first += one->first / seeds;
             sum.calm += one->calm / seeds;
--- a/bench/route_match.c
+++ b/bench/route_match.c
@@ -1,6 +1,6 @@
-/* What it costs to find a request's route among many, and to read such a
- * configuration: an instance of a tenth of a core does both beside its
- * callers. CPU time of this machine. usage: bench_route_match */
+/* CPU time of matching a request to a route, and of reading the configuration,
+ * by number of routes. An instance with a tenth of a core does both while it
+ * serves callers. usage: bench_route_match */
 #include "platform/platform.h"
 #include "route/route.h"
 
@@ -20,7 +20,7 @@
 }
 
 static char *
-text_of(uint32_t routes)
+make_config(uint32_t routes)
 {
     GString *out = g_string_new("{\"version\":7,\"services\":[{\"name\":"
                                 "\"s\"}],\"hosts\":[{\"host\":\"h\","
@@ -41,7 +41,7 @@
 static void
 measure(uint32_t routes)
 {
-    char *text = text_of(routes);
+    char *text = make_config(routes);
     double start = cpu_us();
     GwRouting *r = Platform_ReadConfig(text, NULL);
     double read_us = cpu_us() - start;
--- a/bench/router_cost.c
+++ b/bench/router_cost.c
@@ -1,6 +1,6 @@
-/* What one request costs the steering core, and what one report costs on the
- * wire, by number of backend servers, objects and entries. Times are CPU time
- * of this machine; the slope is the figure. Prints rows for CAPACITY.md. */
+/* CPU time of the steering core per request, and memory per server and object,
+ * by number of backend servers and of waiting requests. Only the slope
+ * compares between machines. Prints the rows of docs/CAPACITY.md. */
 #include "fakes/steering.h"
 
 #include <malloc.h>
@@ -34,14 +34,14 @@
     }
 }
 
-/* One request that is answered at once; `spread` objects in turn. */
+/* Sends requests that are answered at once, for `objects` objects in turn. */
 static void
-run(FakeSteering *f, uint32_t rounds, uint32_t spread)
+run(FakeSteering *f, uint32_t rounds, uint32_t objects)
 {
     char key[16];
 
     for (uint32_t i = 0; i < rounds; i++) {
-        g_snprintf(key, sizeof(key), "%u", i % spread);
+        g_snprintf(key, sizeof(key), "%u", i % objects);
         FakeRequest *req = FakeSteering_Arrive(f, "/again/", key, 3000);
         f->now_us += 1000;
         FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
@@ -95,17 +95,17 @@
     (void)FakeSteering_Arrive(f, "/again/", keyed ? key : NULL, LEFT_MS);
 }
 
-/* One second of an entry whose servers are full: requests come and end, and
- * some wait. */
+/* Simulates one second of an entry whose servers are full: requests arrive and
+ * end, and some wait. */
 static void
 measure_waiting(uint32_t servers, uint32_t waiting, bool keyed)
 {
     FakeSteering *f = FakeSteering_Create("r1", "d1");
     GwRouting *routing = FakeSteering_Routing(1, 2);
     uint32_t oldest = 0;
-    double held = 0;
+    double waiting_sum = 0;
 
-    /* Of callers with time, so that many wait. */
+    /* Long time limits, so that many requests can wait. */
     for (uint32_t i = 0; i < routing->hosts[0].route_count; i++) {
         routing->hosts[0].routes[i].objective_ms = LEFT_MS / 2;
         routing->hosts[0].routes[i].timeout_ms = LEFT_MS;
@@ -116,10 +116,10 @@
     for (uint32_t i = 0; i < 20000 && count_waiting(f) < waiting; i++) {
         arrive(f, i, keyed);
     }
-    uint64_t looks = GwRouter_EvaluationCount(f->router);
+    uint64_t evaluations_before = GwRouter_EvaluationCount(f->router);
     double start = cpu_us();
     for (uint32_t i = 0; i < WAIT_PER_S; i++) {
-        held += count_waiting(f);
+        waiting_sum += count_waiting(f);
         while (((FakeRequest *)f->requests->pdata[oldest])->server == NULL) {
             oldest++;
         }
@@ -129,10 +129,11 @@
         FakeSteering_Pass(f, FAKE_US_PER_S / WAIT_PER_S);
     }
     double took = cpu_us() - start;
-    double seen = (double)(GwRouter_EvaluationCount(f->router) - looks);
+    double evaluations =
+        (double)(GwRouter_EvaluationCount(f->router) - evaluations_before);
     printf("| %u | %.0f%s | %.1f | %.2f | %.1f |\n", servers,
-           held / WAIT_PER_S, keyed ? ", for places" : "", took / 1000,
-           seen / 1e6, seen > 0 ? took * 1000 / seen : 0);
+           waiting_sum / WAIT_PER_S, keyed ? ", for places" : "", took / 1000,
+           evaluations / 1e6, evaluations > 0 ? took * 1000 / evaluations : 0);
     FakeSteering_Free(f);
 }
 
@@ -149,7 +150,8 @@
         measure(sizes[i]);
     }
     printf("\n| servers of the service | requests that wait | processor for a "
-           "second of %d requests, ms | million looks | ns a look, all "
+           "second of %d requests, ms | million evaluations | ns an "
+           "evaluation, all "
            "included |\n|---|---|---|---|---|\n",
            WAIT_PER_S);
     for (size_t i = 0; i < G_N_ELEMENTS(waits); i++) {
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Measures the caller's path with one entry, then runs the other benches.
+# Measures the request path through one entry, then runs the other benchmarks.
 # usage: run.sh BUILD    GW_BENCH_SECONDS (10), GW_PORT_BASE (21000)
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
@@ -34,7 +34,7 @@
 start_system || gw_fail "the system did not start" || exit 1
 run_path 370
 run_path 3700
-gw_end ha-noi-1 TERM || gw_fail "the entry did not stop well"
+gw_end ha-noi-1 TERM || gw_fail "the entry did not stop cleanly"
 for bench in "$gw_out"/bench_*; do
     case $bench in
     */bench_path | *.d | *.log) continue ;;
--- a/bench/sites.h
+++ b/bench/sites.h
@@ -1,5 +1,5 @@
-/* The sizes of both users, and a cluster of that size whose calls take a
- * time that depends on seed and key alone. For the programs of this folder. */
+/* Simulated clusters of both sites' sizes, for the benchmarks. The service
+ * time of a call depends on seed and key only. */
 #ifndef BENCH_SITES_H
 #define BENCH_SITES_H
 
@@ -10,7 +10,7 @@
 #define NODES        9
 #define SERVICES     2
 #define WORK_US      40000
-#define WORK_MEAN_US 42400 /* of work_of(), tail included */
+#define WORK_MEAN_US 42400 /* mean of work_of() with its tail */
 #define DEADLINE_US  (2 * FAKE_SEC)
 
 typedef struct {
@@ -39,14 +39,15 @@
 
 static uint64_t work_seed;
 
-/* Half to one and a half of the median, four times that in one of 50. */
+/* Returns the service time of a call in us: uniform in [0.5, 1.5] * WORK_US,
+ * and 4 times that for 1 call in 50. */
 static inline int64_t
 work_of(uint64_t key)
 {
     GwRng rng = GwRng_Make(work_seed * 1000003 + key);
-    int64_t time = GwRng_Jitter(&rng, WORK_US / 2, WORK_US);
+    int64_t work_us = GwRng_Jitter(&rng, WORK_US / 2, WORK_US);
 
-    return GwRng_Below(&rng, 50) == 0 ? time * 4 : time;
+    return GwRng_Below(&rng, 50) == 0 ? work_us * 4 : work_us;
 }
 
 static inline FakeCluster *
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,10 +1,11 @@
-/* The cost of control by number of nodes, on virtual time: bytes, messages,
- * processor time and memory per node, the table's load, how long a change of
- * the configuration and the end of an entry take to be known everywhere.
+/* Control-plane cost by number of nodes, in virtual time: bytes, messages, CPU
+ * time and memory per node, load of the table service, and how long a
+ * configuration change and the loss of an entry take to reach all entries.
  *
- * `bench_slopes [calm] [nodes...]`; without sizes 12, 50, 200 and 650, with
- * `calm` no changes, deaths and losses. Bytes are
- * those of the real codec; processor time is of GwNode_Step alone. */
+ * usage: bench_slopes [calm] [NODES...]
+ * NODES: 12, 50, 200 or 650; default: all. calm: without changes, crashes and
+ * message loss. Bytes are measured with the real codec, CPU time in
+ * GwNode_Step() only. */
 #include "fakes/cluster.h"
 #include "member/member.h"
 
@@ -14,16 +15,17 @@
 #include <string.h>
 #include <time.h>
 
-#define STEP_US      (50 * FAKE_MS)
-#define CHANGE_MAX_S 40
-#define DEAD_MAX_S   30
-#define LOOKUPS      20000
+#define STEP_US       (50 * FAKE_MS)
+#define CHANGE_MAX_S  40
+#define REMOVAL_MAX_S 30
+#define LOOKUPS       20000
 /* A node publishes every 200 ms (PUBLISH_PERIOD_US of entry/node.c). */
 #define PUBLISHES_PER_S 5
-#define SETTLE_S        10 /* the entry started before is met by then */
+#define SETTLE_S        10 /* a restarted entry is known to all by then */
 
-/* Seats are above the entries of a region, services times regions make the
- * places: 88 at 650 nodes, the target's 86 to the next multiple of 4. */
+/* There are more seats than entries of a region. Regions times services is the
+ * number of places: 88 at 650 nodes, the target of 86 rounded up to a multiple
+ * of 4 regions. */
 typedef struct {
     uint32_t nodes;
     uint32_t regions;
@@ -87,7 +89,7 @@
     return r;
 }
 
-/* ---- the calm system ------------------------------------------------------ */
+/* ---- steady state --------------------------------------------------------- */
 
 static uint64_t
 cpu_total_ns(const FakeCosts *costs)
@@ -161,7 +163,7 @@
                r->size->measure_s);
 }
 
-/* ---- changes of the configuration ----------------------------------------- */
+/* ---- configuration changes ------------------------------------------------ */
 
 static int
 by_time(const void *a, const void *b)
@@ -173,7 +175,7 @@
 }
 
 static bool
-all_have(const FakeCluster *c, uint64_t version)
+all_have_version(const FakeCluster *c, uint64_t version)
 {
     for (uint32_t i = 0; i < c->params.node_count; i++) {
         if (c->nodes[i].node != NULL &&
@@ -184,7 +186,7 @@
     return true;
 }
 
-/* Makes a change at a live node and waits until every live one has it. */
+/* Makes a change at a live node and waits until all live nodes have it. */
 static void
 measure_change(Run *r, const char *title, FakeStoreMode store_after)
 {
@@ -197,7 +199,7 @@
     int64_t start_us = c->now_us;
     uint64_t version = FakeCluster_Change(c, r->text, node);
     c->store = store_after;
-    while (!all_have(c, version) &&
+    while (!all_have_version(c, version) &&
            c->now_us - start_us < CHANGE_MAX_S * FAKE_SEC) {
         FakeCluster_Run(c, c->now_us + STEP_US);
     }
@@ -221,10 +223,10 @@
     g_free(at);
 }
 
-/* ---- entries that end ------------------------------------------------------ */
+/* ---- crashed entries ------------------------------------------------------- */
 
 static bool
-is_offered(const FakeCluster *c, const bool *gone)
+is_in_lookups(const FakeCluster *c, const bool *is_crashed)
 {
     for (uint32_t i = 0; i < c->params.node_count; i++) {
         GwLookup lookup;
@@ -235,7 +237,7 @@
         for (uint32_t e = 0; e < lookup.count; e++) {
             uint64_t id = GwName_Hash64(lookup.entries[e].name);
             gpointer at = g_hash_table_lookup(c->by_id, &id);
-            if (gone[GPOINTER_TO_UINT(at) - 1]) {
+            if (is_crashed[GPOINTER_TO_UINT(at) - 1]) {
                 return true;
             }
         }
@@ -244,15 +246,15 @@
 }
 
 static void
-wait_until_gone(Run *r, const char *title, const bool *gone)
+wait_until_removed(Run *r, const char *title, const bool *is_crashed)
 {
     FakeCluster *c = r->c;
     int64_t start_us = c->now_us;
     int64_t last_us = start_us;
 
-    while (c->now_us - start_us < DEAD_MAX_S * FAKE_SEC) {
+    while (c->now_us - start_us < REMOVAL_MAX_S * FAKE_SEC) {
         FakeCluster_Run(c, c->now_us + 2 * STEP_US);
-        if (is_offered(c, gone)) {
+        if (is_in_lookups(c, is_crashed)) {
             last_us = c->now_us;
         }
         else if (c->now_us - last_us > 3 * FAKE_SEC) {
@@ -264,41 +266,41 @@
 }
 
 static void
-measure_dead(Run *r)
+measure_crash(Run *r)
 {
-    bool *gone = g_new0(bool, r->size->nodes);
+    bool *is_crashed = g_new0(bool, r->size->nodes);
     uint32_t victim = r->size->nodes - 1;
 
-    gone[victim] = true;
+    is_crashed[victim] = true;
     FakeCluster_Crash(r->c, victim);
-    wait_until_gone(r, "one entry dead:", gone);
+    wait_until_removed(r, "one entry dead:", is_crashed);
     FakeCluster_Start(r->c, victim);
-    g_free(gone);
+    g_free(is_crashed);
 }
 
-/* One failure domain is lost at once; a change is accepted in that moment. */
+/* Crashes all entries of a failure domain and makes a change right after. */
 static void
-measure_domain(Run *r)
+measure_domain_loss(Run *r)
 {
     FakeCluster *c = r->c;
-    bool *gone = g_new0(bool, r->size->nodes);
+    bool *is_crashed = g_new0(bool, r->size->nodes);
 
     for (uint32_t i = 0; i < r->size->nodes; i++) {
         if (c->nodes[i].region == 1 && c->nodes[i].domain == 1 &&
             c->nodes[i].node != NULL) {
-            gone[i] = true;
+            is_crashed[i] = true;
             FakeCluster_Crash(c, i);
         }
     }
     measure_change(r, "domain lost", FAKE_STORE_OK);
-    wait_until_gone(r, "since then, a domain dead:", gone);
-    g_free(gone);
+    wait_until_removed(r, "since then, a domain dead:", is_crashed);
+    g_free(is_crashed);
 }
 
-/* ---- loss ------------------------------------------------------------------ */
+/* ---- message loss ---------------------------------------------------------- */
 
-/* Entries that look-ups lack although all live: what is missing to a full
- * look-up, summed over the nodes that answer. */
+/* Returns the number of live entries missing from look-ups, summed over the
+ * nodes that answer. */
 static uint32_t
 count_missing(const Run *r)
 {
@@ -310,8 +312,8 @@
         if (GwNode_Lookup(c->nodes[i].node, "s0", 0, &lookup) < 0) {
             continue;
         }
-        uint32_t want = MIN(r->size->nodes, GW_LOOKUP_MAX);
-        missing += lookup.count < want ? want - lookup.count : 0;
+        uint32_t expected = MIN(r->size->nodes, GW_LOOKUP_MAX);
+        missing += lookup.count < expected ? expected - lookup.count : 0;
     }
     return missing;
 }
@@ -331,14 +333,14 @@
         total += missing;
         worst = MAX(worst, missing);
     }
-    printf("  2%% loss for %u s, looked at each s: missing_from_lookups=%u "
+    printf("  2%% loss for %u s, sampled every s: missing_from_lookups=%u "
            "worst_at_once=%u\n",
            r->size->loss_s, total, worst);
     measure_change(r, "2% loss", FAKE_STORE_OK);
     c->params.loss_permille = 0;
 }
 
-/* Memory of one node: what goes back to the allocator with all of them. */
+/* Memory per node: bytes freed by destroying all nodes. */
 static void
 measure_memory(Run *r)
 {
@@ -356,7 +358,7 @@
                1024 / live);
 }
 
-/* One look-up of a service as the snapshot's copy makes it. */
+/* CPU time of one look-up, and of the copies published per second. */
 static void
 measure_lookup(const Run *r)
 {
@@ -387,9 +389,9 @@
     }
     measure_change(&r, "calm", FAKE_STORE_OK);
     measure_change(&r, "store away", FAKE_STORE_AWAY);
-    measure_dead(&r);
+    measure_crash(&r);
     measure_loss(&r);
-    measure_domain(&r);
+    measure_domain_loss(&r);
     measure_memory(&r);
     FakeCluster_Free(r.c);
     g_free(r.text);
