--- a/fuzz/fuzz_blocks.c
+++ b/fuzz/fuzz_blocks.c
@@ -1,5 +1,5 @@
-/* Snapshots, deltas and texts of client blocks: taken whole or refused, and
- * whatever set results can be looked up in. */
+/* Snapshots, deltas and texts of client blocks: each input is accepted whole
+ * or rejected, and look-ups with and without index agree on the result. */
 #include "blocks/blocks.h"
 
 #include <glib.h>
@@ -8,7 +8,7 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
 static void
-look_up(const GwBlockSet *set)
+check_lookups(const GwBlockSet *set)
 {
     GwBlockMap *map = GwBlockMap_Build(set);
 
@@ -37,7 +37,7 @@
     GwBlockSet *set = GwBlockSet_Create();
 
     if (!GwResult_IsError(GwBlockSet_ApplySnapshot(set, data, size))) {
-        look_up(set);
+        check_lookups(set);
     }
     GwBlockSet_ApplyDelta(set, data, size);
     parse_text(data, size);
--- a/fuzz/fuzz_caller.c
+++ b/fuzz/fuzz_caller.c
@@ -1,5 +1,5 @@
-/* What callers send and we parse ourselves: tickets, methods, targets. A
- * ticket that is read is the one that its own text names. */
+/* Parsers of caller input: tickets, methods, targets and header values. An
+ * accepted ticket is unchanged after a round trip through its text form. */
 #include "wire/codec.h"
 
 #include <string.h>
--- a/fuzz/fuzz_codec.c
+++ b/fuzz/fuzz_codec.c
@@ -1,5 +1,5 @@
-/* Payloads from a peer. What is accepted must be accepted again, unchanged,
- * after a trip through the encoder. */
+/* Payloads from a peer. An accepted payload, encoded again, is accepted and
+ * encodes to the same bytes. */
 #include "wire/codec.h"
 #include "wire/frame.h"
 
--- a/fuzz/fuzz_config.c
+++ b/fuzz/fuzz_config.c
@@ -1,5 +1,5 @@
-/* Any bytes as a configuration document: refused, or a whole configuration
- * that parses again to the same. */
+/* Configuration documents: rejected with a message, or accepted with a text
+ * that parses to the same configuration. */
 #include "config/model.h"
 
 #include <stdlib.h>
--- a/fuzz/fuzz_explain.c
+++ b/fuzz/fuzz_explain.c
@@ -1,5 +1,6 @@
-/* Any bytes as a log: each line is read or passed over, the explanation ends,
- * and as JSON it is whole. The first line names the request. */
+/* Log files for `explain`: malformed lines are skipped, the explanation is not
+ * empty, and its JSON form is well-formed. The first line is the request
+ * id. */
 #include "admin/explain.h"
 
 #include <json-c/json.h>
--- a/fuzz/fuzz_frame.c
+++ b/fuzz/fuzz_frame.c
@@ -1,4 +1,5 @@
-/* Frames from a stranger, fed in pieces whose sizes the input chooses. */
+/* Frames from an unauthenticated peer, fed in pieces of sizes that the input
+ * determines. */
 #include "wire/frame.h"
 
 int
--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -1,25 +1,25 @@
-/* Bytes of callers and of backend servers, cut at a place that the input
- * chooses. What is accepted is written out and must be accepted again with
- * the same target and body: no second message may hide inside the first. */
+/* HTTP messages of callers and backend servers, split in two at an offset that
+ * the input determines. An accepted message, written out, is parsed as exactly
+ * one message with the same target and body (no request smuggling). */
 #include "http/message.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 static void
-keep(void *owner, GwHttpMessage *msg)
+add_message(void *owner, GwHttpMessage *msg)
 {
     g_ptr_array_add(owner, msg);
 }
 
 static GwHttpParser *
-parser(bool requests, GPtrArray *out)
+create_parser(bool requests, GPtrArray *out)
 {
     GwHttpParserParams params = {
         .requests = requests,
         .head_max = 2000,
         .body_max = 2000,
-        .message = keep,
+        .message = add_message,
         .owner = out,
     };
 
@@ -31,15 +31,15 @@
 {
     GPtrArray *again =
         g_ptr_array_new_with_free_func((GDestroyNotify)GwHttpMessage_Free);
-    GwHttpParser *p = parser(requests, again);
+    GwHttpParser *p = create_parser(requests, again);
     GString *out = g_string_new(NULL);
-    GwHttpWrite how = {0};
+    GwHttpWrite options = {0};
 
     if (requests) {
-        GwHttpMessage_WriteRequest(msg, &how, out);
+        GwHttpMessage_WriteRequest(msg, &options, out);
     }
     else {
-        GwHttpMessage_WriteAnswer(msg, &how, out);
+        GwHttpMessage_WriteAnswer(msg, &options, out);
     }
     GwHttpParser_SetLimits(p, 100000, 100000);
     (void)GwHttpParser_Feed(p, out->str, out->len);
@@ -67,16 +67,16 @@
         return 0;
     }
     bool requests = data[0] % 2 == 0;
-    size_t cut = data[1] % size;
+    size_t split_at = data[1] % size;
     GPtrArray *out =
         g_ptr_array_new_with_free_func((GDestroyNotify)GwHttpMessage_Free);
-    GwHttpParser *p = parser(requests, out);
+    GwHttpParser *p = create_parser(requests, out);
     const char *bytes = (const char *)data + 2;
     size_t len = size - 2;
 
-    cut = MIN(cut, len);
-    (void)GwHttpParser_Feed(p, bytes, cut);
-    (void)GwHttpParser_Feed(p, bytes + cut, len - cut);
+    split_at = MIN(split_at, len);
+    (void)GwHttpParser_Feed(p, bytes, split_at);
+    (void)GwHttpParser_Feed(p, bytes + split_at, len - split_at);
     (void)GwHttpParser_End(p);
     for (guint i = 0; i < out->len; i++) {
         check_again(requests, out->pdata[i]);
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -1,13 +1,12 @@
-/* What the platform's store answers, and what others write into it:
- * configurations, servers' entries, rows. Nothing may crash, and rows that
- * are accepted are the same after a trip through the writer. */
+/* Documents of the platform's store: configurations, server registrations and
+ * replies with rows. Accepted rows survive a round trip through the writer. */
 #include "platform/platform.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 static void
-read_rows(const char *text, size_t len)
+check_rows(const char *text, size_t len)
 {
     GwRowSet *set = Platform_ReadRows(text, len, NULL);
 
@@ -42,7 +41,7 @@
         (void)Platform_ReadServer("id", text, &server, NULL);
         break;
     default:
-        read_rows(text, strlen(text));
+        check_rows(text, strlen(text));
         break;
     }
     g_free(text);
--- a/fuzz/fuzz_rows.c
+++ b/fuzz/fuzz_rows.c
@@ -1,11 +1,11 @@
-/* Rows from a peer, and what peers ask for: nothing may crash, and rows that
- * are accepted are the same after a trip over the wire. */
+/* Rows from a peer, and targets of peers' requests for rows. Accepted rows
+ * survive a round trip through the wire format. */
 #include "store/rows_wire.h"
 
 #include <stdlib.h>
 
 static void
-unpack(const char *bytes, size_t len)
+check_rows(const char *bytes, size_t len)
 {
     GwRowSet *set = GwRowSet_Unpack(bytes, len);
 
@@ -29,7 +29,7 @@
     char *text = g_strndup((const char *)data, size);
     GwRowsAsk ask;
 
-    unpack((const char *)data, size);
+    check_rows((const char *)data, size);
     (void)GwRowsAsk_ReadTarget(text, &ask);
     g_free(text);
     return 0;
--- a/fuzz/fuzz_settings.c
+++ b/fuzz/fuzz_settings.c
@@ -1,5 +1,5 @@
-/* Any bytes as settings: refused, or settings whose printed form loads
- * again. */
+/* Settings documents: rejected with a message, or accepted with a printed form
+ * that loads to the same settings. */
 #include "config/settings_table.h"
 
 #include <stdlib.h>
--- a/fuzz/fuzz_snapshot.c
+++ b/fuzz/fuzz_snapshot.c
@@ -1,5 +1,6 @@
-/* A snapshot from the object store: taken whole or refused, and what is taken
- * is written again to the same bytes. */
+/* Configuration snapshots from the object store: accepted whole or rejected.
+ * An accepted text is within the input, and encodes to at most 64 more
+ * bytes. */
 #include "config/snapshot.h"
 
 #include <string.h>
--- a/fuzz/fuzz_table.c
+++ b/fuzz/fuzz_table.c
@@ -1,4 +1,4 @@
-/* Answers of the platform's table service, as text. */
+/* Replies of the platform's table service, for each operation and status. */
 #include "platform/table_internal.h"
 
 #include <glib.h>
--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Builds every fuzz target with libFuzzer and runs each for a number of
-# inputs from a fixed seed. Non-zero when one has a finding.
+# Builds every fuzz target with libFuzzer and runs each with a fixed seed for a
+# number of inputs. Fails if a target has a finding.
 # usage: run.sh RUNS
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 1
@@ -14,8 +14,8 @@
 san=-fsanitize=fuzzer,address,undefined
 failed=0
 
-# Sources under lib that are linked in; the sections that a target does not
-# use are dropped, so that it needs no daemon.
+# Sources that are linked to every target. The linker drops sections that a
+# target does not use, so that the daemon's dependencies are not needed.
 mapfile -t sources < <(ls lib/common/*.c lib/wire/*.c lib/platform/*.c \
     lib/config/*.c lib/blocks/*.c lib/entry/tickets.c \
     lib/http/message.c lib/http/parser.c lib/route/*.c lib/store/*.c \
@@ -28,12 +28,12 @@
         -fno-sanitize-recover=undefined -ffunction-sections \
         -Wl,--gc-sections -I. -Ilib -Itests "${cflags[@]}" -o "$out/$name" \
         "$target" "${sources[@]}" "${libs[@]}" -lhttp_parser -lm -pthread; then
-        echo "FAIL  $name: does not build"
+        echo "FAIL  $name: build failed"
         failed=1
         continue
     fi
-    # Inputs that showed a fault, or that help over a checksum, come first;
-    # what is found on the way goes into a scratch folder.
+    # The corpus has inputs of earlier findings or with valid checksums.
+    # libFuzzer adds new inputs to the first folder, which is temporary.
     rm -rf "$out/new-$name"
     mkdir -p "$out/new-$name"
     seeds=("$out/new-$name")
