--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -130,7 +130,7 @@
            (double)costs->step_ns[GW_EVENT_TICK] / 1e3 / per_node,
            (double)costs->step_ns[GW_EVENT_MESSAGE] / 1e3 / per_node,
            (double)costs->step_ns[GW_EVENT_HEALTH] / 1e3 / per_node,
-           (double)costs->step_ns[GW_EVENT_LIST] / 1e3 / per_node,
+           (double)costs->step_ns[GW_EVENT_INSTANCE_LIST] / 1e3 / per_node,
            (double)costs->step_ns[GW_EVENT_TABLE] / 1e3 / per_node,
            (double)costs->step_ns[GW_EVENT_TICK] /
                (double)MAX(costs->steps[GW_EVENT_TICK], 1));
--- a/lib/entry/calls.c
+++ b/lib/entry/calls.c
@@ -236,7 +236,7 @@
         return;
     case GW_RECORD_ANSWERED:
         end.outcome = GW_OUTCOME_ANSWERED;
-        end.answer_of = record->call;
+        end.answer_call = record->call;
         end.answer_attempt = record->attempt;
         break;
     case GW_RECORD_UNKNOWN:
@@ -522,7 +522,7 @@
         GwRetryBudget_Credit(&service->budget);
     }
     GwCallEnd end = {.outcome = GW_OUTCOME_ANSWERED,
-                     .answer_of = call->call,
+                     .answer_call = call->call,
                      .answer_attempt = attempt->number};
     GwCalls_Finish(c, env, call, &end);
 }
--- a/lib/entry/calls_finish.c
+++ b/lib/entry/calls_finish.c
@@ -73,7 +73,7 @@
 #endif
     case GW_OUTCOME_ANSWERED:
         record->state = GW_RECORD_ANSWERED;
-        record->call = end->answer_of;
+        record->call = end->answer_call;
         record->attempt = end->answer_attempt;
         break;
 #if GW_MUTANT != 4
@@ -93,7 +93,7 @@
                                         .outcome = end->outcome,
                                         .reason = end->reason,
                                         .retry_after_ms = end->retry_after_ms,
-                                        .answer_of = end->answer_of,
+                                        .answer_call = end->answer_call,
                                         .answer_attempt = end->answer_attempt,
                                         .ticket = call->ticket};
 }
--- a/lib/entry/calls_internal.h
+++ b/lib/entry/calls_internal.h
@@ -90,7 +90,7 @@
     GwOutcome outcome;
     GwReason reason;
     uint32_t retry_after_ms;
-    uint64_t answer_of;      /* ANSWERED: the call that has the answer */
+    uint64_t answer_call;    /* ANSWERED: the call that has the answer */
     uint32_t answer_attempt; /* ANSWERED: the attempt that has it */
 } GwCallEnd;
 
--- a/lib/entry/lookup.c
+++ b/lib/entry/lookup.c
@@ -154,10 +154,10 @@
 
     uint64_t own = (uint64_t)GwSteer_InFlight(n->steer, index) +
                    GwCalls_Queued(n->calls)[index];
-    out->moving_draws = n->leaving ? 0 : count_moving_draws(own, &r);
-    out->self_first = !n->leaving && draw >= out->moving_draws;
+    out->redirect_draws = n->leaving ? 0 : count_moving_draws(own, &r);
+    out->is_self_first = !n->leaving && draw >= out->redirect_draws;
     uint32_t first = 0;
-    if (!out->self_first && r.count > 0) {
+    if (!out->is_self_first && r.count > 0) {
         add_member(&r.best[first++], out);
     }
     add_self(n, out);
--- a/lib/entry/node.c
+++ b/lib/entry/node.c
@@ -299,8 +299,8 @@
         GwCalls_Arrive(n->calls, &env, &event->u.call);
         request_loans(n, now_us, out);
         return;
-    case GW_EVENT_CALL_GONE:
-        GwCalls_CallerDisconnected(n->calls, &env, event->u.call_gone);
+    case GW_EVENT_CALLER_DISCONNECTED:
+        GwCalls_CallerDisconnected(n->calls, &env, event->u.disconnected_call);
         break;
     case GW_EVENT_ATTEMPT:
         GwCalls_EndAttempt(n->calls, &env, &event->u.attempt);
@@ -311,10 +311,10 @@
     case GW_EVENT_TABLE:
         on_table_reply(n, now_us, event->u.table, out);
         break;
-    case GW_EVENT_LIST:
+    case GW_EVENT_INSTANCE_LIST:
         GwMembers_ApplyList(n->members, now_us, event->u.list, out);
         break;
-    case GW_EVENT_LEAVE:
+    case GW_EVENT_GRACEFUL_STOP:
         on_leave(n, now_us, out);
         break;
     }
--- a/lib/godwitridge.h
+++ b/lib/godwitridge.h
@@ -172,7 +172,7 @@
 } GwTableReply;
 
 /* The platform's list of instances: a discovery hint that may be stale. */
-#define GW_LIST_MAX 1024
+#define GW_INSTANCE_LIST_MAX 1024
 typedef struct {
     char name[GW_NAME_MAX];
     char peer_address[GW_ADDR_MAX];
@@ -188,12 +188,12 @@
     GW_EVENT_TICK = 1, /* every GW_TICK_US; the first right after start */
     GW_EVENT_MESSAGE,
     GW_EVENT_CALL,
-    GW_EVENT_CALL_GONE, /* the caller disconnected */
+    GW_EVENT_CALLER_DISCONNECTED, /* the caller disconnected */
     GW_EVENT_ATTEMPT,
     GW_EVENT_HEALTH,
     GW_EVENT_TABLE,
-    GW_EVENT_LIST,
-    GW_EVENT_LEAVE /* starts the graceful stop */
+    GW_EVENT_INSTANCE_LIST,
+    GW_EVENT_GRACEFUL_STOP /* starts the graceful stop */
 } GwEventKind;
 
 #define GW_TICK_US 10000 /* period of GW_EVENT_TICK */
@@ -203,7 +203,7 @@
     union {
         const GwMessage *message;
         GwCallEvent call;
-        uint64_t call_gone;
+        uint64_t disconnected_call;
         GwAttemptEvent attempt;
         GwHealthEvent health;
         const GwTableReply *table;
@@ -257,7 +257,7 @@
     GwOutcome outcome;
     GwReason reason;
     uint32_t retry_after_ms; /* retry hint for the caller; 0: none */
-    uint64_t answer_of;      /* call whose answer body the host sends */
+    uint64_t answer_call;    /* call whose answer body the host sends */
     uint32_t answer_attempt; /* attempt of that call with the answer */
     GwTicket ticket;         /* of a non-idempotent call; else seq 0 */
 } GwFinishAction;
@@ -376,8 +376,8 @@
 typedef struct {
     uint64_t config_version;
     uint32_t ttl_ms;
-    uint32_t moving_draws; /* lower draws list another entry first */
-    bool self_first;       /* if false, the reply carries no tickets */
+    uint32_t redirect_draws; /* lower draws list another entry first */
+    bool is_self_first;      /* if false, the reply carries no tickets */
     uint32_t count;
     GwLookupEntry entries[GW_LOOKUP_MAX];
 } GwLookup;
--- a/lib/member/member_internal.h
+++ b/lib/member/member_internal.h
@@ -13,7 +13,7 @@
 #endif
 
 /* Records in the table, tombstones included. */
-#define GW_RECORDS_MAX (2 * GW_LIST_MAX)
+#define GW_RECORDS_MAX (2 * GW_INSTANCE_LIST_MAX)
 /* Bound on the sends of one update: 3 * log2(n) is below it for every
  * possible number of members. */
 #define GW_UPDATE_SENDS_MAX 40
--- a/lib/member/members.c
+++ b/lib/member/members.c
@@ -178,7 +178,7 @@
     m->list_read_us = now_us;
     g_hash_table_remove_all(m->listed);
     g_array_set_size(m->seeds, 0);
-    for (uint32_t i = 0; i < list->count && i < GW_LIST_MAX; i++) {
+    for (uint32_t i = 0; i < list->count && i < GW_INSTANCE_LIST_MAX; i++) {
         const GwInstanceListItem *item = &list->items[i];
         uint64_t *hash = g_new(uint64_t, 1);
         *hash = GwName_Hash64(item->name);
--- a/lib/platform/list.c
+++ b/lib/platform/list.c
@@ -74,8 +74,8 @@
         return GW_ERR(PARSE);
     }
     size_t count = json_object_array_length(items);
-    list->items = g_new0(GwInstanceListItem, MIN(count, GW_LIST_MAX));
-    for (size_t i = 0; i < count && list->count < GW_LIST_MAX; i++) {
+    list->items = g_new0(GwInstanceListItem, MIN(count, GW_INSTANCE_LIST_MAX));
+    for (size_t i = 0; i < count && list->count < GW_INSTANCE_LIST_MAX; i++) {
         json_object *item = json_object_array_get_idx(items, i);
         if (parse_item(item, &list->items[list->count])) {
             list->count++;
--- a/lib/runtime/call.c
+++ b/lib/runtime/call.c
@@ -298,7 +298,7 @@
     int64_t keep_ms =
         (int64_t)rt->params.ticket_valid_ms + rt->params.ticket_retention_ms;
     if (action->outcome != GW_OUTCOME_ANSWERED || answer == NULL ||
-        action->answer_of != action->call || action->ticket.seq == 0 ||
+        action->answer_call != action->call || action->ticket.seq == 0 ||
         !GwNodeId_Equal(action->ticket.owner, rt->params.id)) {
         return;
     }
@@ -331,7 +331,7 @@
         return;
     }
     if (action->outcome == GW_OUTCOME_ANSWERED) {
-        answer = find_answer(rt, action->answer_of, action->answer_attempt);
+        answer = find_answer(rt, action->answer_call, action->answer_attempt);
     }
     keep_answer(rt, action, answer);
     pthread_mutex_lock(&call->mutex);
--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -149,7 +149,7 @@
  * unknown service, 503 before a configuration is active. */
 static uint32_t
 append_entries(GwRuntime *rt, const char *service, GString *out,
-               bool *self_first)
+               bool *is_self_first)
 {
     uint32_t status = 503;
     uint32_t draw =
@@ -159,9 +159,10 @@
         const ServiceView *view = Snapshot_Service(snapshot, service);
         status = view != NULL ? 200 : 404;
         if (view != NULL) {
-            *self_first = draw >= view->moving_draws;
+            *is_self_first = draw >= view->redirect_draws;
             g_string_append(
-                out, view->entries[*self_first ? view->moving_draws : draw]);
+                out,
+                view->entries[*is_self_first ? view->redirect_draws : draw]);
         }
     }
     Snapshot_ReadUnlock();
@@ -182,15 +183,15 @@
         return send_refusal(conn, 400, GW_REASON_BAD_REQUEST);
     }
     GString *out = g_string_new(NULL);
-    bool self_first = true;
-    uint32_t status = append_entries(rt, service, out, &self_first);
+    bool is_self_first = true;
+    uint32_t status = append_entries(rt, service, out, &is_self_first);
     if (status != 200) {
         g_string_free(out, TRUE);
         return send_refusal(conn, status,
                             status == 404 ? GW_REASON_NO_SERVICE
                                           : GW_REASON_NOT_READY);
     }
-    if (!self_first) {
+    if (!is_self_first) {
         count = 0;
     }
     if (atomic_load(&rt->leaving) ||
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -97,7 +97,7 @@
         GwInstanceList list = {0};
         int64_t start_us = GwNet_NowUs();
         if (!GwResult_IsError(GwInstanceListClient_Read(rt->list, &list))) {
-            GwEvent event = {.kind = GW_EVENT_LIST, .u.list = &list};
+            GwEvent event = {.kind = GW_EVENT_INSTANCE_LIST, .u.list = &list};
             Runtime_Step(rt, &event);
         }
         int64_t period_us =
--- a/lib/runtime/relay.c
+++ b/lib/runtime/relay.c
@@ -400,13 +400,13 @@
 {
     GwRuntime *rt = arg;
     RelayKey key = {.link = link, .id = id};
-    GwEvent event = {.kind = GW_EVENT_CALL_GONE};
+    GwEvent event = {.kind = GW_EVENT_CALLER_DISCONNECTED};
 
     pthread_mutex_lock(&rt->call_lock);
     const uint64_t *handle = g_hash_table_lookup(rt->relayed_in, &key);
-    event.u.call_gone = handle != NULL ? *handle : 0;
+    event.u.disconnected_call = handle != NULL ? *handle : 0;
     pthread_mutex_unlock(&rt->call_lock);
-    if (event.u.call_gone != 0) {
+    if (event.u.disconnected_call != 0) {
         Runtime_Step(rt, &event);
     }
 }
--- a/lib/runtime/report.c
+++ b/lib/runtime/report.c
@@ -226,7 +226,7 @@
     const ServiceView *view =
         snapshot != NULL ? Snapshot_Service(snapshot, service) : NULL;
     if (view != NULL) {
-        text = g_strconcat(view->entries[view->moving_draws], "}", NULL);
+        text = g_strconcat(view->entries[view->redirect_draws], "}", NULL);
     }
     Snapshot_ReadUnlock();
     Snapshot_UnregisterThread();
--- a/lib/runtime/runtime.c
+++ b/lib/runtime/runtime.c
@@ -261,7 +261,7 @@
 void
 GwRuntime_BeginStop(GwRuntime *rt)
 {
-    GwEvent event = {.kind = GW_EVENT_LEAVE};
+    GwEvent event = {.kind = GW_EVENT_GRACEFUL_STOP};
 
     if (atomic_exchange(&rt->leaving, true)) {
         return;
--- a/lib/runtime/runtime_internal.h
+++ b/lib/runtime/runtime_internal.h
@@ -49,8 +49,8 @@
 typedef struct {
     char name[GW_NAME_MAX];
     uint32_t deadline_max_ms;
-    uint32_t moving_draws; /* smaller draws list another entry first */
-    /* Look-up answer per draw, up to the tickets. All draws from moving_draws
+    uint32_t redirect_draws; /* smaller draws list another entry first */
+    /* Look-up answer per draw, up to the tickets. All draws from redirect_draws
      * on share the answer at that index. */
     char *entries[GW_LOOKUP_DRAWS + 1];
 } ServiceView;
--- a/lib/runtime/snapshot.c
+++ b/lib/runtime/snapshot.c
@@ -63,9 +63,9 @@
         return false;
     }
     *local = count_local(&lookup);
-    view->moving_draws = lookup.moving_draws;
-    view->entries[lookup.moving_draws] = format_lookup(&lookup);
-    for (uint32_t draw = 0; draw < view->moving_draws; draw++) {
+    view->redirect_draws = lookup.redirect_draws;
+    view->entries[lookup.redirect_draws] = format_lookup(&lookup);
+    for (uint32_t draw = 0; draw < view->redirect_draws; draw++) {
         GwNode_Lookup(node, service, draw, &lookup);
         view->entries[draw] = format_lookup(&lookup);
     }
--- a/tests/fakes/cluster.c
+++ b/tests/fakes/cluster.c
@@ -230,10 +230,11 @@
 static void
 poll_list(FakeCluster *c, uint32_t node)
 {
-    GwInstanceListItem items[GW_LIST_MAX];
+    GwInstanceListItem items[GW_INSTANCE_LIST_MAX];
     GwInstanceList list = {.items = items};
 
-    for (uint32_t i = 0; i < c->params.node_count && i < GW_LIST_MAX; i++) {
+    for (uint32_t i = 0; i < c->params.node_count && i < GW_INSTANCE_LIST_MAX;
+         i++) {
         const FakeNode *n = &c->nodes[i];
         if (n->node == NULL || n->is_missing_from_list) {
             continue;
@@ -247,7 +248,7 @@
             strlen(item->name) + strlen(item->peer_address) + LIST_JSON_BYTES;
     }
     c->costs.list_reads++;
-    GwEvent event = {.kind = GW_EVENT_LIST, .u.list = &list};
+    GwEvent event = {.kind = GW_EVENT_INSTANCE_LIST, .u.list = &list};
     FakeCluster_Step(c, node, &event);
     int64_t period_us = GwInstanceList_PeriodUs(LIST_POLL_MS, list.count);
     FakeCluster_Post(
@@ -453,7 +454,7 @@
 void
 FakeCluster_Leave(FakeCluster *c, uint32_t node)
 {
-    GwEvent event = {.kind = GW_EVENT_LEAVE};
+    GwEvent event = {.kind = GW_EVENT_GRACEFUL_STOP};
 
     c->nodes[node].leaving = true;
     FakeCluster_Step(c, node, &event);
--- a/tests/fakes/cluster.h
+++ b/tests/fakes/cluster.h
@@ -14,7 +14,7 @@
 #define FAKE_SEC          1000000LL
 #define FAKE_REGIONS_MAX  8
 #define FAKE_SERVICES_MAX 4
-#define FAKE_EVENT_KINDS  (GW_EVENT_LEAVE + 1)
+#define FAKE_EVENT_KINDS  (GW_EVENT_GRACEFUL_STOP + 1)
 #define FAKE_MSG_KINDS    (GW_MSG_SEAT_TAKEN + 1)
 
 typedef struct {
--- a/tests/fakes/cluster_calls.c
+++ b/tests/fakes/cluster_calls.c
@@ -112,7 +112,8 @@
     FakeCallerCall *call = FakeCluster_CallAt(c, index);
     const FakeNode *n = &c->nodes[call->node];
     const FakeHostCall *host = g_hash_table_lookup(c->hosts, &call->handle);
-    GwEvent event = {.kind = GW_EVENT_CALL_GONE, .u.call_gone = call->handle};
+    GwEvent event = {.kind = GW_EVENT_CALLER_DISCONNECTED,
+                     .u.disconnected_call = call->handle};
 
     if (call->done || host == NULL || n->node == NULL ||
         n->epoch != host->epoch || n->paused_until_us > c->now_us) {
@@ -382,7 +383,7 @@
     call->ended_us = c->now_us;
     if (finish->outcome == GW_OUTCOME_ANSWERED) {
         const FakeHostCall *of =
-            g_hash_table_lookup(c->hosts, &finish->answer_of);
+            g_hash_table_lookup(c->hosts, &finish->answer_call);
         call->wrong_answer = of == NULL || of->key != call->key;
     }
 }
--- a/tests/property/calls.cpp
+++ b/tests/property/calls.cpp
@@ -241,8 +241,9 @@
     case GW_OUTCOME_ANSWERED: {
         bool found = false;
         for (const Attempt &a : w.attempts) {
-            found |= a.handle == f.answer_of && a.number == f.answer_attempt &&
-                     a.ran == Ran::ANSWERED && concerns(w, a, f.call);
+            found |= a.handle == f.answer_call &&
+                     a.number == f.answer_attempt && a.ran == Ran::ANSWERED &&
+                     concerns(w, a, f.call);
         }
         RC_ASSERT(found);
         break;
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -109,7 +109,7 @@
     FakeCluster_Leave(c, 2);
     GwLookup lookup = look_up(c, 2, 0);
     cr_expect_eq(lookup.count, NODES - 1);
-    cr_expect_not(lookup.self_first);
+    cr_expect_not(lookup.is_self_first);
     FakeCluster_Run(c, c->now_us + FAKE_SEC);
     for (uint32_t i = 0; i < NODES; i++) {
         GwLookup other = look_up(c, i == 2 ? 0 : i, 0);
