--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -189,7 +189,7 @@
         b->down =
             k->condition == CONDITION_REGION_LOST && b->region == LOST_REGION;
         b->no_reports = k->condition == CONDITION_NO_REPORTS;
-        b->lies_idle =
+        b->reports_no_load =
             k->condition == CONDITION_FALSE_REPORTS && (seen & bit) == 0;
         seen |= bit;
     }
@@ -285,7 +285,7 @@
 static void
 collect(const FakeCluster *c, const Case *k, const GArray *arrivals, Stats *st)
 {
-    FakeJudgement j = FakeCluster_Judge(c);
+    FakeCallsReport j = FakeCluster_CheckCalls(c);
 
     st->false_refusals += j.false_refusals;
     st->doubled += j.doubled;
--- a/bench/drain.c
+++ b/bench/drain.c
@@ -101,7 +101,7 @@
         break;
     }
     default:
-        FakeCluster_Leave(d->c, 0);
+        FakeCluster_Stop(d->c, 0);
     }
 }
 
@@ -150,7 +150,7 @@
     if (kind != ENTRY) {
         d.idle_us = busy_until_us(&d) - DRAIN_US;
     }
-    FakeJudgement j = FakeCluster_Judge(d.c);
+    FakeCallsReport j = FakeCluster_CheckCalls(d.c);
     printf("drain site=%s kind=%s seed=%u idle_ms=%.1f longest_ms=%.1f "
            "cut_off=%u late_ms=%u unfinished=%u false_refusals=%u "
            "doubled=%u over_slots=%u\n",
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -146,7 +146,7 @@
 run_shape(const Shape *shape, uint64_t seed)
 {
     FleetParams p = make_params(shape, seed);
-    FleetReport r = Fleet_Play(&p);
+    FleetReport r = Fleet_Run(&p);
     double before = in_time(&r, 3, 7);
     Result result = {
         .worth = r.worth,
@@ -159,7 +159,8 @@
 
     for (uint32_t g = 0; g < p.regions; g++) {
         for (uint32_t w = 1; w < r.window_count; w++) {
-            double change = r.far_share[g][w] - r.far_share[g][w - 1];
+            double change =
+                r.cross_region_share[g][w] - r.cross_region_share[g][w - 1];
             result.moved = MAX(result.moved, ABS(change));
         }
     }
--- a/bench/router_cost.c
+++ b/bench/router_cost.c
@@ -30,7 +30,7 @@
 
     for (uint32_t i = 0; i < count; i++) {
         g_snprintf(id, sizeof(id), "s%u", i);
-        FakeSteering_Put(f, id, regions[i % 4], domains[i % 4], 4);
+        FakeSteering_PutServer(f, id, regions[i % 4], domains[i % 4], 4);
     }
 }
 
@@ -44,7 +44,7 @@
         g_snprintf(key, sizeof(key), "%u", i % objects);
         FakeRequest *req = FakeSteering_Arrive(f, "/again/", key, 3000);
         f->now_us += 1000;
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
         g_ptr_array_set_size(f->requests, 0);
     }
 }
@@ -123,10 +123,10 @@
         while (((FakeRequest *)f->requests->pdata[oldest])->server == NULL) {
             oldest++;
         }
-        FakeSteering_End(f, f->requests->pdata[oldest], GW_ATTEMPT_ANSWERED,
-                         200);
+        FakeSteering_EndAttempt(f, f->requests->pdata[oldest],
+                                GW_ATTEMPT_ANSWERED, 200);
         arrive(f, i, keyed);
-        FakeSteering_Pass(f, FAKE_US_PER_S / WAIT_PER_S);
+        FakeSteering_Advance(f, FAKE_US_PER_S / WAIT_PER_S);
     }
     double took = cpu_us() - start;
     double evaluations =
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -388,7 +388,7 @@
         return;
     }
     measure_change(&r, "calm", FAKE_STORE_OK);
-    measure_change(&r, "store away", FAKE_STORE_AWAY);
+    measure_change(&r, "store away", FAKE_STORE_UNAVAILABLE);
     measure_crash(&r);
     measure_loss(&r);
     measure_domain_loss(&r);
--- a/tests/fakes/admin_server.c
+++ b/tests/fakes/admin_server.c
@@ -5,7 +5,7 @@
 static void
 table_do(void *table, const GwTableRequest *request, GwTableReply *reply)
 {
-    ChangeTable_Do(table, request, running->fate, reply);
+    ChangeTable_Execute(table, request, running->fate, reply);
 }
 
 static void
--- a/tests/fakes/admin_server.h
+++ b/tests/fakes/admin_server.h
@@ -10,7 +10,7 @@
 
 typedef struct {
     ChangeTable *table;
-    Fate fate; /* of all table requests */
+    ChangeFate fate; /* of all table requests */
     GwAdmin *admin;
     char address[32];
     GwAdminClient *client;
--- a/tests/fakes/change_table.c
+++ b/tests/fakes/change_table.c
@@ -100,8 +100,8 @@
 }
 
 void
-ChangeTable_Do(ChangeTable *t, const GwTableRequest *request, Fate fate,
-               GwTableReply *reply)
+ChangeTable_Execute(ChangeTable *t, const GwTableRequest *request,
+                    ChangeFate fate, GwTableReply *reply)
 {
     *reply = (GwTableReply){.token = request->token};
     if (fate == FATE_DONE || fate == FATE_LOST_AFTER) {
@@ -112,7 +112,7 @@
             do_get(t, request, reply);
         }
     }
-    if (fate == FATE_LATE && request->op == GW_TABLE_TXN) {
+    if (fate == FATE_DELAYED && request->op == GW_TABLE_TXN) {
         delay_write(t, request);
     }
     if (fate != FATE_DONE) {
--- a/tests/fakes/change_table.h
+++ b/tests/fakes/change_table.h
@@ -8,8 +8,8 @@
     FATE_DONE = 0,
     FATE_LOST_BEFORE, /* the request is lost */
     FATE_LOST_AFTER,  /* the request takes effect, the reply is lost */
-    FATE_LATE /* no reply; a write takes effect in ChangeTable_Deliver */
-} Fate;
+    FATE_DELAYED /* no reply; a write takes effect in ChangeTable_Deliver */
+} ChangeFate;
 
 typedef struct {
     GHashTable *rows;  /* key -> GwRow */
@@ -19,8 +19,8 @@
 
 ChangeTable *ChangeTable_Create(void);
 void ChangeTable_Free(ChangeTable *t);
-void ChangeTable_Do(ChangeTable *t, const GwTableRequest *request, Fate fate,
-                    GwTableReply *reply);
+void ChangeTable_Execute(ChangeTable *t, const GwTableRequest *request,
+                         ChangeFate fate, GwTableReply *reply);
 void ChangeTable_ClearReply(GwTableReply *reply);
 /* Executes one delayed write, chosen by `pick`; false if there is none. */
 bool ChangeTable_Deliver(ChangeTable *t, uint32_t pick);
--- a/tests/fakes/cluster.c
+++ b/tests/fakes/cluster.c
@@ -268,13 +268,14 @@
         if (b->region != c->nodes[node].region || b->silent || b->no_reports) {
             continue;
         }
-        GwEvent event = {
-            .kind = GW_EVENT_HEALTH,
-            .u.health = {.backend = b->id,
-                         .reachable = !b->down,
-                         .draining = b->draining,
-                         .has_load = !b->down,
-                         .reported_load = b->lies_idle ? 0 : b->in_flight}};
+        GwEvent event = {.kind = GW_EVENT_HEALTH,
+                         .u.health = {.backend = b->id,
+                                      .reachable = !b->down,
+                                      .draining = b->draining,
+                                      .has_load = !b->down,
+                                      .reported_load = b->reports_no_load
+                                                           ? 0
+                                                           : b->in_flight}};
         FakeCluster_Step(c, node, &event);
         if (c->nodes[node].epoch != epoch) {
             return;
@@ -452,7 +453,7 @@
 }
 
 void
-FakeCluster_Leave(FakeCluster *c, uint32_t node)
+FakeCluster_Stop(FakeCluster *c, uint32_t node)
 {
     GwEvent event = {.kind = GW_EVENT_GRACEFUL_STOP};
 
--- a/tests/fakes/cluster.h
+++ b/tests/fakes/cluster.h
@@ -43,7 +43,7 @@
 
 typedef enum {
     FAKE_STORE_OK = 0,
-    FAKE_STORE_AWAY = 1,          /* no effect, no reply */
+    FAKE_STORE_UNAVAILABLE = 1,   /* no effect, no reply */
     FAKE_STORE_LOSES_REPLIES = 2, /* writes take effect, no reply */
     FAKE_STORE_SLOW = 3,          /* replies after 900 ms */
     FAKE_STORE_RANDOM = 4,        /* one of the above at random per request */
@@ -57,11 +57,11 @@
     uint32_t in_flight;
     uint32_t most_in_flight;
     uint32_t runs;
-    bool down;       /* connections are refused */
-    bool silent;     /* accepts and runs calls, never answers */
-    bool resets;     /* runs calls, then resets the connection */
-    bool lies_idle;  /* reports a load of 0 */
-    bool no_reports; /* no load in answers or at the health endpoint */
+    bool down;            /* connections are refused */
+    bool silent;          /* accepts and runs calls, never answers */
+    bool resets;          /* runs calls, then resets the connection */
+    bool reports_no_load; /* reports a load of 0 */
+    bool no_reports;      /* no load in answers or at the health endpoint */
     bool draining;
     int64_t draining_since_us;
     int64_t last_start_us; /* start of the last call */
@@ -124,7 +124,7 @@
     uint32_t over_slots; /* servers with more calls in flight than slots */
     uint32_t cut_off;
     uint32_t late_ms; /* latest start of a call after a drain began */
-} FakeJudgement;
+} FakeCallsReport;
 
 /* Cost of the run so far, over all nodes. */
 typedef struct {
@@ -178,7 +178,7 @@
 void FakeCluster_Start(FakeCluster *c, uint32_t node);
 void FakeCluster_Crash(FakeCluster *c, uint32_t node);
 void FakeCluster_Pause(FakeCluster *c, uint32_t node, int64_t for_us);
-void FakeCluster_Leave(FakeCluster *c, uint32_t node);
+void FakeCluster_Stop(FakeCluster *c, uint32_t node);
 void FakeCluster_CutRegions(FakeCluster *c, uint32_t a, uint32_t b, bool cut);
 /* Writes the next configuration version, as an accepted change of an operator,
  * and offers it to `node` as its admin server does; GW_NONE: to no node.
@@ -195,7 +195,7 @@
 void FakeCluster_Disconnect(FakeCluster *c, uint32_t index);
 FakeCallerCall *FakeCluster_CallAt(FakeCluster *c, uint32_t i);
 GwResult FakeCluster_Mint(FakeCluster *c, uint32_t node, GwTicket *out);
-FakeJudgement FakeCluster_Judge(const FakeCluster *c);
+FakeCallsReport FakeCluster_CheckCalls(const FakeCluster *c);
 
 /* Size of one service, over all regions. */
 typedef struct {
--- a/tests/fakes/cluster_calls.c
+++ b/tests/fakes/cluster_calls.c
@@ -263,7 +263,7 @@
     }
     end.draining = b->draining;
     end.has_load = !b->no_reports;
-    end.reported_load = b->lies_idle ? 0 : b->in_flight;
+    end.reported_load = b->reports_no_load ? 0 : b->in_flight;
     post_end(c, ev->node, ev->epoch, ev->handle, ev->attempt,
              c->now_us + BACKEND_ONE_WAY_US, end);
 }
@@ -400,7 +400,8 @@
 }
 
 static void
-check_call(const FakeCluster *c, const FakeCallerCall *call, FakeJudgement *j)
+check_call(const FakeCluster *c, const FakeCallerCall *call,
+           FakeCallsReport *j)
 {
     const FakeRuns *runs = g_hash_table_lookup(c->runs, &call->key);
 
@@ -428,10 +429,10 @@
     }
 }
 
-FakeJudgement
-FakeCluster_Judge(const FakeCluster *c)
+FakeCallsReport
+FakeCluster_CheckCalls(const FakeCluster *c)
 {
-    FakeJudgement j = {.cut_off = c->cut_off};
+    FakeCallsReport j = {.cut_off = c->cut_off};
     GHashTableIter iter;
     gpointer value = NULL;
 
--- a/tests/fakes/cluster_table.c
+++ b/tests/fakes/cluster_table.c
@@ -143,7 +143,7 @@
 
     reply->token = req->token;
     reply->status = GW_TABLE_DONE;
-    if (mode == FAKE_STORE_AWAY) {
+    if (mode == FAKE_STORE_UNAVAILABLE) {
         reply->status = GW_TABLE_LOST;
         wait = STORE_TIMEOUT_US;
     }
--- a/tests/fakes/edge_entry.c
+++ b/tests/fakes/edge_entry.c
@@ -231,8 +231,8 @@
         caller->state = CALLER_RESET;
         return;
     }
-    if (count == 0 && caller->state == CALLER_WAITS) {
-        caller->state = CALLER_ENDED;
+    if (count == 0 && caller->state == CALLER_OPEN) {
+        caller->state = CALLER_CLOSED;
     }
     (void)getsockopt(caller->fd, SOL_SOCKET, SO_ERROR, &error, &len);
     if (error != 0) {
@@ -259,7 +259,7 @@
 }
 
 void
-PlainCaller_Shut(PlainCaller *caller)
+PlainCaller_ShutdownSend(PlainCaller *caller)
 {
     struct tcp_info info;
     socklen_t len = sizeof(info);
@@ -272,9 +272,9 @@
 }
 
 void
-PlainCaller_Take(PlainCaller *caller, size_t bytes)
+PlainCaller_Receive(PlainCaller *caller, size_t bytes)
 {
-    while (caller->got->len < bytes && caller->state == CALLER_WAITS) {
+    while (caller->got->len < bytes && caller->state == CALLER_OPEN) {
         read_available(caller);
     }
 }
@@ -285,7 +285,7 @@
     PlainCaller *caller = ctx;
 
     read_available(caller);
-    return caller->got->len > 0 || caller->state != CALLER_WAITS;
+    return caller->got->len > 0 || caller->state != CALLER_OPEN;
 }
 
 CallerState
@@ -302,7 +302,7 @@
     PlainCaller *caller = ctx;
 
     read_available(caller);
-    return caller->state != CALLER_WAITS;
+    return caller->state != CALLER_OPEN;
 }
 
 static bool
--- a/tests/fakes/edge_entry.h
+++ b/tests/fakes/edge_entry.h
@@ -24,9 +24,9 @@
 void EdgeEntry_RunOnce(EdgeEntry *entry);
 
 typedef enum {
-    CALLER_WAITS = 0,
-    CALLER_ENDED, /* closed by the entry, without reset */
-    CALLER_RESET  /* closed with unread data */
+    CALLER_OPEN = 0,
+    CALLER_CLOSED, /* closed by the entry, without reset */
+    CALLER_RESET   /* closed with unread data */
 } CallerState;
 
 typedef struct {
@@ -48,10 +48,10 @@
 size_t PlainCaller_Flood(PlainCaller *caller, const char *text, size_t most);
 /* Shuts down the sending side; returns after the kernel of the entry
  * acknowledged. */
-void PlainCaller_Shut(PlainCaller *caller);
+void PlainCaller_ShutdownSend(PlainCaller *caller);
 /* Reads that many bytes without running the entry. On return the entry's
  * kernel has the acknowledgements. */
-void PlainCaller_Take(PlainCaller *caller, size_t bytes);
+void PlainCaller_Receive(PlainCaller *caller, size_t bytes);
 /* Runs the loop until an answer was received and acknowledged, or the
  * connection is closed. */
 CallerState PlainCaller_AwaitAnswer(PlainCaller *caller);
--- a/tests/fakes/edge_host.c
+++ b/tests/fakes/edge_host.c
@@ -124,29 +124,29 @@
 }
 
 void
-EdgeHost_Turn(EdgeHost *h)
+EdgeHost_RunOnce(EdgeHost *h)
 {
     (void)uv_run(&h->edge->loop, UV_RUN_NOWAIT);
 }
 
 bool
-EdgeHost_Until(EdgeHost *h, bool (*is_so)(void *ctx), void *ctx)
+EdgeHost_RunUntil(EdgeHost *h, bool (*is_so)(void *ctx), void *ctx)
 {
     for (int i = 0; i < TURNS_MAX && !is_so(ctx); i++) {
-        EdgeHost_Turn(h);
+        EdgeHost_RunOnce(h);
         g_usleep(PAUSE_US);
     }
     return is_so(ctx);
 }
 
 int
-EdgeHost_Call(EdgeHost *h)
+EdgeHost_Connect(EdgeHost *h)
 {
-    return EdgeHost_CallFrom(h, "127.0.0.1");
+    return EdgeHost_ConnectFrom(h, "127.0.0.1");
 }
 
 int
-EdgeHost_CallFrom(EdgeHost *h, const char *ip)
+EdgeHost_ConnectFrom(EdgeHost *h, const char *ip)
 {
     struct sockaddr_in at;
     struct sockaddr_in from = {.sin_family = AF_INET};
@@ -169,7 +169,8 @@
 }
 
 void
-EdgeHost_AskFor(int caller, const char *path, const char *id, uint32_t left_ms)
+EdgeHost_SendRequestFor(int caller, const char *path, const char *id,
+                        uint32_t left_ms)
 {
     send_all(caller, g_strdup_printf("GET %s%s HTTP/1.1\r\nHost: h\r\n"
                                      "%s: %s\r\n%s: %u\r\n\r\n",
@@ -178,9 +179,9 @@
 }
 
 void
-EdgeHost_Ask(int caller, const char *path, const char *id)
+EdgeHost_SendRequest(int caller, const char *path, const char *id)
 {
-    EdgeHost_AskFor(caller, path, id, TIMEOUT_MS);
+    EdgeHost_SendRequestFor(caller, path, id, TIMEOUT_MS);
 }
 
 const char *
@@ -217,7 +218,7 @@
 }
 
 uint32_t
-EdgeHost_Got(EdgeHostServer *s, const char *id)
+EdgeHost_CountRequests(EdgeHostServer *s, const char *id)
 {
     uint32_t count = 0;
     int fd;
--- a/tests/fakes/edge_host.h
+++ b/tests/fakes/edge_host.h
@@ -41,25 +41,25 @@
 /* The server accepts no more connections, and resets none. */
 void EdgeHost_Block(EdgeHostServer *s);
 /* Runs one iteration of the loop, without waiting. */
-void EdgeHost_Turn(EdgeHost *h);
+void EdgeHost_RunOnce(EdgeHost *h);
 /* Runs the loop until the condition holds; false after some seconds. */
-bool EdgeHost_Until(EdgeHost *h, bool (*is_so)(void *ctx), void *ctx);
+bool EdgeHost_RunUntil(EdgeHost *h, bool (*is_so)(void *ctx), void *ctx);
 
 /* Connects a caller; the entry has not accepted yet. Returns the socket. */
-int EdgeHost_Call(EdgeHost *h);
-/* As EdgeHost_Call, from the local address `ip`. */
-int EdgeHost_CallFrom(EdgeHost *h, const char *ip);
+int EdgeHost_Connect(EdgeHost *h);
+/* As EdgeHost_Connect, from the local address `ip`. */
+int EdgeHost_ConnectFrom(EdgeHost *h, const char *ip);
 /* Sends a complete request; its id is also part of the target. */
-void EdgeHost_Ask(int caller, const char *path, const char *id);
-/* As EdgeHost_Ask, with the time that the caller waits. */
-void EdgeHost_AskFor(int caller, const char *path, const char *id,
-                     uint32_t left_ms);
+void EdgeHost_SendRequest(int caller, const char *path, const char *id);
+/* As EdgeHost_SendRequest, with the time that the caller waits. */
+void EdgeHost_SendRequestFor(int caller, const char *path, const char *id,
+                             uint32_t left_ms);
 /* Pending bytes of a connection as text; "" if none. */
 const char *EdgeHost_Read(int fd);
 /* The server exits: connections are closed, new ones refused. */
 void EdgeHost_Crash(EdgeHostServer *s);
 /* How often the server received that request. */
-uint32_t EdgeHost_Got(EdgeHostServer *s, const char *id);
+uint32_t EdgeHost_CountRequests(EdgeHostServer *s, const char *id);
 /* Answers that request. */
 void EdgeHost_Answer(EdgeHostServer *s, const char *id);
 /* Refuses that request, with proof that it did not run. */
--- a/tests/fakes/fleet.c
+++ b/tests/fakes/fleet.c
@@ -382,7 +382,7 @@
         owed += f->owed[w];
         earned += f->earned[w];
         for (uint32_t r = 0; r < f->p->regions; r++) {
-            f->report.far_share[r][w] =
+            f->report.cross_region_share[r][w] =
                 f->end_run[r][w] > 0
                     ? (double)f->sent_to_other_regions[r][w] / f->end_run[r][w]
                     : 0;
@@ -392,7 +392,7 @@
 }
 
 FleetReport
-Fleet_Play(const FleetParams *params)
+Fleet_Run(const FleetParams *params)
 {
     Fleet fleet = {
         .p = params,
--- a/tests/fakes/fleet.h
+++ b/tests/fakes/fleet.h
@@ -64,11 +64,11 @@
     uint32_t window_count;
     FleetWindow windows[FLEET_WINDOWS_MAX];
     /* Share of a region's requests sent to other regions. */
-    double far_share[FLEET_REGIONS_MAX][FLEET_WINDOWS_MAX];
+    double cross_region_share[FLEET_REGIONS_MAX][FLEET_WINDOWS_MAX];
     double worth;
     uint64_t choices; /* hash of the sequence of chosen servers */
 } FleetReport;
 
-FleetReport Fleet_Play(const FleetParams *params);
+FleetReport Fleet_Run(const FleetParams *params);
 
 #endif
--- a/tests/fakes/member_net.c
+++ b/tests/fakes/member_net.c
@@ -177,7 +177,7 @@
 }
 
 void
-MemberNet_Inject(MemberNet *net, uint32_t to, const GwMessage *msg)
+MemberNet_Deliver(MemberNet *net, uint32_t to, const GwMessage *msg)
 {
     GwNetNode *node = &net->nodes[to];
 
@@ -200,7 +200,7 @@
             continue;
         }
         if (node->up) {
-            MemberNet_Inject(net, mail.to, mail.message);
+            MemberNet_Deliver(net, mail.to, mail.message);
         }
         GwMessage_Free(mail.message);
     }
@@ -252,7 +252,7 @@
 }
 
 void
-MemberNet_Kill(MemberNet *net, uint32_t i)
+MemberNet_Stop(MemberNet *net, uint32_t i)
 {
     net->nodes[i].up = false;
 }
@@ -267,7 +267,7 @@
 }
 
 uint32_t
-MemberNet_Shown(const MemberNet *net, uint32_t i, uint32_t j)
+MemberNet_State(const MemberNet *net, uint32_t i, uint32_t j)
 {
     const GwMembers *m = net->nodes[i].members;
     GwNodeId id = net->nodes[j].params.id;
@@ -288,7 +288,7 @@
 
     for (uint32_t i = 0; i < net->count; i++) {
         for (uint32_t j = 0; j < net->count && net->nodes[i].up; j++) {
-            uint32_t shown = i == j ? 0 : MemberNet_Shown(net, i, j);
+            uint32_t shown = i == j ? 0 : MemberNet_State(net, i, j);
             bool ok =
                 i == j || (net->nodes[j].up == (shown == GW_MEMBER_ALIVE));
             if (!ok && net->count < 50) {
--- a/tests/fakes/member_net.h
+++ b/tests/fakes/member_net.h
@@ -55,12 +55,12 @@
  * node. */
 void MemberNet_List(MemberNet *net, uint32_t listed);
 void MemberNet_Run(MemberNet *net, int64_t for_us);
-void MemberNet_Kill(MemberNet *net, uint32_t i);
+void MemberNet_Stop(MemberNet *net, uint32_t i);
 void MemberNet_Restart(MemberNet *net, uint32_t i);
 /* Delivers a message to a node immediately. */
-void MemberNet_Inject(MemberNet *net, uint32_t to, const GwMessage *msg);
+void MemberNet_Deliver(MemberNet *net, uint32_t to, const GwMessage *msg);
 /* State of node j in the member table of node i; 0 if absent. */
-uint32_t MemberNet_Shown(const MemberNet *net, uint32_t i, uint32_t j);
+uint32_t MemberNet_State(const MemberNet *net, uint32_t i, uint32_t j);
 /* Whether every running node lists every other running node as alive with its
  * current start, and no stopped node as alive. */
 bool MemberNet_Agrees(const MemberNet *net);
--- a/tests/fakes/outages.c
+++ b/tests/fakes/outages.c
@@ -236,7 +236,7 @@
 }
 
 OutageReport
-Outages_Play(const OutageParams *params)
+Outages_Run(const OutageParams *params)
 {
     World world = {
         .p = params,
--- a/tests/fakes/outages.h
+++ b/tests/fakes/outages.h
@@ -43,25 +43,27 @@
     uint32_t asked;
     uint32_t answered;
     /* Harmless requests that were refused as quarantined. */
-    uint32_t innocent_refused;
+    uint32_t harmless_refused;
     uint32_t crashes; /* caused by requests */
     /* Most sends of one crashing request by reachable entries, later than
-     * OUTAGE_CONTACT_MS after its third crash. */
+     * OUTAGE_GOSSIP_MS after its third crash. */
     uint32_t sends_after;
-    uint32_t crasher_refused;
+    uint32_t crashing_refused;
     uint64_t records_sent; /* suspect records, between entries */
-    uint32_t learned_ms;   /* from the third crash until all reachable entries
+    uint32_t
+        quarantined_ms; /* from the third crash until all reachable entries
                               quarantine the request; 0: never */
     /* Most requests above the allowed number that a limited server received in
      * some 4 s, from entries that knew the limit; 0: limits were kept. */
     uint32_t above_limit;
-    double limit_used; /* requests to limited servers, as share of the limit */
-    double after_used; /* after the limits ended, as share of an equal part */
-    uint32_t after_idle; /* formerly limited servers that stay idle */
+    double used_share; /* requests to limited servers, as share of the limit */
+    double
+        used_share_after; /* after the limits ended, as share of an equal part */
+    uint32_t still_idle; /* formerly limited servers that stay idle */
 } OutageReport;
 
-#define OUTAGE_CONTACT_MS 3000
+#define OUTAGE_GOSSIP_MS 3000
 
-OutageReport Outages_Play(const OutageParams *params);
+OutageReport Outages_Run(const OutageParams *params);
 
 #endif
--- a/tests/fakes/outages_callers.c
+++ b/tests/fakes/outages_callers.c
@@ -98,8 +98,8 @@
     call->request = NULL;
     w->report.answered += answered && !call->content->crashes;
     if (act->kind == GW_ROUTER_REPLY && act->why == GW_REPLY_QUARANTINED) {
-        w->report.innocent_refused += !call->content->crashes;
-        w->report.crasher_refused += call->content->crashes;
+        w->report.harmless_refused += !call->content->crashes;
+        w->report.crashing_refused += call->content->crashes;
     }
     if (!answered && call->tries < 2 && (act->status == 503 || !once)) {
         Outages_Schedule(w, w->now_us + 50000 + Outages_RandomBelow(w, 300000),
--- a/tests/fakes/outages_host.c
+++ b/tests/fakes/outages_host.c
@@ -313,7 +313,7 @@
         }
         if (held) {
             w->is_quarantine_noted = true;
-            w->report.learned_ms =
+            w->report.quarantined_ms =
                 (uint32_t)((w->now_us - c->third_crash_us) / 1000);
         }
     }
--- a/tests/fakes/outages_internal.h
+++ b/tests/fakes/outages_internal.h
@@ -37,7 +37,7 @@
 /* Number of these that get 60 % of all traffic with params.hot. */
 #define HOT            2
 #define CRASHER_US     250000
-#define CONTACT_US     (OUTAGE_CONTACT_MS * 1000LL)
+#define CONTACT_US     (OUTAGE_GOSSIP_MS * 1000LL)
 #define ENTRY_FAULT_US 700000
 
 typedef struct OutageWorld_s World;
@@ -58,7 +58,7 @@
     int64_t limit_us;        /* since when a limit is stated; 0: never */
     GArray *arrivals;        /* int64_t us, from entries that know the limit */
     int64_t *limit_known_us; /* by entry: first answer with the limit */
-    /* Requests later than OUTAGE_CONTACT_MS after the limit was stated. */
+    /* Requests later than OUTAGE_GOSSIP_MS after the limit was stated. */
     uint32_t limited_requests;
     uint32_t requests_after_limit;
 } Server;
--- a/tests/fakes/outages_servers.c
+++ b/tests/fakes/outages_servers.c
@@ -247,7 +247,7 @@
 void
 Outages_SummarizeLimits(World *w)
 {
-    double seconds = w->p->seconds - 2.0 - OUTAGE_CONTACT_MS / 1000.0;
+    double seconds = w->p->seconds - 2.0 - OUTAGE_GOSSIP_MS / 1000.0;
     double limited_requests = 0;
     double limited = 0;
     double after = 0;
@@ -263,16 +263,17 @@
         after_all += s->requests_after_limit;
     }
     if (limited > 0 && w->p->limit_per_s > 0) {
-        w->report.limit_used =
+        w->report.used_share =
             limited_requests / (limited * seconds * w->p->limit_per_s);
     }
     for (uint32_t i = 0; i < w->p->servers && w->have_limits_ended; i++) {
         const Server *s = &w->servers[i];
         double usual = others / (w->p->servers - limited);
-        w->report.after_idle +=
+        w->report.still_idle +=
             s->limit_us != 0 && s->requests_after_limit < IDLE_SHARE * usual;
     }
     if (after_all > 0 && limited > 0) {
-        w->report.after_used = after / after_all / (limited / w->p->servers);
+        w->report.used_share_after =
+            after / after_all / (limited / w->p->servers);
     }
 }
--- a/tests/fakes/scenario.c
+++ b/tests/fakes/scenario.c
@@ -195,7 +195,7 @@
 }
 
 static void
-check_guarantees(FakeRun *r, FakeVerdict *v)
+check_guarantees(FakeRun *r, FakeScenarioReport *v)
 {
     v->over_cap = MAX(v->over_cap, count_over_cap(r));
     v->slow_propagation = MAX(v->slow_propagation, count_slow_propagation(r));
@@ -205,7 +205,7 @@
 }
 
 static void
-run_load(FakeRun *r, FakeVerdict *v)
+run_load(FakeRun *r, FakeScenarioReport *v)
 {
     const FakeScenario *s = r->scenario;
     int64_t start = r->c->now_us;
@@ -237,7 +237,7 @@
 }
 
 static void
-check_nodes(const FakeRun *r, FakeVerdict *v)
+check_nodes(const FakeRun *r, FakeScenarioReport *v)
 {
     const GwRow *head = g_hash_table_lookup(r->c->rows, "config/head");
     uint64_t version = g_ascii_strtoull(head->value, NULL, 10);
@@ -265,10 +265,10 @@
     params->ticket_retention_ms = 2000;
 }
 
-FakeVerdict
+FakeScenarioReport
 FakeScenario_Run(const FakeScenario *scenario)
 {
-    FakeVerdict v = {0};
+    FakeScenarioReport v = {0};
     FakeRun r = {.scenario = scenario, .rng = GwRng_Make(scenario->seed ^ 77)};
 
     r.spec = (FakeConfigSpec){.regions = REGIONS,
@@ -295,7 +295,7 @@
 
     FakeCluster_Run(r.c, r.c->now_us + WARM_UP_US);
     run_load(&r, &v);
-    v.calls = FakeCluster_Judge(r.c);
+    v.calls = FakeCluster_CheckCalls(r.c);
     check_nodes(&r, &v);
 
     FakeCluster_Free(r.c);
@@ -306,9 +306,9 @@
 }
 
 uint32_t
-FakeVerdict_Violations(const FakeVerdict *v)
+FakeScenarioReport_Violations(const FakeScenarioReport *v)
 {
-    const FakeJudgement *j = &v->calls;
+    const FakeCallsReport *j = &v->calls;
     return j->doubled + j->false_refusals + j->wrong_answers + j->unfinished +
            j->over_slots + j->cut_off + (j->late_ms > DRAIN_BOUND_MS) +
            v->over_cap + v->version_decreases + v->behind +
@@ -316,9 +316,9 @@
 }
 
 void
-FakeVerdict_Print(const FakeVerdict *v, const char *title)
+FakeScenarioReport_Print(const FakeScenarioReport *v, const char *title)
 {
-    const FakeJudgement *j = &v->calls;
+    const FakeCallsReport *j = &v->calls;
     printf("%-48s sent=%u answered=%u not_run=%u unknown=%u shifted=%u | "
            "doubled=%u false_refusals=%u wrong=%u unfinished=%u "
            "over_slots=%u cut_off=%u late_ms=%u over_cap=%u falls=%u "
--- a/tests/fakes/scenario.h
+++ b/tests/fakes/scenario.h
@@ -56,9 +56,9 @@
     uint32_t calls_per_s; /* per entry */
 } FakeScenario;
 
-/* Results of a run; see FakeVerdict_Violations for the checks. */
+/* Results of a run; see FakeScenarioReport_Violations for the checks. */
 typedef struct {
-    FakeJudgement calls;
+    FakeCallsReport calls;
     uint32_t over_cap;          /* shifted calls above their cap */
     uint32_t version_decreases; /* entries whose version decreased */
     uint32_t behind;            /* entries with an old version at the end */
@@ -67,11 +67,12 @@
     uint32_t over_lowered_slots; /* servers above a lowered slot count */
     uint32_t idle_seats;         /* regions whose seats were not recovered */
     uint32_t shifted; /* calls that ran in another region; no violation */
-} FakeVerdict;
+} FakeScenarioReport;
 
-FakeVerdict FakeScenario_Run(const FakeScenario *scenario);
+FakeScenarioReport FakeScenario_Run(const FakeScenario *scenario);
 /* Number of violated guarantees; 0: passed. */
-uint32_t FakeVerdict_Violations(const FakeVerdict *verdict);
-void FakeVerdict_Print(const FakeVerdict *verdict, const char *title);
+uint32_t FakeScenarioReport_Violations(const FakeScenarioReport *verdict);
+void FakeScenarioReport_Print(const FakeScenarioReport *verdict,
+                              const char *title);
 
 #endif
--- a/tests/fakes/scenario_faults.c
+++ b/tests/fakes/scenario_faults.c
@@ -64,7 +64,7 @@
 
     switch (fault) {
     case FAKE_FAULT_LYING:
-        b->lies_idle = on;
+        b->reports_no_load = on;
         break;
     case FAKE_FAULT_SILENT:
         b->silent = on;
@@ -95,7 +95,7 @@
 {
     FakeStoreMode mode =
         fault == FAKE_FAULT_STORE_AWAY || fault == FAKE_FAULT_STORE_LONG
-            ? FAKE_STORE_AWAY
+            ? FAKE_STORE_UNAVAILABLE
         : fault == FAKE_FAULT_STORE_SLOW ? FAKE_STORE_SLOW
                                          : FAKE_STORE_LOSES_REPLIES;
     r->c->store = on ? mode : FAKE_STORE_OK;
@@ -127,7 +127,7 @@
         break;
     default: /* REPLACE */
         if (on && n->node != NULL && n->paused_until_us <= c->now_us) {
-            FakeCluster_Leave(c, node);
+            FakeCluster_Stop(c, node);
         }
         break;
     }
@@ -193,7 +193,7 @@
 void
 FakeRun_AcceptChange(FakeRun *r, uint32_t node)
 {
-    r->must_retry_change = r->c->store == FAKE_STORE_AWAY;
+    r->must_retry_change = r->c->store == FAKE_STORE_UNAVAILABLE;
     r->operator_node = node;
     if (r->must_retry_change) {
         return;
--- a/tests/fakes/steering.c
+++ b/tests/fakes/steering.c
@@ -41,7 +41,7 @@
 FakeSteering_Free(FakeSteering *f)
 {
     for (guint i = 0; i < f->requests->len; i++) {
-        FakeSteering_Leave(f, f->requests->pdata[i]);
+        FakeSteering_Disconnect(f, f->requests->pdata[i]);
     }
     GwRouter_Free(f->router);
     g_array_free(f->actions, TRUE);
@@ -148,19 +148,19 @@
     info.draining = draining;
     info.warmup_left_ms = cold_ms;
     GwRouter_PutServer(f->router, f->now_us, &info, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
 }
 
 void
-FakeSteering_Put(FakeSteering *f, const char *id, const char *region,
-                 const char *domain, uint32_t slots)
+FakeSteering_PutServer(FakeSteering *f, const char *id, const char *region,
+                       const char *domain, uint32_t slots)
 {
     server_named(f, id)->listed = true;
     put_server(f, id, region, domain, slots, false, 0);
 }
 
 void
-FakeSteering_Drain(FakeSteering *f, const char *id)
+FakeSteering_DrainServer(FakeSteering *f, const char *id)
 {
     FakeServer *s = server_named(f, id);
 
@@ -170,11 +170,11 @@
 }
 
 void
-FakeSteering_Drop(FakeSteering *f, const char *id)
+FakeSteering_RemoveServer(FakeSteering *f, const char *id)
 {
     server_named(f, id)->listed = false;
     GwRouter_DropServer(f->router, f->now_us, id, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
 }
 
 void
@@ -283,7 +283,7 @@
 }
 
 void
-FakeSteering_Carry(FakeSteering *f)
+FakeSteering_RunActions(FakeSteering *f)
 {
     for (guint i = 0; i < f->actions->len; i++) {
         GwRouterAction act = g_array_index(f->actions, GwRouterAction, i);
@@ -309,13 +309,13 @@
     req->until_us = f->now_us + MIN(left_ms, ROUTE_TIMEOUT_MS) * 1000;
     g_ptr_array_add(f->requests, req);
     GwRouter_Arrive(f->router, f->now_us, &arrival, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
     return req;
 }
 
 void
-FakeSteering_End(FakeSteering *f, FakeRequest *req, GwAttemptOutcome outcome,
-                 uint16_t status)
+FakeSteering_EndAttempt(FakeSteering *f, FakeRequest *req,
+                        GwAttemptOutcome outcome, uint16_t status)
 {
     GwAttemptEnd end = {.outcome = outcome, .status = status};
 
@@ -327,11 +327,11 @@
     req->may_have_run = req->may_have_run || outcome == GW_ATTEMPT_LOST ||
                         outcome == GW_ATTEMPT_ANSWERED;
     GwRouter_AttemptEnded(f->router, f->now_us, req->handle, &end, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
 }
 
 void
-FakeSteering_Leave(FakeSteering *f, FakeRequest *req)
+FakeSteering_Disconnect(FakeSteering *f, FakeRequest *req)
 {
     if (req->handle == NULL) {
         return;
@@ -341,7 +341,7 @@
     req->server = NULL;
     req->over = true;
     GwRouter_DispatchPending(f->router, f->now_us, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
 }
 
 void
@@ -349,11 +349,11 @@
 {
     f->end_us = f->now_us + grace_us;
     GwRouter_Stop(f->router, f->now_us, f->end_us, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
 }
 
 void
-FakeSteering_Pass(FakeSteering *f, int64_t us)
+FakeSteering_Advance(FakeSteering *f, int64_t us)
 {
     int64_t until_us = f->now_us + us;
     int64_t due_us;
@@ -361,7 +361,7 @@
     while ((due_us = GwRouter_NextDeadline(f->router)) <= until_us) {
         f->now_us = MAX(f->now_us, due_us);
         GwRouter_Tick(f->router, f->now_us, f->actions);
-        FakeSteering_Carry(f);
+        FakeSteering_RunActions(f);
     }
     f->now_us = until_us;
 }
--- a/tests/fakes/steering.h
+++ b/tests/fakes/steering.h
@@ -58,25 +58,26 @@
 GwServerInfo FakeSteering_Info(const char *id, const char *service,
                                const char *region, const char *domain,
                                uint32_t slots);
-void FakeSteering_Put(FakeSteering *f, const char *id, const char *region,
-                      const char *domain, uint32_t slots);
-void FakeSteering_Drain(FakeSteering *f, const char *id);
-void FakeSteering_Drop(FakeSteering *f, const char *id);
+void FakeSteering_PutServer(FakeSteering *f, const char *id,
+                            const char *region, const char *domain,
+                            uint32_t slots);
+void FakeSteering_DrainServer(FakeSteering *f, const char *id);
+void FakeSteering_RemoveServer(FakeSteering *f, const char *id);
 void FakeSteering_SetCold(FakeSteering *f, const char *id, uint32_t ms);
 /* Creates a request to /once/ or /again/; key may be NULL. */
 FakeRequest *FakeSteering_Arrive(FakeSteering *f, const char *path,
                                  const char *key, int64_t left_ms);
 /* Ends the current attempt. */
-void FakeSteering_End(FakeSteering *f, FakeRequest *req,
-                      GwAttemptOutcome outcome, uint16_t status);
+void FakeSteering_EndAttempt(FakeSteering *f, FakeRequest *req,
+                             GwAttemptOutcome outcome, uint16_t status);
 /* The caller disconnects. */
-void FakeSteering_Leave(FakeSteering *f, FakeRequest *req);
+void FakeSteering_Disconnect(FakeSteering *f, FakeRequest *req);
 /* Starts a graceful stop. Requests sent from now on must end within
  * `grace_us`, after which open requests are cut off. */
 void FakeSteering_Stop(FakeSteering *f, int64_t grace_us);
 /* Advances the clock by `us` and runs all due timers. */
-void FakeSteering_Pass(FakeSteering *f, int64_t us);
+void FakeSteering_Advance(FakeSteering *f, int64_t us);
 /* Executes the pending actions of the core. */
-void FakeSteering_Carry(FakeSteering *f);
+void FakeSteering_RunActions(FakeSteering *f);
 
 #endif
--- a/tests/fakes/table.c
+++ b/tests/fakes/table.c
@@ -95,7 +95,7 @@
 }
 
 GwTableReply *
-GwFakeTable_Do(GwFakeTable *t, const GwTableRequest *request)
+GwFakeTable_Execute(GwFakeTable *t, const GwTableRequest *request)
 {
     GwTableReply *reply = g_new0(GwTableReply, 1);
 
--- a/tests/fakes/table.h
+++ b/tests/fakes/table.h
@@ -19,7 +19,8 @@
 const GwRow *GwFakeTable_Get(const GwFakeTable *t, const char *key);
 /* Executes a request. The caller frees the reply with
  * GwFakeTable_FreeReply. */
-GwTableReply *GwFakeTable_Do(GwFakeTable *t, const GwTableRequest *request);
+GwTableReply *GwFakeTable_Execute(GwFakeTable *t,
+                                  const GwTableRequest *request);
 /* A reply with status GW_TABLE_LOST. */
 GwTableReply *GwFakeTable_Lost(const GwTableRequest *request);
 void GwFakeTable_FreeReply(GwTableReply *reply);
--- a/tests/golden/golden.c
+++ b/tests/golden/golden.c
@@ -177,7 +177,7 @@
     call(c, 2, 1, &tickets[0]);
     run_for(c, 5 * FAKE_MS);
     print_remark(c, "entry-2 is told to leave");
-    FakeCluster_Leave(c, 2);
+    FakeCluster_Stop(c, 2);
     call(c, 2, 2, &tickets[1]);
     run_for(c, 10 * FAKE_SEC);
     call(c, 0, 2, &tickets[1]);
@@ -229,7 +229,7 @@
     char *text = drained_config(config);
     print_remark(c, "the change is accepted, and the store goes away");
     FakeCluster_Change(c, text, 0);
-    c->store = FAKE_STORE_AWAY;
+    c->store = FAKE_STORE_UNAVAILABLE;
     run_for(c, FAKE_SEC);
     print_remark(c, "entry-2 crashes and starts again");
     FakeCluster_Crash(c, 2);
@@ -279,7 +279,7 @@
     c->watch = print_version_changes;
     c->watch_ctx = known;
     session->run(c, config);
-    const FakeJudgement j = FakeCluster_Judge(c);
+    const FakeCallsReport j = FakeCluster_CheckCalls(c);
     printf("doubled=%u false_refusals=%u wrong_answers=%u unfinished=%u\n",
            j.doubled, j.false_refusals, j.wrong_answers, j.unfinished);
     FakeCluster_Free(c);
--- a/tests/property/change.cpp
+++ b/tests/property/change.cpp
@@ -75,14 +75,14 @@
 /* Carries one request of a change to the table and the reply back; returns
  * false at the end. */
 bool
-advance(ChangeTable *table, GwChange *change, Fate fate)
+advance(ChangeTable *table, GwChange *change, ChangeFate fate)
 {
     GwTableRequest request;
     GwTableReply reply;
     if (!GwChange_Next(change, &request)) {
         return false;
     }
-    ChangeTable_Do(table, &request, fate, &reply);
+    ChangeTable_Execute(table, &request, fate, &reply);
     GwChange_Reply(change, &reply);
     ChangeTable_ClearReply(&reply);
     GwChange_ClearRequest(&request);
@@ -135,7 +135,7 @@
         }
         size_t i = (choice / 64) % runs.size();
         Run *run = runs[i];
-        Fate fate = FATE_DONE;
+        ChangeFate fate = FATE_DONE;
         switch ((choice / 8) % 8) {
         case 0:
             fate = FATE_LOST_BEFORE;
@@ -145,7 +145,7 @@
             break;
         case 2:
         case 3:
-            fate = FATE_LATE;
+            fate = FATE_DELAYED;
             break;
         default:
             break;
--- a/tests/property/found.cpp
+++ b/tests/property/found.cpp
@@ -107,9 +107,9 @@
     uint32_t violated = 0;
 
     for (const Regression &item : regressions) {
-        FakeVerdict v = FakeScenario_Run(&item.scenario);
-        violated += FakeVerdict_Violations(&v) > 0 ? 1 : 0;
-        FakeVerdict_Print(&v, item.name);
+        FakeScenarioReport v = FakeScenario_Run(&item.scenario);
+        violated += FakeScenarioReport_Violations(&v) > 0 ? 1 : 0;
+        FakeScenarioReport_Print(&v, item.name);
     }
     std::printf("found: %u with a violated guarantee\n", violated);
     return violated == 0 ? 0 : 1;
--- a/tests/property/members.cpp
+++ b/tests/property/members.cpp
@@ -39,7 +39,7 @@
         uint32_t i = GwRng_Below(rng, net->count);
         switch (GwRng_Below(rng, 16)) {
         case 0:
-            MemberNet_Kill(net, i);
+            MemberNet_Stop(net, i);
             break;
         case 1:
             MemberNet_Restart(net, i);
@@ -93,11 +93,11 @@
     MemberNet_List(net.get(), 12);
     net->loss_permille = 20;
     MemberNet_Run(net.get(), 20 * kSecond);
-    MemberNet_Kill(net.get(), victim);
+    MemberNet_Stop(net.get(), victim);
     MemberNet_Run(net.get(), 10 * kSecond);
     for (uint32_t i = 0; i < 12; i++) {
         RC_ASSERT(i == victim ||
-                  MemberNet_Shown(net.get(), i, victim) == GW_MEMBER_DEAD);
+                  MemberNet_State(net.get(), i, victim) == GW_MEMBER_DEAD);
     }
 }
 
@@ -182,13 +182,13 @@
     MemberNet_Run(net.get(), 10 * kSecond);
     uint64_t node = net->nodes[3].params.id.node;
     GwMemberInfo old = GwMembers_Find(net->nodes[0].members, node)->info;
-    MemberNet_Kill(net.get(), 3);
+    MemberNet_Stop(net.get(), 3);
     MemberNet_Run(net.get(), wait * kSecond);
     std::unique_ptr<GwMessage, decltype(&GwMessage_Free)> late(
         GwMessage_Create(GW_MSG_ACK, net->nodes[1].params.id), GwMessage_Free);
     late->u.heartbeat.update_count = 1;
     late->u.heartbeat.updates[0] = old;
-    MemberNet_Inject(net.get(), 0, late.get());
+    MemberNet_Deliver(net.get(), 0, late.get());
     const GwMember *member = GwMembers_Find(net->nodes[0].members, node);
     bool dead = member == nullptr || member->info.state == GW_MEMBER_DEAD;
     RC_ASSERT(dead);
--- a/tests/property/outages.cpp
+++ b/tests/property/outages.cpp
@@ -52,8 +52,8 @@
         params.hot = seed % 4 >= 2;
         params.seconds = 8;
         params.seed = seed;
-        OutageReport report = Outages_Play(&params);
-        refused += report.innocent_refused;
+        OutageReport report = Outages_Run(&params);
+        refused += report.harmless_refused;
         unserved += report.answered < report.asked / 2;
     }
     std::printf("%s, %u entries: %u requests refused, %u runs with under half "
@@ -85,12 +85,13 @@
         params.hot = seed % 4 >= 2;
         params.seconds = 12;
         params.seed = seed;
-        OutageReport report = Outages_Play(&params);
+        OutageReport report = Outages_Run(&params);
         most = report.sends_after > most ? report.sends_after : most;
-        learned = report.learned_ms > learned ? report.learned_ms : learned;
-        innocent += report.innocent_refused;
+        learned =
+            report.quarantined_ms > learned ? report.quarantined_ms : learned;
+        innocent += report.harmless_refused;
         crashes += report.crashes;
-        notQuarantined += report.crasher_refused == 0;
+        notQuarantined += report.crashing_refused == 0;
     }
     std::printf(
         "crashing requests, %u entries: at most %u sends after the third "
@@ -175,9 +176,9 @@
             params.limit_per_s = limit.perS;
             params.seconds = 14;
             params.seed = seed;
-            OutageReport report = Outages_Play(&params);
+            OutageReport report = Outages_Run(&params);
             above = report.above_limit > above ? report.above_limit : above;
-            used += report.limit_used / seeds;
+            used += report.used_share / seeds;
         }
         std::printf(
             "limit of %.1f per second at %u %% of the servers, %u "
@@ -209,9 +210,9 @@
             params.unlimited_s = 8;
             params.seconds = 24;
             params.seed = seed;
-            OutageReport report = Outages_Play(&params);
-            share += report.after_used / kSeeds;
-            idle += report.after_idle;
+            OutageReport report = Outages_Run(&params);
+            share += report.used_share_after / kSeeds;
+            idle += report.still_idle;
         }
         std::printf(
             "after a limit of %.1f, servers get %.2f of an equal share, %u "
--- a/tests/property/pairs.cpp
+++ b/tests/property/pairs.cpp
@@ -65,15 +65,15 @@
             }
             for (uint64_t seed = 1; seed <= seeds; seed++) {
                 FakeScenario s = scenarioOf(FakeFault(a), FakeFault(b), seed);
-                FakeVerdict v = FakeScenario_Run(&s);
-                uint32_t count = FakeVerdict_Violations(&v);
+                FakeScenarioReport v = FakeScenario_Run(&s);
+                uint32_t count = FakeScenarioReport_Violations(&v);
                 runs++;
                 violated += count > 0 ? 1 : 0;
                 std::string line = title + "#" + std::to_string(seed);
                 if (count > 0) {
                     line = "VIOLATION " + line;
                 }
-                FakeVerdict_Print(&v, line.c_str());
+                FakeScenarioReport_Print(&v, line.c_str());
             }
         }
     }
--- a/tests/property/router.cpp
+++ b/tests/property/router.cpp
@@ -60,7 +60,7 @@
     FakeRequest *req = openRequest(w, arg);
     if (req != nullptr) {
         const auto &end = ends[(arg >> 8) % G_N_ELEMENTS(ends)];
-        FakeSteering_End(w.f, req, end.outcome, end.status);
+        FakeSteering_EndAttempt(w.f, req, end.outcome, end.status);
     }
 }
 
@@ -71,7 +71,7 @@
         {"r1", "d1"}, {"r1", "d2"}, {"r2", "d3"}};
     const auto &place = places[arg % 3];
     std::string name = "s" + std::to_string(w.servers++);
-    FakeSteering_Put(w.f, name.c_str(), place[0], place[1], 1 + arg % 3);
+    FakeSteering_PutServer(w.f, name.c_str(), place[0], place[1], 1 + arg % 3);
 }
 
 void
@@ -80,8 +80,8 @@
     for (guint i = 0; i < w.f->servers->len; i++) {
         auto *s = static_cast<FakeServer *>(w.f->servers->pdata[i]);
         if (name == s->id && s->listed) {
-            FakeSteering_Put(w.f, name.c_str(), w.f->params.region,
-                             w.f->params.domain, 2);
+            FakeSteering_PutServer(w.f, name.c_str(), w.f->params.region,
+                                   w.f->params.domain, 2);
         }
     }
 }
@@ -107,17 +107,17 @@
         break;
     case 7:
         if (FakeRequest *req = openRequest(w, arg)) {
-            FakeSteering_Leave(w.f, req);
+            FakeSteering_Disconnect(w.f, req);
         }
         break;
     case 8:
         addServer(w, arg);
         break;
     case 9:
-        FakeSteering_Drain(w.f, serverName(w, arg).c_str());
+        FakeSteering_DrainServer(w.f, serverName(w, arg).c_str());
         break;
     case 10:
-        FakeSteering_Drop(w.f, serverName(w, arg).c_str());
+        FakeSteering_RemoveServer(w.f, serverName(w, arg).c_str());
         break;
     case 11:
         if (arg % 4 == 0) { // an older version, received late
@@ -141,7 +141,7 @@
                               arg % 2 == 0 ? "d1" : "d2", arg % 3 == 0);
         break;
     default:
-        FakeSteering_Pass(w.f, (1 + arg % 200) * kMs);
+        FakeSteering_Advance(w.f, (1 + arg % 200) * kMs);
         break;
     }
 }
@@ -151,7 +151,7 @@
 void
 checkEnds(World &w)
 {
-    FakeSteering_Pass(w.f, 10000 * kMs);
+    FakeSteering_Advance(w.f, 10000 * kMs);
     RC_ASSERT(GwRouter_OpenCount(w.f->router) == 0u);
     for (guint i = 0; i < w.f->requests->len; i++) {
         auto *req = static_cast<FakeRequest *>(w.f->requests->pdata[i]);
@@ -199,12 +199,13 @@
     for (uint32_t i = 0; i < count; i++) {
         FakeRequest *req = FakeSteering_Arrive(w.f, "/again/", nullptr, 3000);
         for (int j = 0; j < 9; j++) {
-            FakeSteering_End(w.f, req,
-                             GwRng_Below(&rng, 2) == 0 ? GW_ATTEMPT_LOST
-                                                       : GW_ATTEMPT_REFUSED,
-                             503);
+            FakeSteering_EndAttempt(w.f, req,
+                                    GwRng_Below(&rng, 2) == 0
+                                        ? GW_ATTEMPT_LOST
+                                        : GW_ATTEMPT_REFUSED,
+                                    503);
         }
-        FakeSteering_Pass(w.f, 20 * kMs);
+        FakeSteering_Advance(w.f, 20 * kMs);
     }
     RC_ASSERT(w.f->repeats <= 0.2 * w.f->firsts + 60.0 / 3);
     FakeSteering_Free(w.f);
@@ -227,16 +228,16 @@
     }
     for (uint32_t i = 0; i < 60; i++) {
         for (int j = 0; j < 4; j++) { // earn the budget of the retries
-            FakeSteering_End(
+            FakeSteering_EndAttempt(
                 w.f, FakeSteering_Arrive(w.f, "/again/", nullptr, 3000),
                 GW_ATTEMPT_ANSWERED, 200);
         }
         FakeRequest *req = FakeSteering_Arrive(
             w.f, i % 2 == 0 ? "/again/" : "/once/", nullptr, 3000);
         for (int j = 0; j < 9 && !req->over; j++) {
-            FakeSteering_End(w.f, req, GW_ATTEMPT_REFUSED, 503);
+            FakeSteering_EndAttempt(w.f, req, GW_ATTEMPT_REFUSED, 503);
         }
-        FakeSteering_Pass(w.f, 200 * kMs); // the servers are ejected
+        FakeSteering_Advance(w.f, 200 * kMs); // the servers are ejected
         RC_ASSERT(req->servers <= most);
         reached = reached || req->servers == most;
     }
@@ -255,14 +256,14 @@
     w.f = FakeSteering_Create("r1", "d1");
     FakeSteering_Configure(w.f, 1, 3);
     addServer(w, 0);
-    FakeSteering_Pass(w.f, 3000 * kMs);
+    FakeSteering_Advance(w.f, 3000 * kMs);
     FakeSteering_SetCold(w.f, "s0", 60000);
     for (int i = 0; i < 600; i++) {
         (void)FakeSteering_Arrive(
             w.f, GwRng_Below(&rng, 2) == 0 ? "/once/" : "/again/", nullptr,
             3000);
         endRequest(w, static_cast<uint32_t>(GwRng_Next(&rng) & 0xfffff));
-        FakeSteering_Pass(w.f, (1 + GwRng_Below(&rng, 20)) * kMs);
+        FakeSteering_Advance(w.f, (1 + GwRng_Below(&rng, 20)) * kMs);
     }
     auto *server = static_cast<FakeServer *>(w.f->servers->pdata[0]);
     const GArray *at = server->arrivals;
--- a/tests/property/seats.cpp
+++ b/tests/property/seats.cpp
@@ -465,7 +465,7 @@
     void
     execute(Event event)
     {
-        GwTableReply *reply = GwFakeTable_Do(table_, event.request.get());
+        GwTableReply *reply = GwFakeTable_Execute(table_, event.request.get());
         event.reply.reset(reply, GwFakeTable_FreeReply);
         if (event.start == UINT64_MAX) {
             return;
--- a/tests/property/sync.cpp
+++ b/tests/property/sync.cpp
@@ -248,7 +248,7 @@
         }
         GwTableReply *reply = is_table_down_ || chance(plan_.loss_percent)
                                   ? GwFakeTable_Lost(request)
-                                  : GwFakeTable_Do(table_, request);
+                                  : GwFakeTable_Execute(table_, request);
         event.reply.reset(reply, GwFakeTable_FreeReply);
         if (reply->row_count > 0) {
             corrupt(reply->rows[0].value, reply->rows[0].len);
--- a/tests/unit/steering_cases.c
+++ b/tests/unit/steering_cases.c
@@ -36,7 +36,7 @@
     FakeRequest *req = FakeSteering_Arrive(f, path, key, 3000);
 
     cr_assert_not_null(req->server);
-    FakeSteering_Pass(f, 300000);
-    FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_Advance(f, 300000);
+    FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
     cr_assert(req->over);
 }
--- a/tests/unit/test_change.c
+++ b/tests/unit/test_change.c
@@ -56,13 +56,13 @@
             GwChangeRequest ask = edit(id, &one);
             run(t, GwChange_Create(&ask), "");
         }
-        Fate fate = *script == 'b' || *script == '*' ? FATE_LOST_BEFORE
-                    : *script == 'a'                 ? FATE_LOST_AFTER
-                    : *script == 'l'                 ? FATE_LATE
-                                                     : FATE_DONE;
+        ChangeFate fate = *script == 'b' || *script == '*' ? FATE_LOST_BEFORE
+                          : *script == 'a'                 ? FATE_LOST_AFTER
+                          : *script == 'l'                 ? FATE_DELAYED
+                                                           : FATE_DONE;
         script += *script != '\0' && *script != '*';
         GwTableReply reply;
-        ChangeTable_Do(t, &request, fate, &reply);
+        ChangeTable_Execute(t, &request, fate, &reply);
         GwChange_Reply(c, &reply);
         ChangeTable_ClearReply(&reply);
         GwChange_ClearRequest(&request);
--- a/tests/unit/test_edge_callers.c
+++ b/tests/unit/test_edge_callers.c
@@ -116,7 +116,7 @@
 become_idle(PlainCaller *caller)
 {
     PlainCaller_Send(caller, UNROUTED "\r\n");
-    cr_assert_eq(PlainCaller_AwaitAnswer(caller), CALLER_WAITS);
+    cr_assert_eq(PlainCaller_AwaitAnswer(caller), CALLER_OPEN);
     sweep_after(caller->entry, 0);
 }
 
@@ -162,7 +162,7 @@
         PlainCaller caller = connect_idle(&entry);
 
         idle_closes[i].close(&entry);
-        cr_assert_eq(PlainCaller_AwaitEnd(&caller), CALLER_ENDED, "%s",
+        cr_assert_eq(PlainCaller_AwaitEnd(&caller), CALLER_CLOSED, "%s",
                      idle_closes[i].what);
         PlainCaller_Send(&caller, ONCE);
         cr_expect_eq(PlainCaller_AwaitReset(&caller), CALLER_RESET, "%s",
@@ -270,7 +270,7 @@
 
         PlainCaller_Send(&caller, UNROUTED "\r\n");
         idle_closes[i].close(&entry);
-        cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS, "%s",
+        cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN, "%s",
                      idle_closes[i].what);
         cr_expect_gt(caller.got->len, 0, "%s", idle_closes[i].what);
         cr_expect_eq(entry.edge->counts.dropped, 0, "%s", idle_closes[i].what);
@@ -291,7 +291,7 @@
     EdgeEntry_SetIdleLimit(&entry, 1000);
     sweep_after(&entry, GW_DEFAULT_IDLE_TIMEOUT_MS * 4 / 5);
     PlainCaller_Send(&caller, UNROUTED "\r\n");
-    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
+    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN);
     cr_expect_gt(caller.got->len, 0);
     cr_expect_eq(entry.edge->counts.dropped, 0);
     PlainCaller_Close(&caller);
@@ -307,10 +307,10 @@
         int64_t idle_ms;
         CallerState state;
     } cases[] = {
-        {1000, 500, CALLER_WAITS},
-        {1000, 1500, CALLER_ENDED},
-        {60000, 50000, CALLER_WAITS},
-        {60000, 61000, CALLER_ENDED},
+        {1000, 500, CALLER_OPEN},
+        {1000, 1500, CALLER_CLOSED},
+        {60000, 50000, CALLER_OPEN},
+        {60000, 61000, CALLER_CLOSED},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -323,13 +323,13 @@
             become_idle(&caller);
         }
         sweep_after(&entry, cases[i].idle_ms);
-        if (cases[i].state == CALLER_ENDED) {
-            cr_expect_eq(PlainCaller_AwaitEnd(&caller), CALLER_ENDED,
+        if (cases[i].state == CALLER_CLOSED) {
+            cr_expect_eq(PlainCaller_AwaitEnd(&caller), CALLER_CLOSED,
                          "case %zu", i);
         }
         else {
             PlainCaller_Send(&caller, UNROUTED "\r\n");
-            cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS,
+            cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN,
                          "case %zu", i);
         }
         PlainCaller_Close(&caller);
@@ -348,10 +348,10 @@
     PlainCaller caller = PlainCaller_Connect(&entry);
 
     PlainCaller_Send(&caller, UNROUTED "\r\n" UNROUTED);
-    cr_assert_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
+    cr_assert_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN);
     stop_idle(&entry);
     PlainCaller_Send(&caller, "\r\n");
-    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
+    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN);
     cr_expect_gt(caller.got->len, 0);
     cr_expect_eq(entry.edge->counts.dropped, 0);
     PlainCaller_Close(&caller);
@@ -369,12 +369,12 @@
 
     send_many(&caller);
     sweep_after(&entry, 0);
-    PlainCaller_Take(&caller, MANY * strlen(NOT_FOUND));
+    PlainCaller_Receive(&caller, MANY * strlen(NOT_FOUND));
     cr_assert_eq(count_answers(&caller), MANY);
     sweep_after(&entry, GW_DEFAULT_IDLE_TIMEOUT_MS * 3 / 5);
     sweep_after(&entry, GW_DEFAULT_IDLE_TIMEOUT_MS * 7 / 5);
     PlainCaller_Send(&caller, UNROUTED "\r\n");
-    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
+    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN);
     cr_expect_gt(caller.got->len, 0);
     PlainCaller_Close(&caller);
     EdgeEntry_Stop(&entry);
@@ -430,9 +430,9 @@
             PlainCaller_Send(&caller, PIECE);
             EdgeEntry_RunOnce(&entry);
             g_usleep(PIECE_MS * 1000);
-            PlainCaller_Take(&caller, 0);
+            PlainCaller_Receive(&caller, 0);
         }
-        cr_expect_eq(PlainCaller_AwaitEnd(&caller), CALLER_ENDED, "%s",
+        cr_expect_eq(PlainCaller_AwaitEnd(&caller), CALLER_CLOSED, "%s",
                      cases[i].status);
         cr_expect(g_str_has_prefix(caller.got->str, cases[i].status), "%s: %s",
                   cases[i].status, caller.got->str);
@@ -455,7 +455,7 @@
     sweep_after(&entry, 0);
     PlainCaller_Send(&caller, "\r\n");
     sweep_after(&entry, GW_DEFAULT_HEAD_TIMEOUT_MS + 1000);
-    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_WAITS);
+    cr_expect_eq(PlainCaller_AwaitAnswer(&caller), CALLER_OPEN);
     cr_expect(g_str_has_prefix(caller.got->str, "HTTP/1.1 404 "), "%s",
               caller.got->str);
     PlainCaller_Close(&caller);
@@ -474,7 +474,7 @@
     send_times(&caller, AGAIN, PIPELINE_MAX);
     cr_assert(EdgeEntry_RunUntil(&entry, is_full, &entry));
     PlainCaller_Send(&caller, AGAIN);
-    PlainCaller_Shut(&caller);
+    PlainCaller_ShutdownSend(&caller);
     sweep_after(&entry, 0);
     cr_expect_eq(GwRouter_OpenCount(entry.edge->router), 0);
     PlainCaller_Close(&caller);
@@ -500,7 +500,7 @@
     cr_expect_lt(sent, FLOOD_BYTES);
     uint64_t before = entry.edge->counts.arrived;
     while (caller.got->len < sent && entry.edge->counts.arrived == before) {
-        PlainCaller_Take(&caller, caller.got->len + 1);
+        PlainCaller_Receive(&caller, caller.got->len + 1);
         EdgeEntry_RunOnce(&entry);
     }
     cr_expect_gt(entry.edge->counts.arrived, before, "it is read again");
--- a/tests/unit/test_edge_crashes.c
+++ b/tests/unit/test_edge_crashes.c
@@ -34,7 +34,7 @@
     Ctx *c = ctx;
 
     for (uint32_t i = 0; i < c->h->server_count; i++) {
-        if (EdgeHost_Got(&c->h->servers[i], c->id) > 0) {
+        if (EdgeHost_CountRequests(&c->h->servers[i], c->id) > 0) {
             c->receiver = &c->h->servers[i];
         }
     }
@@ -54,14 +54,15 @@
     for (int i = 0; i < SERVERS; i++) {
         char ip[16];
         g_snprintf(ip, sizeof(ip), "127.0.0.%d", i + 2);
-        Ctx ctx = {.h = h, .id = "same", .caller = EdgeHost_CallFrom(h, ip)};
-        EdgeHost_Ask(ctx.caller, "/once/", ctx.id);
-        cr_assert(EdgeHost_Until(h, is_decided, &ctx));
+        Ctx ctx = {
+            .h = h, .id = "same", .caller = EdgeHost_ConnectFrom(h, ip)};
+        EdgeHost_SendRequest(ctx.caller, "/once/", ctx.id);
+        cr_assert(EdgeHost_RunUntil(h, is_decided, &ctx));
         if (i < GW_QUARANTINE_CRASHES) {
             cr_assert_not_null(ctx.receiver, "%s", ctx.answer);
             EdgeHost_Crash(ctx.receiver);
-            cr_assert(EdgeHost_Until(h, is_answered, &ctx), "round %d: %s", i,
-                      ctx.answer);
+            cr_assert(EdgeHost_RunUntil(h, is_answered, &ctx), "round %d: %s",
+                      i, ctx.answer);
             cr_expect_not_null(strstr(ctx.answer, "HTTP/1.1 502"));
         }
         else {
--- a/tests/unit/test_edge_full.c
+++ b/tests/unit/test_edge_full.c
@@ -20,7 +20,7 @@
 {
     Ctx *c = ctx;
 
-    return EdgeHost_Got(&c->h->servers[0], c->id) > 0;
+    return EdgeHost_CountRequests(&c->h->servers[0], c->id) > 0;
 }
 
 static bool
@@ -45,13 +45,13 @@
 static void
 connect_and_ask(Ctx *c, int number)
 {
-    c->caller = EdgeHost_Call(c->h);
+    c->caller = EdgeHost_Connect(c->h);
     g_snprintf(c->id, sizeof(c->id), "c%d", number);
-    EdgeHost_Ask(c->caller, "/again/", c->id);
-    cr_assert(EdgeHost_Until(c->h, was_received, c), "%s", c->id);
+    EdgeHost_SendRequest(c->caller, "/again/", c->id);
+    cr_assert(EdgeHost_RunUntil(c->h, was_received, c), "%s", c->id);
     EdgeHost_Answer(&c->h->servers[0], c->id);
     c->answered = false;
-    cr_assert(EdgeHost_Until(c->h, has_answer, c), "%s", c->id);
+    cr_assert(EdgeHost_RunUntil(c->h, has_answer, c), "%s", c->id);
 }
 
 /* Callers keep idle connections open. Guards against a new caller beyond the
@@ -72,7 +72,7 @@
     connect_and_ask(&c, CONNECTIONS_MAX);
     close(c.caller);
     c.caller = callers[0];
-    cr_expect(EdgeHost_Until(c.h, is_closed, &c));
+    cr_expect(EdgeHost_RunUntil(c.h, is_closed, &c));
     for (int i = 1; i < CONNECTIONS_MAX; i++) {
         c.caller = callers[i];
         cr_expect_not(is_closed(&c), "%d", i);
--- a/tests/unit/test_edge_late.c
+++ b/tests/unit/test_edge_late.c
@@ -45,7 +45,7 @@
     uint32_t count = 0;
 
     for (uint32_t i = 0; i < late->h->server_count; i++) {
-        count += EdgeHost_Got(&late->h->servers[i], id);
+        count += EdgeHost_CountRequests(&late->h->servers[i], id);
     }
     return count;
 }
@@ -62,7 +62,7 @@
 await_request(Late *late, const char *id)
 {
     late->awaited = id;
-    cr_assert(EdgeHost_Until(late->h, was_received, late), "%s", id);
+    cr_assert(EdgeHost_RunUntil(late->h, was_received, late), "%s", id);
 }
 
 static bool
@@ -78,7 +78,7 @@
 static void
 answer(Late *late, const char *id)
 {
-    EdgeHost_Turn(late->h);
+    EdgeHost_RunOnce(late->h);
     for (uint32_t i = 0; i < late->h->server_count; i++) {
         EdgeHost_Answer(&late->h->servers[i], id);
     }
@@ -87,7 +87,7 @@
 static void
 refuse(Late *late, const char *id)
 {
-    EdgeHost_Turn(late->h);
+    EdgeHost_RunOnce(late->h);
     for (uint32_t i = 0; i < late->h->server_count; i++) {
         EdgeHost_Refuse(&late->h->servers[i], id);
     }
@@ -102,12 +102,12 @@
     case STAYS:
         return;
     case STAYS_AND_ASKS:
-        EdgeHost_Ask(late->caller, "/again/", "behind");
+        EdgeHost_SendRequest(late->caller, "/again/", "behind");
         return;
     case CLOSES:
         break;
     case CLOSES_BEHIND_BYTES:
-        EdgeHost_Ask(late->caller, "/again/", "behind");
+        EdgeHost_SendRequest(late->caller, "/again/", "behind");
         break;
     case RESETS:
         (void)setsockopt(late->caller, SOL_SOCKET, SO_LINGER, &now,
@@ -126,7 +126,7 @@
 
     for (uint32_t i = 0; i < count; i++) {
         g_snprintf(id, sizeof(id), "w%u", i);
-        EdgeHost_Ask(late->other, "/again/", id);
+        EdgeHost_SendRequest(late->other, "/again/", id);
     }
     for (uint32_t i = 0; i < count; i++) {
         g_snprintf(id, sizeof(id), "w%u", i);
@@ -136,14 +136,14 @@
         g_snprintf(id, sizeof(id), "w%u", i);
         answer(late, id);
     }
-    cr_assert(EdgeHost_Until(late->h, is_idle, late));
+    cr_assert(EdgeHost_RunUntil(late->h, is_idle, late));
 }
 
 static void
 setup_at_arrival(Late *late)
 {
     keep_connections(late, 6);
-    EdgeHost_Ask(late->caller, "/again/", "late");
+    EdgeHost_SendRequest(late->caller, "/again/", "late");
     act_as_caller(late);
 }
 
@@ -168,14 +168,14 @@
     }
 
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
-        EdgeHost_Ask(late->other, "/again/", ids[i]);
+        EdgeHost_SendRequest(late->other, "/again/", ids[i]);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
         await_request(late, ids[i]);
     }
-    EdgeHost_Ask(late->caller, "/again/", "late");
+    EdgeHost_SendRequest(late->caller, "/again/", "late");
     late->open = G_N_ELEMENTS(ids) + 1;
-    cr_assert(EdgeHost_Until(late->h, has_open, late));
+    cr_assert(EdgeHost_RunUntil(late->h, has_open, late));
     cr_assert_eq(received_count(late, "late"), 0);
     answer(late, "f1");
     act_as_caller(late);
@@ -185,7 +185,7 @@
 setup_second_try(Late *late)
 {
     keep_connections(late, 6);
-    EdgeHost_Ask(late->caller, "/again/", "late");
+    EdgeHost_SendRequest(late->caller, "/again/", "late");
     await_request(late, "late");
     late->before = 1;
     refuse(late, "late");
@@ -200,11 +200,11 @@
     char id[16] = "late";
 
     for (int i = 0; i < PIPELINED; i++) {
-        EdgeHost_Ask(late->caller, "/again/", id);
+        EdgeHost_SendRequest(late->caller, "/again/", id);
         g_snprintf(id, sizeof(id), "p%d", i);
     }
     while (g_queue_is_empty(&late->h->edge->connecting)) {
-        EdgeHost_Turn(late->h);
+        EdgeHost_RunOnce(late->h);
     }
     act_as_caller(late);
 }
@@ -264,16 +264,16 @@
 
         EdgeHost_AddServer(late.h, "a", 2);
         EdgeHost_AddServer(late.h, "b", 2);
-        late.caller = EdgeHost_Call(late.h);
-        late.other = EdgeHost_Call(late.h);
+        late.caller = EdgeHost_Connect(late.h);
+        late.other = EdgeHost_Connect(late.h);
         paths[cases[i].when](&late);
-        cr_expect(EdgeHost_Until(late.h, is_decided_for_caller, &late),
+        cr_expect(EdgeHost_RunUntil(late.h, is_decided_for_caller, &late),
                   "case %zu", i);
         cr_expect_eq(received_count(&late, "late"), late.before + stays,
                      "case %zu", i);
         if (!stays) {
             /* Its slots are free, and another caller is served. */
-            EdgeHost_Ask(late.other, "/again/", "next");
+            EdgeHost_SendRequest(late.other, "/again/", "next");
             await_request(&late, "next");
         }
         close(late.other);
@@ -330,13 +330,13 @@
         if (!cases[i].is_made) {
             EdgeHost_Block(&late.h->servers[0]);
         }
-        late.caller = EdgeHost_Call(late.h);
-        EdgeHost_Ask(late.caller, "/again/", "late");
+        late.caller = EdgeHost_Connect(late.h);
+        EdgeHost_SendRequest(late.caller, "/again/", "late");
         while (g_queue_is_empty(&late.h->edge->connecting)) {
-            EdgeHost_Turn(late.h);
+            EdgeHost_RunOnce(late.h);
         }
         g_usleep(STALL_US);
-        cr_expect(EdgeHost_Until(late.h, is_decided, &late), "case %zu", i);
+        cr_expect(EdgeHost_RunUntil(late.h, is_decided, &late), "case %zu", i);
         cr_expect_eq(count_ejected(late.h), cases[i].ejected, "case %zu", i);
         cr_expect_eq(received_count(&late, "late"), cases[i].come, "case %zu",
                      i);
@@ -379,14 +379,14 @@
 
         answer_text[0] = '\0';
         EdgeHost_AddServer(late.h, "a", 2);
-        late.caller = EdgeHost_Call(late.h);
-        EdgeHost_AskFor(late.caller, "/again/", "late", SHORT_MS);
+        late.caller = EdgeHost_Connect(late.h);
+        EdgeHost_SendRequestFor(late.caller, "/again/", "late", SHORT_MS);
         await_request(&late, "late");
         if (cases[i].is_answered) {
             answer(&late, "late");
         }
         g_usleep(STALL_US);
-        cr_expect(EdgeHost_Until(late.h, has_answer, &late), "case %zu", i);
+        cr_expect(EdgeHost_RunUntil(late.h, has_answer, &late), "case %zu", i);
         cr_expect_eq(
             strncmp(answer_text, cases[i].status, strlen(cases[i].status)), 0,
             "case %zu: %.20s", i, answer_text);
@@ -409,7 +409,7 @@
 
     for (uint32_t i = 0; i < count; i++) {
         g_snprintf(id, sizeof(id), "%c%u", name, i);
-        EdgeHost_Ask(caller, "/again/", id);
+        EdgeHost_SendRequest(caller, "/again/", id);
     }
 }
 
@@ -439,30 +439,30 @@
 
     EdgeHost_AddServer(late.h, "a", SLOTS_BEFORE);
     EdgeHost_AddServer(late.h, "b", SLOTS_BEFORE);
-    late.other = EdgeHost_Call(late.h);
+    late.other = EdgeHost_Connect(late.h);
     keep_connections(&late, 2 * KEPT_EACH);
     EdgeHost_PutServer(late.h, &late.h->servers[0], SLOTS_NOW);
     EdgeHost_PutServer(late.h, &late.h->servers[1], SLOTS_NOW);
     reset_speeds(late.h);
-    late.caller = EdgeHost_Call(late.h);
+    late.caller = EdgeHost_Connect(late.h);
     ask_many(late.caller, 'f', SLOTS_USED);
     late.open = SLOTS_USED;
-    cr_assert(EdgeHost_Until(late.h, has_open, &late));
+    cr_assert(EdgeHost_RunUntil(late.h, has_open, &late));
     for (int i = 0; i < DISCONNECTING; i++) {
-        callers[i] = EdgeHost_Call(late.h);
+        callers[i] = EdgeHost_Connect(late.h);
         ask_many(callers[i], (char)('l' + i), REQUESTS_EACH);
     }
     late.open = SLOTS_USED + REQUESTS_EACH * DISCONNECTING;
-    cr_assert(EdgeHost_Until(late.h, has_open, &late));
-    EdgeHost_Turn(late.h);
+    cr_assert(EdgeHost_RunUntil(late.h, has_open, &late));
+    EdgeHost_RunOnce(late.h);
     close(late.caller);
     for (int i = 0; i < DISCONNECTING; i++) {
         close(callers[i]);
     }
-    cr_expect(EdgeHost_Until(late.h, is_idle, &late));
+    cr_expect(EdgeHost_RunUntil(late.h, is_idle, &late));
     cr_expect_eq(received_count(&late, "f0"), 1);
     cr_expect_eq(received_count(&late, "l0"), 0);
-    EdgeHost_Ask(late.other, "/again/", "next");
+    EdgeHost_SendRequest(late.other, "/again/", "next");
     await_request(&late, "next");
     close(late.other);
     EdgeHost_Free(late.h);
@@ -493,11 +493,11 @@
 
     EdgeHost_AddServer(late.h, "a", MANY_SLOTS);
     for (int i = 0; i < CALLERS; i++) {
-        callers[i] = EdgeHost_Call(late.h);
+        callers[i] = EdgeHost_Connect(late.h);
         g_snprintf(id, sizeof(id), "c%d", i);
-        EdgeHost_Ask(callers[i], "/again/", id);
+        EdgeHost_SendRequest(callers[i], "/again/", id);
     }
-    cr_assert(EdgeHost_Until(late.h, is_connected, &late));
+    cr_assert(EdgeHost_RunUntil(late.h, is_connected, &late));
     for (int i = 0; i < CONNECTED; i++) {
         g_snprintf(id, sizeof(id), "c%d", i);
         await_request(&late, id);
@@ -510,6 +510,6 @@
         cr_expect_leq(g_queue_get_length(&late.h->edge->callers), CONNECTED);
         close(callers[i]);
     }
-    cr_expect(EdgeHost_Until(late.h, is_idle, &late));
+    cr_expect(EdgeHost_RunUntil(late.h, is_idle, &late));
     EdgeHost_Free(late.h);
 }
--- a/tests/unit/test_edge_links.c
+++ b/tests/unit/test_edge_links.c
@@ -14,7 +14,7 @@
 {
     Ctx *c = ctx;
 
-    return EdgeHost_Got(&c->h->servers[0], c->awaited) > 0;
+    return EdgeHost_CountRequests(&c->h->servers[0], c->awaited) > 0;
 }
 
 /* An answer frees a slot for a waiting request, which must reuse the answer's
@@ -25,19 +25,19 @@
 {
     EdgeHost *h = EdgeHost_Create();
     Ctx ctx = {.h = h};
-    int caller = EdgeHost_Call(h);
+    int caller = EdgeHost_Connect(h);
     const uint32_t sent = 1 + GW_SLOTS_AHEAD;
     char id[8];
 
     EdgeHost_AddServer(h, "a", 1);
     for (uint32_t i = 0; i < 3 * sent; i++) {
         g_snprintf(id, sizeof(id), "r%u", i);
-        EdgeHost_Ask(caller, "/again/", id);
+        EdgeHost_SendRequest(caller, "/again/", id);
     }
     for (uint32_t i = 0; i < 3 * sent; i++) {
         g_snprintf(id, sizeof(id), "r%u", i);
         ctx.awaited = id;
-        cr_assert(EdgeHost_Until(h, was_received, &ctx), "%s", id);
+        cr_assert(EdgeHost_RunUntil(h, was_received, &ctx), "%s", id);
         EdgeHost_Answer(&h->servers[0], id);
     }
     cr_expect_eq(h->edge->counts.connects, sent, "%lu",
--- a/tests/unit/test_edge_stop.c
+++ b/tests/unit/test_edge_stop.c
@@ -27,7 +27,7 @@
 
     stop.h->edge->settings->grace_ms = GRACE_MS;
     EdgeHost_AddServer(stop.h, "a", slots);
-    stop.caller = EdgeHost_Call(stop.h);
+    stop.caller = EdgeHost_Connect(stop.h);
     return stop;
 }
 
@@ -42,7 +42,7 @@
 static void
 ask(const Stop *stop, const char *id)
 {
-    EdgeHost_AskFor(stop->caller, "/again/", id, LEFT_MS);
+    EdgeHost_SendRequestFor(stop->caller, "/again/", id, LEFT_MS);
 }
 
 static uint32_t
@@ -61,7 +61,7 @@
 {
     Stop *stop = ctx;
 
-    return EdgeHost_Got(&stop->h->servers[0], stop->awaited) > 0;
+    return EdgeHost_CountRequests(&stop->h->servers[0], stop->awaited) > 0;
 }
 
 static bool
@@ -77,7 +77,7 @@
 await(Stop *stop, bool (*is_so)(void *ctx), const char *what)
 {
     stop->awaited = what;
-    return EdgeHost_Until(stop->h, is_so, stop);
+    return EdgeHost_RunUntil(stop->h, is_so, stop);
 }
 
 /* Runs the loop until the kernel's list of ready sockets is empty, so that
@@ -86,7 +86,7 @@
 settle(const Stop *stop)
 {
     for (int i = 0; i < 10; i++) {
-        EdgeHost_Turn(stop->h);
+        EdgeHost_RunOnce(stop->h);
         g_usleep(1000);
     }
 }
@@ -108,9 +108,9 @@
 
     (void)uv_prepare_init(&stop->h->edge->loop, &prepare);
     (void)uv_prepare_start(&prepare, on_prepare);
-    EdgeHost_Turn(stop->h);
+    EdgeHost_RunOnce(stop->h);
     uv_close((uv_handle_t *)&prepare, NULL);
-    EdgeHost_Turn(stop->h);
+    EdgeHost_RunOnce(stop->h);
 }
 
 /* A request is unread when the signal arrives, and the loop gets to both only
@@ -127,12 +127,12 @@
     EdgeHost_Answer(&stop.h->servers[0], "first");
     cr_assert(await(&stop, has_answer, "200 OK"));
     settle(&stop);
-    EdgeHost_AskFor(stop.caller, "/again/", "late", SHORT_MS);
+    EdgeHost_SendRequestFor(stop.caller, "/again/", "late", SHORT_MS);
     signal_in_a_long_turn(&stop);
     cr_expect(await(&stop, has_answer, "HTTP/1.1 503"));
     cr_expect_eq(count_text(stop.got, "Connection: close"), 1);
     cr_expect_eq(count_text(stop.got, "Retry-After: "), 1);
-    cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "late"), 0);
+    cr_expect_eq(EdgeHost_CountRequests(&stop.h->servers[0], "late"), 0);
     finish(&stop);
 }
 
@@ -154,8 +154,8 @@
     EdgeHost_Answer(&stop.h->servers[0], "r0");
     signal_in_a_long_turn(&stop);
     cr_expect(await(&stop, has_answer, "200 OK"));
-    cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "r2"), 0);
-    cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "r3"), 0);
+    cr_expect_eq(EdgeHost_CountRequests(&stop.h->servers[0], "r2"), 0);
+    cr_expect_eq(EdgeHost_CountRequests(&stop.h->servers[0], "r3"), 0);
     finish(&stop);
 }
 
@@ -194,7 +194,7 @@
 
     g_strlcpy(settings->store_address, RawServer_Address(store),
               sizeof(settings->store_address));
-    cr_assert(EdgeHost_Until(stop.h, is_ready, &stop));
+    cr_assert(EdgeHost_RunUntil(stop.h, is_ready, &stop));
     cr_expect_eq(count_named(&stop), 1);
     (void)raise(SIGTERM); /* not handled by the loop yet */
     cr_expect_not(is_ready(&stop));
@@ -210,9 +210,9 @@
 {
     Stop stop = start(4);
 
-    EdgeHost_Turn(stop.h);
+    EdgeHost_RunOnce(stop.h);
     (void)raise(SIGTERM);
-    EdgeHost_Turn(stop.h);
+    EdgeHost_RunOnce(stop.h);
     ask(&stop, "one");
     ask(&stop, "two");
     ask(&stop, "three");
@@ -238,9 +238,9 @@
     (void)raise(SIGTERM);
     ask(&stop, "second");
     for (int i = 0; i < 100; i++) {
-        EdgeHost_Turn(stop.h);
+        EdgeHost_RunOnce(stop.h);
     }
-    cr_expect_eq(EdgeHost_Got(&stop.h->servers[0], "second"), 0);
+    cr_expect_eq(EdgeHost_CountRequests(&stop.h->servers[0], "second"), 0);
     EdgeHost_Answer(&stop.h->servers[0], "first");
     cr_expect(await(&stop, was_received, "second"));
     EdgeHost_Answer(&stop.h->servers[0], "second");
@@ -260,10 +260,10 @@
     ask(&stop, "runs");
     cr_assert(await(&stop, was_received, "runs"));
     EdgeHost_Block(&stop.h->servers[0]);
-    other = EdgeHost_Call(stop.h);
-    EdgeHost_AskFor(other, "/once/", "unsent", LEFT_MS);
-    EdgeHost_Turn(stop.h);
-    EdgeHost_Turn(stop.h);
+    other = EdgeHost_Connect(stop.h);
+    EdgeHost_SendRequestFor(other, "/once/", "unsent", LEFT_MS);
+    EdgeHost_RunOnce(stop.h);
+    EdgeHost_RunOnce(stop.h);
     cr_assert_eq(GwRouter_OpenCount(stop.h->edge->router), 2);
     (void)raise(SIGTERM);
     GwEdge_Run(stop.h->edge);
--- a/tests/unit/test_leave.c
+++ b/tests/unit/test_leave.c
@@ -28,7 +28,7 @@
     }
     FakeCluster_Run(c, c->now_us + 50 * FAKE_MS);
     int64_t left_us = c->now_us;
-    FakeCluster_Leave(c, 0);
+    FakeCluster_Stop(c, 0);
     for (uint32_t i = 0; i < CALLS; i++) {
         const FakeCallerCall *call = FakeCluster_CallAt(c, i);
         if (call->done) {
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -106,7 +106,7 @@
     char *text = NULL;
     FakeCluster *c = start_cluster(&text);
 
-    FakeCluster_Leave(c, 2);
+    FakeCluster_Stop(c, 2);
     GwLookup lookup = look_up(c, 2, 0);
     cr_expect_eq(lookup.count, NODES - 1);
     cr_expect_not(lookup.is_self_first);
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -26,12 +26,12 @@
 
     MemberNet_List(net, 12);
     MemberNet_Run(net, 20 * SECOND);
-    MemberNet_Kill(net, 4);
+    MemberNet_Stop(net, 4);
     MemberNet_Run(net, 12 * SECOND);
     cr_assert(MemberNet_Agrees(net));
-    cr_assert_eq(MemberNet_Shown(net, 0, 4), GW_MEMBER_DEAD);
+    cr_assert_eq(MemberNet_State(net, 0, 4), GW_MEMBER_DEAD);
     MemberNet_Run(net, 200 * SECOND);
-    cr_assert_eq(MemberNet_Shown(net, 0, 4), 0);
+    cr_assert_eq(MemberNet_State(net, 0, 4), 0);
     MemberNet_Free(net);
 }
 
@@ -55,7 +55,7 @@
     late->u.heartbeat.updates[0].id = old;
     late->u.heartbeat.updates[0].incarnation = 99;
     uint64_t sent = net->sent;
-    MemberNet_Inject(net, 0, late);
+    MemberNet_Deliver(net, 0, late);
     cr_assert_eq(net->sent, sent);
     cr_assert(MemberNet_Agrees(net));
     GwMessage_Free(late);
@@ -73,8 +73,8 @@
     MemberNet_Run(net, 20 * SECOND);
     net->cut = true;
     MemberNet_Run(net, 600 * SECOND);
-    cr_assert_eq(MemberNet_Shown(net, 0, 1), 0);
-    cr_assert_eq(MemberNet_Shown(net, 0, 3), GW_MEMBER_ALIVE);
+    cr_assert_eq(MemberNet_State(net, 0, 1), 0);
+    cr_assert_eq(MemberNet_State(net, 0, 3), GW_MEMBER_ALIVE);
     net->cut = false;
     MemberNet_Run(net, 40 * SECOND);
     cr_assert(MemberNet_Agrees(net));
@@ -112,11 +112,11 @@
     MemberNet_List(net, 3);
     MemberNet_Run(net, 10 * SECOND);
     GwMembers_ApplyList(net->nodes[0].members, net->now_us, &list, &out);
-    cr_assert_eq(MemberNet_Shown(net, 0, 1), GW_MEMBER_LEAVING);
+    cr_assert_eq(MemberNet_State(net, 0, 1), GW_MEMBER_LEAVING);
     cr_assert(!GwMembers_IsListed(net->nodes[0].members, "n2"));
     MemberNet_Run(net, 10 * SECOND);
-    cr_assert_eq(MemberNet_Shown(net, 0, 1), GW_MEMBER_LEAVING);
-    cr_assert_eq(MemberNet_Shown(net, 0, 2), GW_MEMBER_ALIVE);
+    cr_assert_eq(MemberNet_State(net, 0, 1), GW_MEMBER_LEAVING);
+    cr_assert_eq(MemberNet_State(net, 0, 2), GW_MEMBER_ALIVE);
     GwActions_Free(&out);
     MemberNet_Free(net);
 }
@@ -130,7 +130,7 @@
 
     for (uint32_t i = 0; i < net->count; i++) {
         bool known =
-            is_alive ? MemberNet_Shown(net, i, j) == GW_MEMBER_ALIVE
+            is_alive ? MemberNet_State(net, i, j) == GW_MEMBER_ALIVE
                      : GwMembers_Find(net->nodes[i].members, id.node) != NULL;
         if (i != j && !known) {
             return false;
@@ -147,7 +147,7 @@
     int64_t known_us = 0;
     int64_t shown_us = 0;
 
-    MemberNet_Kill(net, 11);
+    MemberNet_Stop(net, 11);
     MemberNet_List(net, 11);
     MemberNet_Run(net, 20 * SECOND);
     MemberNet_Restart(net, 11);
@@ -167,7 +167,7 @@
                        .state = GW_MEMBER_ALIVE,
                        .name = "ghost",
                        .peer_address = "649"};
-    MemberNet_Inject(net, 0, msg);
+    MemberNet_Deliver(net, 0, msg);
     cr_assert_eq(GwMembers_Find(net->nodes[0].members, 99)->heard_us, 0);
     MemberNet_Run(net, 20 * SECOND);
     cr_assert(MemberNet_Agrees(net));
@@ -190,14 +190,14 @@
     for (uint32_t i = 0; i < out.count; i++) {
         const GwSendAction *send = &out.items[i].u.send;
         uint32_t to = (uint32_t)g_ascii_strtoull(send->address, NULL, 10);
-        MemberNet_Inject(net, to, send->message);
+        MemberNet_Deliver(net, to, send->message);
     }
     for (uint32_t i = 3; i < 12; i += 3) {
-        cr_assert_eq(MemberNet_Shown(net, i, 0), GW_MEMBER_LEAVING);
+        cr_assert_eq(MemberNet_State(net, i, 0), GW_MEMBER_LEAVING);
     }
     MemberNet_Run(net, 10 * SECOND);
     for (uint32_t i = 1; i < 12; i++) {
-        cr_assert_eq(MemberNet_Shown(net, i, 0), GW_MEMBER_LEAVING, "%u", i);
+        cr_assert_eq(MemberNet_State(net, i, 0), GW_MEMBER_LEAVING, "%u", i);
     }
     GwActions_Free(&out);
     MemberNet_Free(net);
@@ -214,7 +214,7 @@
     MemberNet_Run(net, 30 * SECOND);
     for (uint32_t i = 0; i < 201; i += 10) {
         for (uint32_t j = i % 3; j < 201; j += 3) {
-            cr_assert(i == j || MemberNet_Shown(net, i, j) == GW_MEMBER_ALIVE,
+            cr_assert(i == j || MemberNet_State(net, i, j) == GW_MEMBER_ALIVE,
                       "%u does not show %u", i, j);
         }
     }
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -69,7 +69,7 @@
 static Goodput
 goodput_of(const FleetParams *params)
 {
-    FleetReport report = Fleet_Play(params);
+    FleetReport report = Fleet_Run(params);
     Goodput g = {.within = INFINITY};
 
     for (uint32_t w = 3; w < 7; w++) {
--- a/tests/unit/test_router.c
+++ b/tests/unit/test_router.c
@@ -30,15 +30,15 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = Steering_Start(2);
-        FakeSteering_Put(f, "a", "r1", "d1", 2);
-        FakeSteering_Put(f, "b", "r1", "d1", 2);
+        FakeSteering_PutServer(f, "a", "r1", "d1", 2);
+        FakeSteering_PutServer(f, "b", "r1", "d1", 2);
         for (int j = 0; j < 12; j++) { /* earns retry budget */
             Steering_Warm(f, "/again/", NULL);
         }
         FakeRequest *req = FakeSteering_Arrive(f, cases[i].path, "k", 3000);
-        FakeSteering_End(f, req, cases[i].first, cases[i].first_status);
-        FakeSteering_Pass(f, 100000);
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_EndAttempt(f, req, cases[i].first, cases[i].first_status);
+        FakeSteering_Advance(f, 100000);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
         cr_expect(req->over, "%s", cases[i].what);
         cr_expect_eq(req->sends, cases[i].sends, "%s", cases[i].what);
         cr_expect_eq(req->status, cases[i].status, "%s", cases[i].what);
@@ -53,7 +53,7 @@
 Test(router, a_disconnect_ends_all_requests_of_the_connection)
 {
     FakeSteering *f = Steering_Start(1);
-    FakeSteering_Put(f, "a", "r1", "d1", 1);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 1);
     Steering_Warm(f, "/again/", "k");
     FakeRequest *reqs[2 + GW_SLOTS_AHEAD];
 
@@ -90,12 +90,12 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = Steering_Start(2);
-        FakeSteering_Put(f, "a", "r1", "d1", 2);
+        FakeSteering_PutServer(f, "a", "r1", "d1", 2);
         if (cases[i].drained) {
-            FakeSteering_Drain(f, "a");
+            FakeSteering_DrainServer(f, "a");
         }
         if (cases[i].dropped) {
-            FakeSteering_Drop(f, "a");
+            FakeSteering_RemoveServer(f, "a");
         }
         GwRouter_SetEvacuated(f->router, f->now_us, "d1", cases[i].evacuated);
         FakeRequest *req = FakeSteering_Arrive(f, "/once/", "k", 3000);
@@ -114,9 +114,9 @@
     GwServerInfo again = FakeSteering_Info("a", "s", "r1", "d1", 2);
 
     again.born_ms = 2;
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
-    FakeSteering_Drain(f, "a");
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
+    FakeSteering_DrainServer(f, "a");
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
     FakeRequest *req = FakeSteering_Arrive(f, "/once/", "k", 3000);
     cr_expect_eq(req->status, 503);
     GwRouter_PutServer(f->router, f->now_us, &again, f->actions);
@@ -131,13 +131,13 @@
 Test(router, a_silent_server_ends_in_a_timeout)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "a", "r1", "d1", 1);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 1);
     FakeRequest *sent = FakeSteering_Arrive(f, "/once/", "k", 5000);
 
     cr_expect_eq(sent->left_ms, 2000);
-    FakeSteering_Pass(f, 1900000);
+    FakeSteering_Advance(f, 1900000);
     cr_expect_not(sent->over);
-    FakeSteering_Pass(f, 200000);
+    FakeSteering_Advance(f, 200000);
     cr_expect(sent->over);
     cr_expect_eq(sent->status, 504);
     Steering_Finish(f);
@@ -163,7 +163,7 @@
     FakeRequest *open = NULL;
     GString *dump = g_string_new(NULL);
 
-    FakeSteering_Put(f, "a", "r1", "d1", 100);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 100);
     for (uint64_t version = 2; version < 50; version++) {
         GwRouting *routing = FakeSteering_Routing(version, 1);
         GwRoute *route = &routing->hosts[0].routes[0];
@@ -176,9 +176,9 @@
             open = req;
             continue;
         }
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
     }
-    FakeSteering_End(f, open, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_EndAttempt(f, open, GW_ATTEMPT_ANSWERED, 200);
     cr_expect(open->over);
     FakeSteering_Configure(f, 60, 1);
     GwRouter_Dump(f->router, f->now_us, dump);
@@ -215,13 +215,13 @@
     route->parts[1] = (GwRouteDestination){g_strdup("t"), 1};
     (void)GwRouter_SetRouting(f->router, routing);
     GwRouting_Unref(routing);
-    FakeSteering_Put(f, "a", "r1", "d1", 100);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 100);
     for (int i = 0; i < 100; i++) {
         const char *path =
             strcmp(route->prefix, "/once/") == 0 ? "/once/" : "/again/";
         FakeRequest *req = FakeSteering_Arrive(f, path, NULL, 3000);
         counts[req->server == NULL]++;
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
     }
     cr_expect_eq(counts[0], 90);
     cr_expect_eq(counts[1], 10, "the part without servers is not moved");
--- a/tests/unit/test_router_choice.c
+++ b/tests/unit/test_router_choice.c
@@ -89,7 +89,7 @@
 
         for (int i = 0; i < SERVERS; i++) {
             g_snprintf(id, sizeof(id), "s%d", i);
-            FakeSteering_Put(f, id, regions[i % 3], domains[i % 3], 4);
+            FakeSteering_PutServer(f, id, regions[i % 3], domains[i % 3], 4);
         }
         GwRequest *req = waiting_request(f, seed % 2 == 0 ? "k" : NULL);
         GPtrArray *all = req->service->servers;
@@ -122,16 +122,16 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(slow); i++) {
         FakeSteering *f = Steering_Start(2);
-        FakeSteering_Put(f, "idle", "r1", "d1", 10);
+        FakeSteering_PutServer(f, "idle", "r1", "d1", 10);
         GPtrArray *servers =
             GwRouter_FindOrAddService(f->router, "s")->servers;
         ((GwServer *)servers->pdata[0])->slowdown = slow[i];
-        FakeSteering_Put(f, "back", "r1", "d1", 10);
+        FakeSteering_PutServer(f, "back", "r1", "d1", 10);
         for (int k = 0; k < 20; k++) {
             FakeRequest *req = FakeSteering_Arrive(f, "/again/", NULL, 8000);
             cr_expect_not_null(req->server, "slow %.1f, request %d", slow[i],
                                k);
-            FakeSteering_Pass(f, 10 * MS);
+            FakeSteering_Advance(f, 10 * MS);
         }
         Steering_Finish(f);
     }
--- a/tests/unit/test_router_cross_region.c
+++ b/tests/unit/test_router_cross_region.c
@@ -49,7 +49,7 @@
             continue;
         }
         g_array_remove_index_fast(load->runs, i);
-        FakeSteering_End(load->f, run.req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_EndAttempt(load->f, run.req, GW_ATTEMPT_ANSWERED, 200);
     }
 }
 
@@ -76,7 +76,7 @@
             (void)FakeSteering_Arrive(load->f, "/once/", NULL, LEFT_MS);
         }
         record_sent_waiting(load);
-        FakeSteering_Pass(load->f, STEP_US);
+        FakeSteering_Advance(load->f, STEP_US);
     }
 }
 
@@ -122,9 +122,9 @@
     };
 
     FakeSteering_Configure(load.f, 1, 1);
-    FakeSteering_Put(load.f, "a1", "r1", "d1", 4);
-    FakeSteering_Put(load.f, "a2", "r1", "d2", 4);
-    FakeSteering_Put(load.f, "b1", "r2", "d3", 40);
+    FakeSteering_PutServer(load.f, "a1", "r1", "d1", 4);
+    FakeSteering_PutServer(load.f, "a2", "r1", "d2", 4);
+    FakeSteering_PutServer(load.f, "b1", "r2", "d3", 40);
     return load;
 }
 
@@ -171,8 +171,8 @@
     for (int i = 0; i < 200; i++) {
         FakeRequest *req = FakeSteering_Arrive(load.f, "/once/", NULL, 3000);
         refused += req->status == 503;
-        FakeSteering_Pass(load.f, 10000);
-        FakeSteering_End(load.f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_Advance(load.f, 10000);
+        FakeSteering_EndAttempt(load.f, req, GW_ATTEMPT_ANSWERED, 200);
     }
     cr_expect_eq(refused, 0, "%u of 200", refused);
     finish(&load);
@@ -185,8 +185,8 @@
     Load load = start();
 
     run_load(&load, 50, 8);
-    FakeSteering_Drop(load.f, "a1");
-    FakeSteering_Drop(load.f, "a2");
+    FakeSteering_RemoveServer(load.f, "a1");
+    FakeSteering_RemoveServer(load.f, "a2");
     int64_t lost_us = load.f->now_us;
     run_load(&load, 50, 2);
     cr_expect_gt(share(&load, lost_us + 500000, load.f->now_us), 0.99);
@@ -209,9 +209,9 @@
     }
     cr_assert(GwRouter_SetRouting(load.f->router, routing));
     GwRouting_Unref(routing);
-    FakeSteering_Put(load.f, "a1", "r1", "d1", 40);
-    FakeSteering_Put(load.f, "a2", "r1", "d2", 40);
-    FakeSteering_Put(load.f, "b1", "r2", "d3", 400);
+    FakeSteering_PutServer(load.f, "a1", "r1", "d1", 40);
+    FakeSteering_PutServer(load.f, "a2", "r1", "d2", 40);
+    FakeSteering_PutServer(load.f, "b1", "r2", "d3", 400);
     load.work_us = 2500000;
     int64_t start_us = load.f->now_us;
     run_load(&load, 80, 3);
--- a/tests/unit/test_router_limits.c
+++ b/tests/unit/test_router_limits.c
@@ -9,7 +9,7 @@
 Test(router, requests_without_capacity_are_refused_at_once)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "a", "r1", "d1", 1);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 1);
     uint32_t refused = 0;
 
     for (int i = 0; i < 20; i++) {
@@ -33,11 +33,11 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = Steering_Start(2);
-        FakeSteering_Put(f, "a", "r1", "d1", cases[i].slots);
+        FakeSteering_PutServer(f, "a", "r1", "d1", cases[i].slots);
         for (int k = 0; k < 150; k++) { /* to learn the work's run time */
             FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
-            FakeSteering_Pass(f, cases[i].work_us);
-            FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+            FakeSteering_Advance(f, cases[i].work_us);
+            FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
         }
         uint32_t least = UINT32_MAX;
         uint32_t most = 0;
@@ -68,8 +68,8 @@
 {
     FakeRequest *req = FakeSteering_Arrive(f, "/again/", "k", 3000);
 
-    FakeSteering_Pass(f, 50000);
-    FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_Advance(f, 50000);
+    FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
 }
 
 /* A single caller allows a minute. Callers that allow three seconds, as
@@ -78,12 +78,12 @@
 Test(router, one_long_caller_time_makes_no_other_request_late)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "a", "r1", "d1", 1);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 1);
     for (int i = 0; i < 50; i++) {
         run_short(f);
     }
     FakeRequest *patient = FakeSteering_Arrive(f, "/again/", "k", 60000);
-    FakeSteering_End(f, patient, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_EndAttempt(f, patient, GW_ATTEMPT_ANSWERED, 200);
     for (int i = 0; i < 300; i++) {
         run_short(f);
     }
@@ -92,8 +92,8 @@
     FakeRequest *second = FakeSteering_Arrive(f, "/again/", "k", 3000);
     cr_assert_not_null(first->server);
     cr_assert_not(back->over);
-    FakeSteering_Pass(f, 50000);
-    FakeSteering_End(f, first, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_Advance(f, 50000);
+    FakeSteering_EndAttempt(f, first, GW_ATTEMPT_ANSWERED, 200);
     cr_expect_not_null(second->server, "in time, so before the other");
     cr_expect_null(back->server, "comes back after 0.7 s: late");
     Steering_Finish(f);
@@ -111,7 +111,7 @@
         for (int i = 0; i < 4; i++) {
             char id[8];
             g_snprintf(id, sizeof(id), "s%d", i);
-            FakeSteering_Put(f, id, "r1", "d1", 4);
+            FakeSteering_PutServer(f, id, "r1", "d1", 4);
         }
         for (int i = 0; i < many * 60; i++) {
             char name[16];
@@ -122,9 +122,9 @@
         for (int i = 0; i < 40; i++) {
             FakeRequest *req = FakeSteering_Arrive(f, "/again/", NULL, 3000);
             for (int j = 0; j < 3; j++) {
-                FakeSteering_End(f, req, GW_ATTEMPT_REFUSED, 503);
+                FakeSteering_EndAttempt(f, req, GW_ATTEMPT_REFUSED, 503);
             }
-            FakeSteering_Pass(f, 250000);
+            FakeSteering_Advance(f, 250000);
         }
         repeats[many] = f->repeats;
         Steering_Finish(f);
@@ -141,19 +141,19 @@
 Test(router, only_the_rate_owner_sends_to_a_cold_server)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
     FakeSteering_SetCold(f, "a", 20000);
     FakeRequest *early = FakeSteering_Arrive(f, "/once/", NULL, 3000);
     uint32_t sent = 0;
 
     cr_expect_null(early->server);
-    FakeSteering_Pass(f, 3 * FAKE_US_PER_S);
+    FakeSteering_Advance(f, 3 * FAKE_US_PER_S);
     for (int i = 0; i < 1000; i++) {
         FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
         sent += req->sends;
-        FakeSteering_Pass(f, 5000);
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
-        FakeSteering_Pass(f, 5000);
+        FakeSteering_Advance(f, 5000);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_Advance(f, 5000);
     }
     cr_expect_geq(sent, 20, "%u in 10 s", sent);
     cr_expect_leq(sent, 52, "%u in 10 s", sent);
@@ -165,7 +165,7 @@
 Test(router, a_new_entry_owns_no_rate_in_other_regions)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "far", "r2", "d9", 2);
+    FakeSteering_PutServer(f, "far", "r2", "d9", 2);
 
     uint32_t early = 0;
     uint32_t late = 0;
@@ -174,13 +174,13 @@
 
     info.warmup_left_ms = 60000;
     GwRouter_PutServer(f->router, f->now_us, &info, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
     for (int second = 0; second < 30; second++) {
         FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
         *(second < 20 ? &early : &late) += req->sends;
-        FakeSteering_Pass(f, FAKE_US_PER_S / 2);
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
-        FakeSteering_Pass(f, FAKE_US_PER_S / 2);
+        FakeSteering_Advance(f, FAKE_US_PER_S / 2);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_Advance(f, FAKE_US_PER_S / 2);
     }
     cr_expect_eq(early, 0);
     cr_expect_gt(late, 5);
@@ -212,7 +212,7 @@
         GwRouter_SetBounds(f->router, &f->params);
         routing->services[0].connections_max = cases[i].connections_max;
         (void)GwRouter_SetRouting(f->router, routing);
-        FakeSteering_Put(f, "a", "r1", "d1", 1);
+        FakeSteering_PutServer(f, "a", "r1", "d1", 1);
         FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
         cr_expect_eq(GwRouter_IdleConnectionsMax(f->router, req->server),
                      cases[i].expected, "case %zu", i);
@@ -245,7 +245,7 @@
         FakeSteering *f = Steering_Start(1);
         uint32_t sent = 0;
 
-        FakeSteering_Put(f, "a", cases[i].server_region, "d9", 2);
+        FakeSteering_PutServer(f, "a", cases[i].server_region, "d9", 2);
         GwPeerLoad load = {.in_flight = cases[i].peer_load};
         GwPeerInfo peer = {.name = "e2",
                            .region = cases[i].peer_region,
@@ -276,7 +276,7 @@
 
     req->server = NULL;
     GwRouter_AttemptEnded(f->router, f->now_us, req->handle, &end, f->actions);
-    FakeSteering_Carry(f);
+    FakeSteering_RunActions(f);
 }
 
 /* The limit known to this entry; negative for none. */
@@ -308,8 +308,8 @@
     FakeSteering *f = Steering_Start(1);
     FakeRequest *reqs[G_N_ELEMENTS(steps)];
 
-    FakeSteering_Put(f, "a", "r1", "d1", 20);
-    FakeSteering_Pass(f, 3 * FAKE_US_PER_S);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 20);
+    FakeSteering_Advance(f, 3 * FAKE_US_PER_S);
     for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
         reqs[i] = FakeSteering_Arrive(f, "/once/", NULL, 60000);
         cr_assert_not_null(reqs[i]->server);
@@ -336,12 +336,12 @@
     uint32_t before = 0;
 
     GwRouter_PutPeer(f->router, f->now_us, &peer);
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
-    FakeSteering_Pass(f, 3 * FAKE_US_PER_S);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
+    FakeSteering_Advance(f, 3 * FAKE_US_PER_S);
     const FakeServer *server = f->servers->pdata[0];
     for (int i = 0; i < 1000; i++) {
         (void)FakeSteering_Arrive(f, "/once/", NULL, 300);
-        FakeSteering_Pass(f, 20000);
+        FakeSteering_Advance(f, 20000);
         for (guint k = 0; k < f->requests->len; k++) {
             FakeRequest *req = f->requests->pdata[k];
             if (req->server != NULL && req->handle != NULL) {
--- a/tests/unit/test_router_placements.c
+++ b/tests/unit/test_router_placements.c
@@ -11,9 +11,9 @@
 Test(router, requests_for_warm_objects_go_to_their_placement)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
-    FakeSteering_Put(f, "b", "r1", "d1", 2);
-    FakeSteering_Put(f, "c", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "b", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "c", "r1", "d1", 2);
     Steering_Warm(f, "/again/", "k");
     FakeRequest *first = FakeSteering_Arrive(f, "/again/", "k", 3000);
     FakeRequest *second = Steering_FillAhead(f, "/again/", "k");
@@ -22,8 +22,8 @@
     cr_assert_not_null(first->server);
     cr_expect_eq(second->server, first->server);
     cr_expect_null(third->server, "it waits");
-    FakeSteering_Pass(f, 50000);
-    FakeSteering_End(f, first, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_Advance(f, 50000);
+    FakeSteering_EndAttempt(f, first, GW_ATTEMPT_ANSWERED, 200);
     cr_expect_not_null(third->server);
     cr_expect_str_eq(third->server_id, first->server_id);
     Steering_Finish(f);
@@ -36,17 +36,17 @@
 Test(router, requests_during_a_first_run_go_to_the_same_server)
 {
     FakeSteering *f = Steering_Start(2);
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
-    FakeSteering_Put(f, "b", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "b", "r1", "d1", 2);
     FakeRequest *first = FakeSteering_Arrive(f, "/again/", "k", 3000);
-    FakeSteering_Pass(f, 200000);
+    FakeSteering_Advance(f, 200000);
     FakeRequest *second = FakeSteering_Arrive(f, "/again/", "k", 3000);
 
     cr_assert_not_null(first->server);
     cr_assert_not_null(second->server, "it does not wait");
     cr_expect_str_eq(second->server_id, first->server_id);
-    FakeSteering_Pass(f, 100000);
-    FakeSteering_End(f, first, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_Advance(f, 100000);
+    FakeSteering_EndAttempt(f, first, GW_ATTEMPT_ANSWERED, 200);
     FakeRequest *third = FakeSteering_Arrive(f, "/again/", "k", 3000);
     cr_assert_not_null(third->server);
     cr_expect_str_eq(third->server_id, first->server_id);
@@ -72,8 +72,8 @@
     cr_assert_not_null(first->server, "key %s", key);
     cr_assert_not_null(second->server, "key %s: no first run", key);
     cr_expect_str_eq(second->server_id, first->server_id, "key %s", key);
-    FakeSteering_End(one, first, GW_ATTEMPT_ANSWERED, 200);
-    FakeSteering_End(two, second, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_EndAttempt(one, first, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_EndAttempt(two, second, GW_ATTEMPT_ANSWERED, 200);
 }
 
 /* A placement reported by another entry of the region is used here too. */
@@ -85,9 +85,9 @@
     GArray *placed = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
 
     for (int i = 0; i < 2; i++) {
-        FakeSteering_Put(both[i], "a", "r1", "d1", 2);
-        FakeSteering_Put(both[i], "b", "r1", "d1", 2);
-        FakeSteering_Put(both[i], "c", "r1", "d1", 2);
+        FakeSteering_PutServer(both[i], "a", "r1", "d1", 2);
+        FakeSteering_PutServer(both[i], "b", "r1", "d1", 2);
+        FakeSteering_PutServer(both[i], "c", "r1", "d1", 2);
     }
     for (int k = 0; k < 20; k++) {
         char key[8];
@@ -98,7 +98,7 @@
                            placed);
     cr_assert_eq(placed->len, 20);
     exchange_placements(two, placed);
-    FakeSteering_Pass(two, FAKE_US_PER_S);
+    FakeSteering_Advance(two, FAKE_US_PER_S);
     for (int k = 0; k < 20; k++) {
         char key[8];
         g_snprintf(key, sizeof(key), "%d", k);
@@ -121,8 +121,8 @@
     char key[8];
 
     for (int i = 0; i < 2; i++) {
-        FakeSteering_Put(both[i], "a", "r1", "d1", 2);
-        FakeSteering_Put(both[i], "b", "r1", "d1", 2);
+        FakeSteering_PutServer(both[i], "a", "r1", "d1", 2);
+        FakeSteering_PutServer(both[i], "b", "r1", "d1", 2);
     }
     for (int k = 0; k < 20; k++) {
         g_snprintf(key, sizeof(key), "%d", k);
@@ -151,7 +151,7 @@
     GwServerInfo other = FakeSteering_Info("t1", "t", "r1", "d1", 2);
     GArray *placed = g_array_new(FALSE, FALSE, sizeof(GwPlacement));
 
-    FakeSteering_Put(f, "a", "r1", "d1", 2);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 2);
     GwRouter_PutServer(f->router, f->now_us, &other, f->actions);
     Steering_Warm(f, "/again/", "k");
     FakeSteering_MoveRoutes(moved, "t");
@@ -184,17 +184,17 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = Steering_Start(2);
-        FakeSteering_Put(f, "slow", "r1", "d1", 2);
+        FakeSteering_PutServer(f, "slow", "r1", "d1", 2);
         for (int k = 0; k < 10; k++) { /* four times a cold run's time */
             char key[8];
             g_snprintf(key, sizeof(key), "k%d", k);
             FakeRequest *req = FakeSteering_Arrive(f, "/again/", key, 3000);
-            FakeSteering_Pass(f, 1600000);
-            FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+            FakeSteering_Advance(f, 1600000);
+            FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
         }
         FakeRequest *first = FakeSteering_Arrive(f, "/again/", "k", 3000);
         cr_assert_str_eq(first->server_id, "slow");
-        FakeSteering_Put(f, "idle", "r1", "d1", 2);
+        FakeSteering_PutServer(f, "idle", "r1", "d1", 2);
         FakeRequest *next = FakeSteering_Arrive(f, "/again/", "k", cases[i]);
         cr_expect_not(next->over, "case %zu: refused", i);
         cr_expect_not_null(next->server, "case %zu: waits", i);
--- a/tests/unit/test_router_stop.c
+++ b/tests/unit/test_router_stop.c
@@ -41,8 +41,8 @@
 {
     FakeRequest *req = FakeSteering_Arrive(f, path, key, LEFT_MS);
 
-    FakeSteering_Pass(f, RUN_MS * MS);
-    FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_Advance(f, RUN_MS * MS);
+    FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
 }
 
 static FakeSteering *
@@ -50,8 +50,8 @@
 {
     FakeSteering *f = Steering_Start(2);
 
-    FakeSteering_Put(f, "a", "r1", "d1", 1);
-    FakeSteering_Put(f, "b", "r1", "d1", 1);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 1);
+    FakeSteering_PutServer(f, "b", "r1", "d1", 1);
     for (int i = 0; i < TEACH; i++) {
         run_once(f, i % 2 == 0 ? "/once/" : "/again/", NULL);
     }
@@ -61,7 +61,7 @@
 static void
 pass_until(FakeSteering *f, int64_t before_ms)
 {
-    FakeSteering_Pass(f, f->end_us - before_ms * MS - f->now_us);
+    FakeSteering_Advance(f, f->end_us - before_ms * MS - f->now_us);
 }
 
 /* Fills all slots, including the requests sent ahead; `filling` receives the
@@ -74,7 +74,7 @@
     while (count < most) {
         FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, LEFT_MS);
         if (req->server == NULL) {
-            FakeSteering_Leave(f, req);
+            FakeSteering_Disconnect(f, req);
             break;
         }
         filling[count++] = req;
@@ -101,12 +101,12 @@
         pass_until(f, row->before_ms + 100);
         for (uint32_t i = fill(f, filling, G_N_ELEMENTS(filling)); i > 0;
              i--) {
-            FakeSteering_Leave(f, filling[i - 1]);
+            FakeSteering_Disconnect(f, filling[i - 1]);
         }
         (void)fill(f, filling, G_N_ELEMENTS(filling));
         req = FakeSteering_Arrive(f, row->path, NULL, LEFT_MS);
         pass_until(f, row->before_ms);
-        FakeSteering_End(f, filling[0], GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_EndAttempt(f, filling[0], GW_ATTEMPT_ANSWERED, 200);
         return req;
     case BY_A_REFUSAL:
     case BY_NO_CONNECTION:
@@ -117,7 +117,7 @@
     req = FakeSteering_Arrive(f, row->path, NULL, LEFT_MS);
     pass_until(f, row->before_ms);
     if (req->server != NULL) {
-        FakeSteering_End(f, req, outcomes[row->way], 503);
+        FakeSteering_EndAttempt(f, req, outcomes[row->way], 503);
     }
     return req;
 }
@@ -149,9 +149,9 @@
         FakeRequest *req = reach_server(f, row);
         cr_expect_eq(req->server != NULL, row->sent, "%s", row->what);
         if (row->sent) {
-            FakeSteering_Pass(f, RUN_MS * MS);
+            FakeSteering_Advance(f, RUN_MS * MS);
             cr_expect_leq(f->now_us, f->end_us, "%s", row->what);
-            FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+            FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
         }
         cr_expect(req->over, "%s", row->what);
         cr_expect_eq(req->status, row->status, "%s: %u", row->what,
@@ -201,11 +201,11 @@
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         FakeSteering *f = cases[i].taught ? start() : Steering_Start(2);
-        FakeSteering_Put(f, "a", "r1", "d1", 1);
+        FakeSteering_PutServer(f, "a", "r1", "d1", 1);
         if (cases[i].long_run_ms > 0) {
             FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, LEFT_MS);
-            FakeSteering_Pass(f, cases[i].long_run_ms * MS);
-            FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+            FakeSteering_Advance(f, cases[i].long_run_ms * MS);
+            FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
         }
         FakeSteering_Stop(f, STOP_MS * MS);
         pass_until(f, 1700);
@@ -222,9 +222,9 @@
     FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, LEFT_MS);
 
     FakeSteering_Stop(f, STOP_MS * MS);
-    FakeSteering_Pass(f, RUN_MS * MS);
+    FakeSteering_Advance(f, RUN_MS * MS);
     cr_expect_not(req->over);
-    FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
     cr_expect(req->over);
     cr_expect_eq(req->status, 0);
     Steering_Finish(f);
@@ -239,8 +239,8 @@
     FakeSteering_Stop(f, STOP_MS * MS);
     pass_until(f, 900);
     FakeRequest *req = FakeSteering_Arrive(f, "/again/", NULL, LEFT_MS);
-    FakeSteering_Pass(f, RUN_MS * MS);
-    FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 500);
+    FakeSteering_Advance(f, RUN_MS * MS);
+    FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 500);
     cr_expect(req->over);
     cr_expect_eq(req->status, 0, "%u", req->status);
     Steering_Finish(f);
@@ -252,10 +252,10 @@
 {
     FakeSteering *f = start();
 
-    FakeSteering_Drop(f, "b");
+    FakeSteering_RemoveServer(f, "b");
     run_once(f, "/once/", "k");
-    FakeSteering_Put(f, "b", "r1", "d1", 1);
-    FakeSteering_Pass(f, 2000 * MS);
+    FakeSteering_PutServer(f, "b", "r1", "d1", 1);
+    FakeSteering_Advance(f, 2000 * MS);
     FakeSteering_Stop(f, STOP_MS * MS);
     pass_until(f, 900);
     FakeRequest *ahead = Steering_FillAhead(f, "/once/", "k");
@@ -270,14 +270,14 @@
 {
     FakeSteering *f = start();
 
-    FakeSteering_Drop(f, "b");
-    FakeSteering_Put(f, "far", "r2", "d3", 2);
+    FakeSteering_RemoveServer(f, "b");
+    FakeSteering_PutServer(f, "far", "r2", "d3", 2);
     FakeSteering_Stop(f, STOP_MS * MS);
     pass_until(f, 1150);
     FakeRequest *req = FakeSteering_Arrive(f, "/again/", NULL, LEFT_MS);
     cr_assert_str_eq(req->server_id, "a");
-    FakeSteering_Pass(f, RUN_MS * MS);
-    FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 500);
+    FakeSteering_Advance(f, RUN_MS * MS);
+    FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 500);
     cr_expect(req->over);
     cr_expect_eq(req->status, 0, "%u", req->status);
     Steering_Finish(f);
@@ -290,18 +290,18 @@
     FakeSteering *f = Steering_Start(1);
     GwLimit limit = {.per_s = 6};
 
-    FakeSteering_Put(f, "a", "r1", "d1", 4);
-    FakeSteering_Pass(f, 3 * FAKE_US_PER_S);
+    FakeSteering_PutServer(f, "a", "r1", "d1", 4);
+    FakeSteering_Advance(f, 3 * FAKE_US_PER_S);
     for (int i = 0; i < 20; i++) {
         FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
         cr_assert_not_null(req->server);
         limit.server = GwServer_Hash(req->server);
-        FakeSteering_Pass(f, FAKE_US_PER_S / 2);
-        FakeSteering_End(f, req, GW_ATTEMPT_ANSWERED, 200);
+        FakeSteering_Advance(f, FAKE_US_PER_S / 2);
+        FakeSteering_EndAttempt(f, req, GW_ATTEMPT_ANSWERED, 200);
     }
     GwRouter_PutLimit(f->router, f->now_us, &limit);
     FakeRequest *first = FakeSteering_Arrive(f, "/once/", NULL, 10);
-    FakeSteering_Pass(f, 3 * FAKE_US_PER_S);
+    FakeSteering_Advance(f, 3 * FAKE_US_PER_S);
     cr_assert(first->over);
     FakeSteering_Stop(f, FAKE_US_PER_S / 2);
     FakeRequest *req = FakeSteering_Arrive(f, "/once/", NULL, 3000);
--- a/tests/unit/test_router_work.c
+++ b/tests/unit/test_router_work.c
@@ -24,7 +24,7 @@
 
     for (uint32_t i = 0; i < count; i++) {
         g_snprintf(id, sizeof(id), "s%u", i);
-        FakeSteering_Put(f, id, regions[i % 3], "d1", SLOTS);
+        FakeSteering_PutServer(f, id, regions[i % 3], "d1", SLOTS);
     }
 }
 
@@ -77,7 +77,8 @@
     while (((FakeRequest *)f->requests->pdata[*oldest])->server == NULL) {
         (*oldest)++;
     }
-    FakeSteering_End(f, f->requests->pdata[*oldest], GW_ATTEMPT_ANSWERED, 200);
+    FakeSteering_EndAttempt(f, f->requests->pdata[*oldest],
+                            GW_ATTEMPT_ANSWERED, 200);
 }
 
 /* Servers are full and requests wait at an entry with a small part of a core.
@@ -110,7 +111,7 @@
             g_snprintf(key, sizeof(key), "%u", k % 500);
             (void)FakeSteering_Arrive(f, "/again/",
                                       cases[i].keyed ? key : NULL, LEFT_MS);
-            FakeSteering_Pass(f, FAKE_US_PER_S / REQUESTS_PER_S);
+            FakeSteering_Advance(f, FAKE_US_PER_S / REQUESTS_PER_S);
             held += count_waiting(f);
         }
         uint64_t looks =
--- a/tests/unit/test_seats.c
+++ b/tests/unit/test_seats.c
@@ -101,8 +101,9 @@
 reply_to(Fixture *b, Entry *e, const GwTableRequest *request)
 {
     bool write = request->op == GW_TABLE_TXN;
-    GwTableReply *reply = e->is_store_down ? GwFakeTable_Lost(request)
-                                           : GwFakeTable_Do(b->table, request);
+    GwTableReply *reply = e->is_store_down
+                              ? GwFakeTable_Lost(request)
+                              : GwFakeTable_Execute(b->table, request);
 
     b->writes += write;
     b->reads += !write;
--- a/tests/unit/test_sync.c
+++ b/tests/unit/test_sync.c
@@ -67,8 +67,9 @@
                 continue;
             }
             GwTableReply *reply =
-                f->is_table_down ? GwFakeTable_Lost(action->u.table)
-                                 : GwFakeTable_Do(f->table, action->u.table);
+                f->is_table_down
+                    ? GwFakeTable_Lost(action->u.table)
+                    : GwFakeTable_Execute(f->table, action->u.table);
             GwSync_TableReply(f->sync, f->now_us, reply, &f->out);
             GwFakeTable_FreeReply(reply);
         }
--- a/tests/unit/test_turns.c
+++ b/tests/unit/test_turns.c
@@ -95,7 +95,7 @@
     EdgeHost *h = EdgeHost_Create();
     GString *page = g_string_new(NULL);
 
-    EdgeHost_Turn(h);
+    EdgeHost_RunOnce(h);
     GwStatus_WriteMetrics(h->edge, page);
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
         cr_expect_not_null(strstr(page->str, names[i]), "%s", names[i]);
