--- a/lib/godwitridge.h
+++ b/lib/godwitridge.h
@@ -38,8 +38,8 @@
 
 /* Reasons of the outcomes NOT_RUN and UNKNOWN: X(symbol, number, name). SILENT
  * is a time-out after sending, BROKEN a connection lost after sending, SHED an
- * overload refusal by the backend server, OLD_TICKET a ticket whose record has
- * expired. */
+ * overload refusal by the backend server, OLD_TICKET a ticket that is no longer
+ * valid and has no record. */
 #define GW_REASON_TABLE(X)                                                    \
     X(NONE, 0, "none")                                                        \
     X(NO_SERVICE, 1, "no-service")                                            \
