--- a/lib/entry/calls.h
+++ b/lib/entry/calls.h
@@ -24,7 +24,7 @@
     const GwMembers *members;
     GwSeats *seats;
     GwSteer *steer;
-    bool ready;   /* GwSync_Ready: may take and start new calls */
+    bool ready;   /* GwSync_IsReady: may take and start new calls */
     bool leaving; /* a graceful stop has begun */
     GwActions *out;
 } GwCallsEnv;
