--- a/standins/common/answer.c
+++ b/standins/common/answer.c
@@ -16,7 +16,8 @@
     g_free(both);
 }
 
-/* The body of one answer; free with g_free. */
+/* Returns an answer body with `pad_len` bytes of padding. Free with
+ * g_free. */
 char *
 GsAnswer_Make(const char *backend, const char *key, uint32_t pad_len)
 {
@@ -34,7 +35,7 @@
     return text;
 }
 
-/* True when the text is a whole answer to `key` and to nothing else. */
+/* Returns true when `text` is a complete answer to `key`; false for NULL. */
 bool
 GsAnswer_Check(const char *text, const char *key)
 {
--- a/standins/common/answer.h
+++ b/standins/common/answer.h
@@ -1,5 +1,5 @@
-/* Answers that show by themselves when they are wrong or truncated: they
- * carry the caller's key and a hash over key and padding. */
+/* Self-checking answer bodies: each carries the caller's key and a hash over
+ * key and padding, so that a wrong or truncated answer is detected. */
 #ifndef GS_ANSWER_H
 #define GS_ANSWER_H
 
--- a/standins/common/backend.c
+++ b/standins/common/backend.c
@@ -4,7 +4,8 @@
 
 #include <math.h>
 
-/* Counts a new connection in; false when it is one too many, not counted. */
+/* Counts a new connection. Returns false, without counting it as open, when
+ * connection_limit is reached. */
 bool
 GsBackend_Connect(GsBackend *b)
 {
@@ -25,8 +26,8 @@
     b->connections--;
 }
 
-/* Decides about one request and, when it is to run, counts it in. Every
- * begun run must be ended. */
+/* Admits or refuses one request; an executed request counts as in flight
+ * until the matching GsBackend_End. */
 GsAdmit
 GsBackend_Begin(GsBackend *b, int64_t now_us)
 {
@@ -68,7 +69,7 @@
     note_idle(b, now_us);
 }
 
-/* Starts or ends a drain; the times of an earlier drain are forgotten. */
+/* Starts or ends a drain. A new drain resets the times of an earlier one. */
 void
 GsBackend_Drain(GsBackend *b, bool drain, int64_t now_us)
 {
@@ -87,8 +88,8 @@
     return ((double)(GwRng_Next(rng) >> 11) + 1.0) / 9007199254740994.0;
 }
 
-/* Draws how long one run takes: lognormal around the median, slower while
- * cold, plus what the operator of the experiment added. */
+/* Draws the duration of one run in microseconds: lognormal around the
+ * median, multiplied by cold_factor until cold_until_us, plus slow_ms. */
 int64_t
 GsBackend_ServiceTime(GsBackend *b, int64_t now_us)
 {
@@ -102,16 +103,17 @@
     return (int64_t)us + (int64_t)b->slow_ms * 1000;
 }
 
-/* What the server says of itself, which may be a lie. */
+/* Returns the number of requests in flight that the server reports; always 0
+ * with reports_no_load. */
 uint32_t
 GsBackend_ReportedLoad(const GsBackend *b)
 {
-    return b->lie_idle ? 0 : b->in_flight;
+    return b->reports_no_load ? 0 : b->in_flight;
 }
 
-/* One line of the journal, without its newline; free with g_free. */
+/* Formats a journal line without its newline. Free with g_free. */
 char *
-GsRun_Line(const GsRun *run)
+GsRun_Format(const GsRun *run)
 {
     struct json_object *o = json_object_new_object();
     const struct {
@@ -135,7 +137,8 @@
     return line;
 }
 
-/* Reads a journal line back; false when it is not one. */
+/* Parses a journal line. Returns false for malformed JSON or without a
+ * key. */
 bool
 GsRun_Parse(const char *line, GsRun *out)
 {
--- a/standins/common/caller.c
+++ b/standins/common/caller.c
@@ -6,31 +6,32 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ATTEMPTS_MAX     256
-#define UNSTATED_MAX     3
-#define PAUSE_US         20000
-#define LATE_US          6000000 /* after the deadline, to learn an outcome */
-#define TIMEOUT_SLACK_MS 1500
-#define DEADLINE_MIN_MS  100
+#define ATTEMPTS_MAX         256
+#define UNSTATED_REPLIES_MAX 3
+#define RETRY_PAUSE_US       20000
+#define OUTCOME_WAIT_US      6000000 /* past the deadline, for the outcome */
+#define TIMEOUT_SLACK_MS     1500
+#define DEADLINE_MIN_MS      100
 
-/* Where one request stands between attempts. */
+/* State of a request between attempts. */
 typedef struct {
     GsTarget target;
     int64_t end_us;
-    bool may_run; /* bytes left, and no outcome has come since */
-    bool left;    /* at least one attempt left this process */
-} Course;
+    bool may_run;  /* bytes were sent and no outcome was received since */
+    bool has_sent; /* at least one attempt sent bytes */
+} RequestState;
 
 static bool
-has_target(const Course *s)
+has_target(const RequestState *s)
 {
     return s->target.address[0] != '\0';
 }
 
-/* Chooses where to send next. While the request may have run, its ticket
- * must stay: a new one would be a second booking. Only its way changes. */
+/* Chooses the entry for the next attempt. While the request may have run, its
+ * ticket is kept and only the entry changes: a new ticket would execute the
+ * request a second time. Returns false when no entry is available. */
 static bool
-choose(const GsCaller *c, const GsRecord *r, Course *s)
+choose_target(const GsCaller *c, const GsRecord *r, RequestState *s)
 {
     GsTarget other = {0};
     if (c->direct != NULL) {
@@ -64,7 +65,8 @@
 }
 
 static GsSend
-send_once(const GsCaller *c, GsRecord *r, const Course *s, GsReply *reply)
+send_once(const GsCaller *c, GsRecord *r, const RequestState *s,
+          GsReply *reply)
 {
     char path[320];
     char body[GS_KEY_MAX + 16];
@@ -88,25 +90,27 @@
     return sent;
 }
 
-/* The outcome that a whole answer states; NONE when it states none. */
-static GsEnd
-stated_end(const GsCaller *c, const GsReply *reply)
+/* Returns the outcome stated in a complete answer, or GS_OUTCOME_NONE. */
+static GsOutcome
+stated_outcome(const GsCaller *c, const GsReply *reply)
 {
     if (c->direct != NULL) {
-        return reply->refused ? GS_END_NOT_RUN : GS_END_ANSWERED;
+        return reply->refused ? GS_OUTCOME_NOT_RUN : GS_OUTCOME_ANSWERED;
     }
     if (strcmp(reply->outcome, "answered") == 0) {
-        return GS_END_ANSWERED;
+        return GS_OUTCOME_ANSWERED;
     }
     if (strcmp(reply->outcome, "not-run") == 0) {
-        return GS_END_NOT_RUN;
+        return GS_OUTCOME_NOT_RUN;
     }
-    return strcmp(reply->outcome, "unknown") == 0 ? GS_END_UNKNOWN
-                                                  : GS_END_NONE;
+    return strcmp(reply->outcome, "unknown") == 0 ? GS_OUTCOME_UNKNOWN
+                                                  : GS_OUTCOME_NONE;
 }
 
+/* Returns true for refusals that apply to the entry rather than the
+ * request. */
 static bool
-entry_cannot(const char *reason)
+is_entry_refusal(const char *reason)
 {
     return strcmp(reason, "leaving") == 0 ||
            strcmp(reason, "not-ready") == 0 ||
@@ -114,9 +118,10 @@
            strcmp(reason, "bad-ticket") == 0;
 }
 
-/* Forgets the entry; the ticket goes with it unless it may have run. */
+/* Drops the current entry, and the ticket unless the request may have run
+ * with it. */
 static void
-leave_entry(const GsCaller *c, Course *s)
+drop_entry(const GsCaller *c, RequestState *s)
 {
     if (c->directory != NULL) {
         GsDirectory_Avoid(c->directory, s->target.address);
@@ -127,98 +132,101 @@
     }
 }
 
-/* A proven refusal. It stands for its ticket, so the next sending takes a
- * fresh one. */
+/* Handles a not-run outcome. The ticket now stands for that outcome, so the
+ * next attempt needs a new one. */
 static void
-after_not_run(const GsCaller *c, const GsRecord *r, Course *s,
-              const GsReply *reply)
+handle_not_run(const GsCaller *c, const GsRecord *r, RequestState *s,
+               const GsReply *reply)
 {
     s->may_run = false;
-    if (entry_cannot(reply->reason)) {
-        leave_entry(c, s);
+    if (is_entry_refusal(reply->reason)) {
+        drop_entry(c, s);
     }
     s->target.address[0] = '\0';
     s->target.ticket[0] = '\0';
-    int64_t wait_us = MAX((int64_t)reply->retry_after_ms * 1000, PAUSE_US);
+    int64_t wait_us =
+        MAX((int64_t)reply->retry_after_ms * 1000, RETRY_PAUSE_US);
     int64_t left_us = s->end_us - GsClock_Now();
     GsClock_Sleep(MIN(wait_us, MAX(left_us, 0)));
 }
 
-/* Takes in one whole answer; true when the request has its final outcome. */
+/* Handles a complete answer. Returns true when its outcome is final. */
 static bool
-take_reply(const GsCaller *c, GsRecord *r, Course *s, const GsReply *reply)
+handle_reply(const GsCaller *c, GsRecord *r, RequestState *s,
+             const GsReply *reply)
 {
-    GsEnd end = stated_end(c, reply);
+    GsOutcome outcome = stated_outcome(c, reply);
     bool late = GsClock_Now() >= s->end_us;
     g_strlcpy(r->reason, reply->reason, sizeof(r->reason));
-    r->end = end;
-    if (end == GS_END_NONE) {
+    r->outcome = outcome;
+    if (outcome == GS_OUTCOME_NONE) {
         s->may_run = true;
         r->unstated++;
-        GsClock_Sleep(PAUSE_US);
-        return r->unstated > UNSTATED_MAX;
+        GsClock_Sleep(RETRY_PAUSE_US);
+        return r->unstated > UNSTATED_REPLIES_MAX;
     }
-    if (end == GS_END_ANSWERED) {
+    if (outcome == GS_OUTCOME_ANSWERED) {
         r->answer_whole =
             reply->status == 200 && GsAnswer_Check(reply->body->str, r->key);
         return true;
     }
-    if (end == GS_END_NOT_RUN) {
+    if (outcome == GS_OUTCOME_NOT_RUN) {
         r->refused_at_us = GsClock_Now();
-        after_not_run(c, r, s, reply);
+        handle_not_run(c, r, s, reply);
         return late || c->direct != NULL;
     }
     s->target.address[0] = '\0';
     return late || !r->operation->idempotent;
 }
 
-/* One attempt; true when the request is over. */
+/* Makes one attempt. Returns true when the request is finished. */
 static bool
-attempt(const GsCaller *c, GsRecord *r, Course *s)
+attempt(const GsCaller *c, GsRecord *r, RequestState *s)
 {
     GsReply reply;
     GsSend sent = send_once(c, r, s, &reply);
     bool over = false;
     switch (sent) {
     case GS_SEND_WHOLE:
-        s->left = true;
-        over = take_reply(c, r, s, &reply);
+        s->has_sent = true;
+        over = handle_reply(c, r, s, &reply);
         break;
     case GS_SEND_NOTHING_SENT:
-        leave_entry(c, s);
+        drop_entry(c, s);
         break;
     case GS_SEND_BROKEN:
-        s->left = true;
+        s->has_sent = true;
         s->may_run = true;
-        r->end = GS_END_NONE;
-        leave_entry(c, s);
+        r->outcome = GS_OUTCOME_NONE;
+        drop_entry(c, s);
         break;
     }
     GsReply_Clear(&reply);
     return over;
 }
 
-/* Runs the request to its end and fills end, reason, attempts and latency.
- * Past the deadline it goes on only to learn the outcome of what was sent.*/
+/* Runs the request until it is finished and sets outcome, reason, attempts and
+ * latency_us. After the deadline, retries only serve to learn the outcome of
+ * an attempt that may have run. */
 void
 GsCaller_Run(const GsCaller *c, GsRecord *record)
 {
-    Course s = {.end_us = record->due_us + c->deadline_us};
+    RequestState s = {.end_us = record->due_us + c->deadline_us};
     bool over = false;
     while (!over && record->attempts < ATTEMPTS_MAX) {
-        int64_t limit_us = s.end_us + (s.may_run ? LATE_US : 0);
+        int64_t limit_us = s.end_us + (s.may_run ? OUTCOME_WAIT_US : 0);
         if (GsClock_Now() >= limit_us) {
             break;
         }
-        if (choose(c, record, &s)) {
+        if (choose_target(c, record, &s)) {
             over = attempt(c, record, &s);
         }
         else {
-            GsClock_Sleep(PAUSE_US);
+            GsClock_Sleep(RETRY_PAUSE_US);
         }
     }
-    if (!s.left) {
-        record->end = GS_END_NOT_SENT;
+    if (!s.has_sent) {
+        record->outcome = GS_OUTCOME_NOT_SENT;
     }
     record->latency_us = GsClock_Now() - record->due_us;
 }
--- a/standins/common/caller.h
+++ b/standins/common/caller.h
@@ -1,4 +1,4 @@
-/* The life of one logical request as a careful caller leads it. */
+/* Runs one logical request with retries, as a correct caller would. */
 #ifndef GS_CALLER_H
 #define GS_CALLER_H
 
@@ -7,10 +7,10 @@
 
 typedef struct {
     GsClient *client;
-    GsDirectory *directory; /* NULL: straight to `direct` */
+    GsDirectory *directory; /* NULL: send directly to `direct` */
     const char *direct;     /* address of one backend server */
-    int64_t deadline_us;    /* time given to the whole request */
-    int64_t delay_us;       /* one way to the entry */
+    int64_t deadline_us;    /* for all attempts together */
+    int64_t delay_us;       /* one-way delay to the entry */
 } GsCaller;
 
 void GsCaller_Run(const GsCaller *c, GsRecord *record);
--- a/standins/common/client.c
+++ b/standins/common/client.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONNECT_TIMEOUT_MS 1000L
-#define CONNECTIONS_KEPT   12L
+#define CONNECT_TIMEOUT_MS   1000L
+#define CONNECTION_CACHE_MAX 12L
 
 void
 GsClient_Init(GsClient *c)
@@ -32,7 +32,7 @@
 }
 
 static CURL *
-take_handle(GsClient *c)
+acquire_handle(GsClient *c)
 {
     CURL *h = NULL;
     pthread_mutex_lock(&c->lock);
@@ -44,9 +44,9 @@
 }
 
 static void
-give_handle(GsClient *c, CURL *h)
+release_handle(GsClient *c, CURL *h)
 {
-    curl_easy_reset(h); /* keeps its connections */
+    curl_easy_reset(h); /* keeps the connections open */
     pthread_mutex_lock(&c->lock);
     g_ptr_array_add(c->idle, h);
     pthread_mutex_unlock(&c->lock);
@@ -60,7 +60,8 @@
     return size * count;
 }
 
-/* The value of header `name` in one raw line, into `out`. */
+/* Copies the value of header `name` into `out`. Returns false when `line` is
+ * another header. */
 static bool
 header_value(const char *line, const char *name, char *out, size_t cap)
 {
@@ -91,16 +92,17 @@
     return size * count;
 }
 
-/* libcurl resends by itself when a kept connection proves dead, and then
- * reports only how the last try ended: "connection refused", although the
- * first try may have reached a living server. Taken as proof of nothing sent,
- * that books twice. So what leaves is watched over all tries. */
+/* Records whether any byte was sent, over all tries of libcurl. libcurl
+ * resends on a new connection when a reused one turns out to be closed, and
+ * reports only the last error: "connection refused", although the first try
+ * may have reached a running server. A caller that took this as "nothing
+ * sent" would book twice. */
 static int
 on_debug(CURL *h, curl_infotype type, char *data, size_t size, void *user)
 {
     GsReply *r = user;
     if (type == CURLINFO_HEADER_OUT || type == CURLINFO_DATA_OUT) {
-        r->left = true;
+        r->has_sent = true;
     }
     return 0;
 }
@@ -146,7 +148,7 @@
     curl_easy_setopt(h, CURLOPT_PROXY, "");
     curl_easy_setopt(h, CURLOPT_TIMEOUT_MS, (long)q->timeout_ms);
     curl_easy_setopt(h, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-    curl_easy_setopt(h, CURLOPT_MAXCONNECTS, CONNECTIONS_KEPT);
+    curl_easy_setopt(h, CURLOPT_MAXCONNECTS, CONNECTION_CACHE_MAX);
     curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, on_body);
     curl_easy_setopt(h, CURLOPT_WRITEDATA, r);
     curl_easy_setopt(h, CURLOPT_HEADERFUNCTION, on_header);
@@ -166,18 +168,17 @@
     if (rc == CURLE_OK) {
         return GS_SEND_WHOLE;
     }
-    return r->left ? GS_SEND_BROKEN : GS_SEND_NOTHING_SENT;
+    return r->has_sent ? GS_SEND_BROKEN : GS_SEND_NOTHING_SENT;
 }
 
-/* Sends one request and waits for the end of its answer. libcurl itself
- * resends once when a kept connection proves closed before any byte of the
- * answer; that is the same request with the same ticket. Clear the reply
- * after use, whatever came. */
+/* Sends a request and waits for the complete answer. libcurl resends once,
+ * with the same ticket, when a reused connection is closed before any byte of
+ * the answer. The reply must be cleared whatever the result. */
 GsSend
 GsClient_Send(GsClient *c, const GsRequest *request, GsReply *reply)
 {
     *reply = (GsReply){.body = g_string_new(NULL)};
-    CURL *h = take_handle(c);
+    CURL *h = acquire_handle(c);
     char *url =
         g_strdup_printf("http://%s%s", request->address, request->path);
     struct curl_slist *headers = make_headers(request);
@@ -185,7 +186,7 @@
     CURLcode rc = curl_easy_perform(h);
     curl_easy_getinfo(h, CURLINFO_RESPONSE_CODE, &reply->status);
     GsSend sent = classify(reply, rc);
-    give_handle(c, h);
+    release_handle(c, h);
     curl_slist_free_all(headers);
     g_free(url);
     return sent;
--- a/standins/common/client.h
+++ b/standins/common/client.h
@@ -1,4 +1,4 @@
-/* HTTP client side of the stand-ins, on libcurl. */
+/* HTTP client of the stand-ins, based on libcurl. */
 #ifndef GS_CLIENT_H
 #define GS_CLIENT_H
 
@@ -11,15 +11,15 @@
 #define GS_TICKET_MAX  96
 
 typedef enum {
-    GS_SEND_WHOLE = 1,    /* a whole answer came */
-    GS_SEND_NOTHING_SENT, /* no connection: no byte left */
-    GS_SEND_BROKEN        /* bytes left, no whole answer came */
+    GS_SEND_WHOLE = 1,    /* complete answer received */
+    GS_SEND_NOTHING_SENT, /* no connection; no byte sent */
+    GS_SEND_BROKEN        /* bytes sent, no complete answer received */
 } GsSend;
 
 typedef struct {
     const char *method;
     const char *address;
-    const char *path;    /* with query */
+    const char *path;    /* with the query string */
     const char *ticket;  /* NULL: none */
     const char *body;    /* NULL: none */
     const char *key;     /* NULL: none */
@@ -30,15 +30,15 @@
 typedef struct {
     long status;
     uint32_t retry_after_ms;
-    bool left;    /* bytes of the request were written */
-    bool refused; /* a backend server's own refusal */
+    bool has_sent; /* bytes of the request were sent */
+    bool refused;  /* refused by the backend server itself */
     char outcome[24];
     char reason[24];
     GString *body;
 } GsReply;
 
-/* Connections are taken last in, first out: a thread per open request would
- * else hold one idle connection to every entry. */
+/* Pool of connections, last in, first out: otherwise each thread would keep
+ * an idle connection to every entry. */
 typedef struct {
     pthread_mutex_t lock;
     GPtrArray *idle; /* of CURL easy handles */
--- a/standins/common/clock.c
+++ b/standins/common/clock.c
@@ -3,8 +3,8 @@
 #include <errno.h>
 #include <time.h>
 
-/* Shared by all processes of the machine, so that journals and records can
- * be compared. */
+/* Returns microseconds since boot. All processes of the machine share this
+ * clock, so their journals and records are comparable. */
 int64_t
 GsClock_Now(void)
 {
@@ -13,7 +13,7 @@
     return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
 
-/* Sleeps the whole time, also over signals. */
+/* Sleeps for `us` microseconds and resumes after signals. */
 void
 GsClock_Sleep(int64_t us)
 {
--- a/standins/common/clock.h
+++ b/standins/common/clock.h
@@ -1,4 +1,4 @@
-/* Time for the stand-ins: microseconds on the machine's running clock. */
+/* Clock of the stand-ins: microseconds since boot. */
 #ifndef GS_CLOCK_H
 #define GS_CLOCK_H
 
--- a/standins/common/directory.c
+++ b/standins/common/directory.c
@@ -6,15 +6,15 @@
 #include <stdio.h>
 #include <string.h>
 
-#define TICKETS_ASKED  4
-#define TICKET_KEPT_US 20000000
-#define AVOID_US       2000000
-#define LOOKUP_TIMEOUT 1000
+#define TICKETS_PER_LOOKUP 4
+#define TICKET_TTL_US      20000000
+#define AVOID_US           2000000
+#define LOOKUP_TIMEOUT_MS  1000
 
 typedef struct {
     GsTarget target;
     int64_t until_us;
-} KeptTicket;
+} CachedTicket;
 
 struct GsDirectory_s {
     pthread_mutex_t lock; /* guards all below */
@@ -28,7 +28,7 @@
     uint32_t next_entry;
     char entries[GS_ENTRIES_MAX][GS_ADDRESS_MAX];
     int64_t fresh_until_us;
-    GQueue *tickets; /* of KeptTicket, oldest first */
+    GQueue *tickets; /* of CachedTicket, oldest first */
 };
 
 GsDirectory *
@@ -60,13 +60,13 @@
     }
 }
 
-/* Takes from what is cached; false when a look-up is needed. Caller holds
- * the lock. */
+/* Takes a cached ticket or entry. Returns false when a look-up is needed. The
+ * caller holds the lock. */
 static bool
 take_cached(GsDirectory *d, bool want_ticket, int64_t now_us, GsTarget *out)
 {
     while (want_ticket && !g_queue_is_empty(d->tickets)) {
-        KeptTicket *k = g_queue_pop_head(d->tickets);
+        CachedTicket *k = g_queue_pop_head(d->tickets);
         bool good = now_us < k->until_us;
         *out = k->target;
         g_free(k);
@@ -84,7 +84,7 @@
 }
 
 static bool
-avoided(const GsDirectory *d, const char *address, int64_t now_us)
+is_avoided(const GsDirectory *d, const char *address, int64_t now_us)
 {
     for (uint32_t i = 0; i < d->known_count; i++) {
         if (strcmp(d->known[i], address) == 0) {
@@ -94,10 +94,11 @@
     return false;
 }
 
-/* Adds the entries of an answer that are, or are not, of the own region. */
+/* Adds the entries of an answer that are in the caller's region (`local`) or
+ * outside of it. */
 static void
-keep_entries(GsDirectory *d, struct json_object *list, bool local,
-             int64_t now_us)
+cache_entries(GsDirectory *d, struct json_object *list, bool local,
+              int64_t now_us)
 {
     size_t count = json_object_is_type(list, json_type_array)
                        ? json_object_array_length(list)
@@ -106,24 +107,24 @@
         struct json_object *e = json_object_array_get_idx(list, i);
         const char *address = GsJson_Text(e, "address", "");
         bool use = (GsJson_Int(e, "local", 0) != 0) == local;
-        if (use && !avoided(d, address, now_us)) {
+        if (use && !is_avoided(d, address, now_us)) {
             g_strlcpy(d->entries[d->entry_count++], address, GS_ADDRESS_MAX);
         }
     }
 }
 
-/* Caller holds the lock. */
+/* Stores a look-up answer of entry `provider`. The caller holds the lock. */
 static void
-keep_answer(GsDirectory *d, const char *asked, const char *body,
-            int64_t now_us)
+cache_answer(GsDirectory *d, const char *provider, const char *body,
+             int64_t now_us)
 {
     struct json_object *o = json_tokener_parse(body);
     struct json_object *list = NULL;
     json_object_object_get_ex(o, "entries", &list);
     d->entry_count = 0;
-    keep_entries(d, list, true, now_us);
+    cache_entries(d, list, true, now_us);
     if (d->entry_count == 0) {
-        keep_entries(d, list, false, now_us);
+        cache_entries(d, list, false, now_us);
     }
     d->fresh_until_us = now_us + GsJson_Int(o, "ttl_ms", 0) * 1000;
     struct json_object *tickets = NULL;
@@ -132,57 +133,60 @@
                        ? json_object_array_length(tickets)
                        : 0;
     for (size_t i = 0; i < count; i++) {
-        KeptTicket *k = g_new0(KeptTicket, 1);
+        CachedTicket *k = g_new0(CachedTicket, 1);
         const char *text =
             json_object_get_string(json_object_array_get_idx(tickets, i));
-        g_strlcpy(k->target.address, asked, GS_ADDRESS_MAX);
+        g_strlcpy(k->target.address, provider, GS_ADDRESS_MAX);
         g_strlcpy(k->target.ticket, text, GS_TICKET_MAX);
-        k->until_us = now_us + TICKET_KEPT_US;
+        k->until_us = now_us + TICKET_TTL_US;
         g_queue_push_tail(d->tickets, k);
     }
     json_object_put(o);
 }
 
-/* The next address to ask: local ones first, those to be avoided last. */
+/* Selects the address to query in this round, local addresses first. Returns
+ * false when the address is to be avoided. */
 static bool
-pick_known(GsDirectory *d, uint32_t round, char *out)
+pick_address(GsDirectory *d, uint32_t round, char *out)
 {
     int64_t now_us = GsClock_Now();
     pthread_mutex_lock(&d->lock);
     uint32_t turn = d->next_known++;
     uint32_t i = round < d->local_count ? turn % d->local_count
                                         : round % d->known_count;
-    bool use = !avoided(d, d->known[i], now_us);
+    bool use = !is_avoided(d, d->known[i], now_us);
     g_strlcpy(out, d->known[i], GS_ADDRESS_MAX);
     pthread_mutex_unlock(&d->lock);
     return use;
 }
 
-/* Asks one entry; true when it gave a whole look-up answer. */
+/* Queries one entry. Returns true when a complete look-up answer was
+ * stored. */
 static bool
-ask(GsDirectory *d, GsClient *client, const char *address, bool want_ticket)
+query_entry(GsDirectory *d, GsClient *client, const char *address,
+            bool want_ticket)
 {
     char path[160];
     GsReply reply;
     snprintf(path, sizeof(path), "/v1/entries/%s?tickets=%d", d->service,
-             want_ticket ? TICKETS_ASKED : 0);
+             want_ticket ? TICKETS_PER_LOOKUP : 0);
     GsRequest q = {.method = "GET",
                    .address = address,
                    .path = path,
-                   .timeout_ms = LOOKUP_TIMEOUT};
+                   .timeout_ms = LOOKUP_TIMEOUT_MS};
     GsSend sent = GsClient_Send(client, &q, &reply);
     bool good = sent == GS_SEND_WHOLE && reply.status == 200;
     if (good) {
         pthread_mutex_lock(&d->lock);
-        keep_answer(d, address, reply.body->str, GsClock_Now());
+        cache_answer(d, address, reply.body->str, GsClock_Now());
         pthread_mutex_unlock(&d->lock);
     }
     GsReply_Clear(&reply);
     return good;
 }
 
-/* An entry to send to, with a fresh ticket of that entry when wanted. False
- * when no known entry gives one. */
+/* Gets an entry to send to, with an unused ticket of that entry if
+ * `want_ticket`. Returns false when no known entry provides one. */
 bool
 GsDirectory_Take(GsDirectory *d, GsClient *client, bool want_ticket,
                  GsTarget *out)
@@ -196,15 +200,15 @@
         if (got || round == rounds) {
             return got;
         }
-        if (pick_known(d, round, address) &&
-            !ask(d, client, address, want_ticket)) {
+        if (pick_address(d, round, address) &&
+            !query_entry(d, client, address, want_ticket)) {
             GsDirectory_Avoid(d, address);
         }
     }
     return false;
 }
 
-/* Forgets an entry for a while, with its tickets. */
+/* Excludes an entry for AVOID_US and drops its tickets. */
 void
 GsDirectory_Avoid(GsDirectory *d, const char *address)
 {
@@ -224,7 +228,7 @@
     GList *l = d->tickets->head;
     while (l != NULL) {
         GList *next = l->next;
-        KeptTicket *k = l->data;
+        CachedTicket *k = l->data;
         if (strcmp(k->target.address, address) == 0) {
             g_queue_delete_link(d->tickets, l);
             g_free(k);
--- a/standins/common/directory.h
+++ b/standins/common/directory.h
@@ -1,5 +1,5 @@
-/* What a caller knows of the entries for one service: the cached answer of
- * its last look-up, its tickets, and whom to ask next. */
+/* Directory of the entries of one service in a caller: the cached result of
+ * the last look-up, unused tickets and the addresses to query. */
 #ifndef GS_DIRECTORY_H
 #define GS_DIRECTORY_H
 
@@ -14,7 +14,8 @@
 
 typedef struct GsDirectory_s GsDirectory;
 
-/* `addresses` are asked in turn, the first `local` of them first. */
+/* `addresses` are queried in turn; the first `local` of them, which are in
+ * the caller's region, are preferred. */
 GsDirectory *GsDirectory_Create(const char *service, GPtrArray *addresses,
                                 uint32_t local);
 void GsDirectory_Free(GsDirectory *d);
--- a/standins/common/fault.c
+++ b/standins/common/fault.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Maps the name used by POST /control/faults. */
+/* Maps a fault name of POST /control/faults. Returns false when unknown. */
 bool
 GsFault_Parse(const char *name, GsFaultMode *out)
 {
@@ -17,7 +17,8 @@
     return false;
 }
 
-/* The fault that hits one request; `chance_percent` is drawn from 0 to 99. */
+/* Returns the fault to apply to a request; `chance_percent` is drawn from 0
+ * to 99. */
 GsFaultMode
 GsFault_Now(const GsFault *f, int64_t now_us, uint32_t chance_percent)
 {
@@ -27,7 +28,8 @@
     return f->mode;
 }
 
-/* False when this second's budget is used up. */
+/* Consumes one operation. Returns false when the budget of the current second
+ * is exhausted. */
 bool
 GsBudget_Take(GsBudget *b, int64_t now_us)
 {
--- a/standins/common/fault.h
+++ b/standins/common/fault.h
@@ -1,4 +1,5 @@
-/* Faults of the platform stand-in. Pure: time and chance are arguments. */
+/* Fault injection of the platform stand-in. Deterministic: the time and the
+ * random draw are arguments. */
 #ifndef GS_FAULT_H
 #define GS_FAULT_H
 
@@ -7,11 +8,11 @@
 
 typedef enum {
     GS_FAULT_NONE = 0,
-    GS_FAULT_DOWN,   /* connection closed, nothing done */
+    GS_FAULT_DOWN,   /* connection closed, not executed */
     GS_FAULT_SLOW,   /* answered after slow_ms */
-    GS_FAULT_REFUSE, /* 503, nothing done */
-    GS_FAULT_LOST,   /* done, then the connection is closed */
-    GS_FAULT_STALE   /* reads see the state at the start of the fault */
+    GS_FAULT_REFUSE, /* 503, not executed */
+    GS_FAULT_LOST,   /* executed, then the connection is closed */
+    GS_FAULT_STALE   /* reads return the state at the start of the fault */
 } GsFaultMode;
 
 typedef struct {
@@ -25,7 +26,7 @@
 GsFaultMode GsFault_Now(const GsFault *f, int64_t now_us,
                         uint32_t chance_percent);
 
-/* A budget of operations a second, over whole seconds. */
+/* Limit of operations per second, counted in whole seconds. */
 typedef struct {
     uint32_t per_second; /* 0: no limit */
     uint32_t used;
--- a/standins/common/http.c
+++ b/standins/common/http.c
@@ -14,9 +14,10 @@
 
 #define SOCKETS_MAX 4096
 
-/* Models the price of a new connection, paid by its first request. */
+/* Delays the first request of a connection by accept_cost_us, which models
+ * the cost of connection setup. */
 static int
-init_connection(const struct mg_connection *conn, void **data)
+delay_connection(const struct mg_connection *conn, void **data)
 {
     const GsHttpOptions *o =
         mg_get_user_data(mg_get_context((struct mg_connection *)conn));
@@ -27,8 +28,8 @@
     return 0;
 }
 
-/* CivetWeb's connection_closed would come too late: the connection's data is
- * gone by then. */
+/* Uses connection_close, since CivetWeb has already cleared the user data of
+ * the connection when it calls connection_closed. */
 static void
 on_close(const struct mg_connection *conn)
 {
@@ -40,18 +41,19 @@
     }
 }
 
-/* CivetWeb logs each connection that a peer breaks; here that is the plan. */
+/* Suppresses CivetWeb's log: it reports each connection closed by a peer,
+ * which the stand-ins do on purpose. */
 static int
-log_nothing(const struct mg_connection *conn, const char *message)
+suppress_log(const struct mg_connection *conn, const char *message)
 {
     (void)conn;
     return message != NULL;
 }
 
-/* Starts a server that hands every request to one handler. A worker thread
- * is held by a connection as long as it lives, so `threads` bounds open
- * connections. `options` must outlive the server. NULL when a port cannot be
- * bound. */
+/* Starts a server that passes every request to one handler. Each open
+ * connection occupies a worker thread, so `threads` bounds the number of open
+ * connections. `options` must outlive the server. Returns NULL when a port
+ * cannot be bound. */
 struct mg_context *
 GsHttp_Start(const GsHttpOptions *options)
 {
@@ -72,9 +74,9 @@
                               "connection_queue",
                               "256",
                               NULL};
-    struct mg_callbacks callbacks = {.init_connection = init_connection,
+    struct mg_callbacks callbacks = {.init_connection = delay_connection,
                                      .connection_close = on_close,
-                                     .log_message = log_nothing};
+                                     .log_message = suppress_log};
     mg_init_library(0);
     struct mg_context *ctx = mg_start(&callbacks, (void *)options, settings);
     if (ctx != NULL) {
@@ -83,8 +85,8 @@
     return ctx;
 }
 
-/* The whole request body, NUL-terminated; NULL when it is larger than
- * GS_BODY_MAX or the peer closed early. Free with g_free. */
+/* Reads the request body, NUL-terminated. Returns NULL when the body is larger
+ * than GS_BODY_MAX or truncated. Free with g_free. */
 char *
 GsHttp_ReadBody(struct mg_connection *conn)
 {
@@ -106,7 +108,8 @@
     return g_string_free(body, FALSE);
 }
 
-/* The body as JSON, NULL when it is not JSON. */
+/* Reads the request body as JSON. Returns NULL when it is not valid JSON.
+ * Release with json_object_put. */
 struct json_object *
 GsHttp_ReadJson(struct mg_connection *conn)
 {
@@ -116,8 +119,8 @@
     return o;
 }
 
-/* Sends head and body in one write. `headers` is "" or whole lines, each
- * with its CRLF. Returns the status, as a CivetWeb handler must. */
+/* Sends headers and body in one write. `headers` is "" or complete lines, each
+ * with CRLF. Returns the status, as a CivetWeb handler must. */
 int
 GsHttp_Reply(struct mg_connection *conn, int status, const char *headers,
              const char *body)
@@ -145,7 +148,7 @@
     return status;
 }
 
-/* Closes the connection without an answer. */
+/* Closes the connection without an answer. Returns 499 for the handler. */
 int
 GsHttp_Drop(struct mg_connection *conn)
 {
@@ -153,8 +156,9 @@
     return 499;
 }
 
-/* CivetWeb gives no way to its socket; the pair of ports names it. The peer
- * is on this machine, so no other connection has the same pair. */
+/* Finds the socket of a connection by its pair of ports, since CivetWeb does
+ * not expose the descriptor. The pair is unique because the peer is on this
+ * machine. Returns -1 when there is no such socket. */
 static int
 find_socket(const struct mg_request_info *ri)
 {
@@ -174,9 +178,9 @@
     return -1;
 }
 
-/* Waits for `us`, or until the peer closes the connection, which means that
- * it cancelled; true in that case. `fd` keeps the socket for the connection's
- * later requests; 0 at first. */
+/* Waits for `us` microseconds. Returns true early when the peer closes the
+ * connection, which cancels the request. `fd` caches the socket of the
+ * connection over its requests; 0 at first. */
 bool
 GsHttp_WaitGone(struct mg_connection *conn, int64_t us, int *fd)
 {
@@ -194,7 +198,8 @@
     return ppoll(&p, 1, &wait, NULL) > 0;
 }
 
-/* One decoded query parameter; false when it is absent or too long. */
+/* Decodes a query parameter. Returns false when it is absent or longer than
+ * `out`. */
 bool
 GsHttp_Query(struct mg_connection *conn, const char *name, char *out,
              size_t cap)
@@ -211,8 +216,9 @@
     sigaddset(set, SIGTERM);
 }
 
-/* Must run before any thread starts: they inherit the mask, and a signal
- * that a worker could take would end the process without clean-up. */
+/* Blocks SIGINT and SIGTERM and ignores SIGPIPE. Must be called before any
+ * thread starts: threads inherit the mask, and a signal delivered to a worker
+ * would end the process without clean-up. */
 void
 GsHttp_BlockSignals(void)
 {
@@ -232,7 +238,7 @@
     sigwait(&set, &got);
 }
 
-/* A text member, or `fallback`. Borrowed from `o`. */
+/* Returns a string member, or `fallback`. Owned by `o`. */
 const char *
 GsJson_Text(struct json_object *o, const char *name, const char *fallback)
 {
@@ -242,7 +248,7 @@
                : fallback;
 }
 
-/* An integer or boolean member, or `fallback`. */
+/* Returns an integer or boolean member, or `fallback`. */
 int64_t
 GsJson_Int(struct json_object *o, const char *name, int64_t fallback)
 {
--- a/standins/common/http.h
+++ b/standins/common/http.h
@@ -1,4 +1,4 @@
-/* HTTP server side of the stand-ins, on CivetWeb. */
+/* HTTP server of the stand-ins, based on CivetWeb. */
 #ifndef GS_HTTP_H
 #define GS_HTTP_H
 
@@ -13,9 +13,9 @@
 typedef struct {
     const char *ports; /* "127.0.0.1:9001,127.0.0.1:9002" */
     uint32_t threads;
-    uint32_t accept_cost_us; /* slept once per connection */
+    uint32_t accept_cost_us; /* delay per new connection */
     mg_request_handler handler;
-    /* Told of a connection's end, when it has data; may be NULL. */
+    /* Called when a connection with user data closes; may be NULL. */
     void (*closed)(void *data, void *conn_data);
     void *data;
 } GsHttpOptions;
--- a/standins/common/record.c
+++ b/standins/common/record.c
@@ -3,17 +3,17 @@
 #include <string.h>
 
 const char *
-GsEnd_Name(GsEnd end)
+GsOutcome_Name(GsOutcome outcome)
 {
     static const char *const names[] = {"none", "not-sent", "answered",
                                         "not-run", "unknown"};
-    return names[end];
+    return names[outcome];
 }
 
-/* What the journals say of one key. */
+/* Journal entries of one key. */
 typedef struct {
     uint32_t count;
-    int64_t first_us; /* when the first run began */
+    int64_t first_us; /* start of the first run */
 } KeyRuns;
 
 static GHashTable *
@@ -48,74 +48,77 @@
     return doubled;
 }
 
-/* A refusal is false when the request had already begun as it came, also
- * when a later attempt ended otherwise: the caller may act on any refusal. A
- * final one is false whenever the run began. */
+/* A not-run outcome is false when the request was already executing when the
+ * caller received it, even if a later attempt has another outcome: the caller
+ * may act on any refusal. As the final outcome it is false if the request was
+ * executed at any time. */
 static bool
-falsely_refused(const GsRecord *r, const KeyRuns *runs)
+is_false_refusal(const GsRecord *r, const KeyRuns *runs)
 {
     if (runs == NULL) {
         return false;
     }
-    return r->end == GS_END_NOT_RUN || r->end == GS_END_NOT_SENT ||
+    return r->outcome == GS_OUTCOME_NOT_RUN ||
+           r->outcome == GS_OUTCOME_NOT_SENT ||
            (r->refused_at_us > 0 && runs->first_us <= r->refused_at_us);
 }
 
 static void
-judge_one(GsVerdict *v, const GsRecord *r, const KeyRuns *runs)
+count_record(GsVerdict *v, const GsRecord *r, const KeyRuns *runs)
 {
-    v->false_refusals += falsely_refused(r, runs);
+    v->false_refusals += is_false_refusal(r, runs);
     v->unstated += r->unstated;
-    v->sent += r->end != GS_END_NOT_SENT;
-    switch (r->end) {
-    case GS_END_NONE:
+    v->sent += r->outcome != GS_OUTCOME_NOT_SENT;
+    switch (r->outcome) {
+    case GS_OUTCOME_NONE:
         v->no_outcome++;
         break;
-    case GS_END_NOT_SENT:
+    case GS_OUTCOME_NOT_SENT:
         v->not_sent++;
         break;
-    case GS_END_ANSWERED: {
+    case GS_OUTCOME_ANSWERED: {
         bool once =
             r->operation->idempotent || (runs != NULL && runs->count == 1);
         v->answered++;
         v->wrong_answers += !r->answer_whole || !once;
         break;
     }
-    case GS_END_NOT_RUN:
+    case GS_OUTCOME_NOT_RUN:
         v->not_run++;
         break;
-    case GS_END_UNKNOWN:
+    case GS_OUTCOME_UNKNOWN:
         v->unknown++;
         v->unknown_ran += runs != NULL;
         break;
     }
 }
 
-/* Counts outcomes and the three faults that may never be. */
+/* Counts the outcomes and the three violations: keys executed more than once,
+ * false refusals and wrong answers. */
 GsVerdict
-GsVerdict_Judge(const GPtrArray *records, const GPtrArray *runs)
+GsVerdict_Compute(const GPtrArray *records, const GPtrArray *runs)
 {
     GsVerdict v = {0};
     GHashTable *by_key = runs_by_key(runs);
     v.doubled = count_doubled(by_key);
     for (uint32_t i = 0; i < records->len; i++) {
         const GsRecord *r = records->pdata[i];
-        judge_one(&v, r, g_hash_table_lookup(by_key, r->key));
+        count_record(&v, r, g_hash_table_lookup(by_key, r->key));
     }
     g_hash_table_destroy(by_key);
     return v;
 }
 
-/* True when nothing was doubled, falsely refused, wrongly answered or left
- * without an outcome, and every reply stated one. */
+/* Returns true when no key was executed twice, no refusal was false, no answer
+ * was wrong, and every request and every reply had an outcome. */
 bool
-GsVerdict_Good(const GsVerdict *v)
+GsVerdict_IsClean(const GsVerdict *v)
 {
     return v->doubled == 0 && v->false_refusals == 0 &&
            v->wrong_answers == 0 && v->no_outcome == 0 && v->unstated == 0;
 }
 
-/* The closing line; its form is fixed, since scripts read it. */
+/* Prints the summary line. Scripts parse it, so its format is fixed. */
 void
 GsVerdict_PrintLine(const GsVerdict *v, FILE *out)
 {
@@ -137,8 +140,8 @@
     return (x > y) - (x < y);
 }
 
-/* Latency in us that `percent` of the answered requests of an operation
- * stayed within (nearest rank); -1 without any. */
+/* Returns a latency percentile of the answered requests of an operation in
+ * microseconds (nearest rank), or -1 when there are none. */
 int64_t
 GsRecord_Percentile(const GPtrArray *records, const GsOperation *operation,
                     uint32_t percent)
@@ -146,7 +149,7 @@
     GArray *times = g_array_new(FALSE, FALSE, sizeof(int64_t));
     for (uint32_t i = 0; i < records->len; i++) {
         const GsRecord *r = records->pdata[i];
-        if (r->operation == operation && r->end == GS_END_ANSWERED) {
+        if (r->operation == operation && r->outcome == GS_OUTCOME_ANSWERED) {
             g_array_append_val(times, r->latency_us);
         }
     }
--- a/standins/common/report.c
+++ b/standins/common/report.c
@@ -19,8 +19,8 @@
            reply->status == 200;
 }
 
-/* The statistics of all servers of all processes in one array; NULL when a
- * process does not answer. Release with json_object_put. */
+/* Returns the statistics of all servers of all processes in one array, or NULL
+ * when a process does not answer. Release with json_object_put. */
 struct json_object *
 GsReport_FetchStats(GsClient *client, const char *controls)
 {
@@ -59,8 +59,8 @@
     return sum;
 }
 
-/* Waits until nothing runs any more: a run that begins after the journals
- * were read would escape the judge. False when it lasts beyond the limit. */
+/* Waits until no request is in flight: runs that start after the journals are
+ * read would not be checked. Returns false after `limit_us`. */
 bool
 GsReport_WaitIdle(GsClient *client, const char *controls, int64_t limit_us)
 {
@@ -77,8 +77,8 @@
     return idle;
 }
 
-/* Appends the runs of all journals (GsRun, g_free each); false when a
- * journal cannot be read or a line is not understood. */
+/* Appends the runs of all journals (GsRun, freed with g_free). Returns false
+ * when a journal cannot be read or a line is malformed. */
 bool
 GsReport_FetchRuns(GsClient *client, const char *controls, GPtrArray *runs)
 {
@@ -105,17 +105,18 @@
 }
 
 static uint64_t
-count_end(const GPtrArray *records, const GsOperation *operation, GsEnd end)
+count_end(const GPtrArray *records, const GsOperation *operation,
+          GsOutcome outcome)
 {
     uint64_t n = 0;
     for (uint32_t i = 0; i < records->len; i++) {
         const GsRecord *r = records->pdata[i];
-        n += r->operation == operation && r->end == end;
+        n += r->operation == operation && r->outcome == outcome;
     }
     return n;
 }
 
-/* The operations that occur, each once. */
+/* Returns the distinct operations of the records. */
 static GPtrArray *
 operations_of(const GPtrArray *records)
 {
@@ -130,7 +131,7 @@
 }
 
 static double
-ms(int64_t us)
+us_to_ms(int64_t us)
 {
     return us < 0 ? -1.0 : (double)us / 1000.0;
 }
@@ -138,19 +139,20 @@
 static void
 print_operation(const GPtrArray *records, const GsOperation *o, FILE *out)
 {
-    uint64_t answered = count_end(records, o, GS_END_ANSWERED);
-    uint64_t not_run = count_end(records, o, GS_END_NOT_RUN);
-    uint64_t unknown = count_end(records, o, GS_END_UNKNOWN);
-    uint64_t none = count_end(records, o, GS_END_NONE);
+    uint64_t answered = count_end(records, o, GS_OUTCOME_ANSWERED);
+    uint64_t not_run = count_end(records, o, GS_OUTCOME_NOT_RUN);
+    uint64_t unknown = count_end(records, o, GS_OUTCOME_UNKNOWN);
+    uint64_t none = count_end(records, o, GS_OUTCOME_NONE);
     unsigned long long sent = answered + not_run + unknown + none;
     fprintf(out, "%-10s %-13s %8llu %9llu %8llu %8llu %9.1f %9.1f\n",
             o->service, o->op, sent, (unsigned long long)answered,
             (unsigned long long)not_run, (unsigned long long)unknown,
-            ms(GsRecord_Percentile(records, o, 50)),
-            ms(GsRecord_Percentile(records, o, 99)));
+            us_to_ms(GsRecord_Percentile(records, o, 50)),
+            us_to_ms(GsRecord_Percentile(records, o, 99)));
 }
 
-/* One line per service: the fullest server, and how many went beyond. */
+/* Prints the peak load of a service: the server with the most requests in
+ * flight, and the number of servers that exceeded their slots. */
 static void
 print_load(struct json_object *stats, const char *service, FILE *out)
 {
@@ -183,7 +185,7 @@
 
 typedef struct {
     const GsOperation *operation;
-    GsEnd end;
+    GsOutcome outcome;
     const char *reason;
     uint64_t count;
 } Reason;
@@ -193,38 +195,38 @@
 {
     for (uint32_t i = 0; i < reasons->len; i++) {
         Reason *known = &g_array_index(reasons, Reason, i);
-        if (known->operation == r->operation && known->end == r->end &&
+        if (known->operation == r->operation && known->outcome == r->outcome &&
             strcmp(known->reason, r->reason) == 0) {
             known->count++;
             return;
         }
     }
-    Reason fresh = {r->operation, r->end, r->reason, 1};
+    Reason fresh = {r->operation, r->outcome, r->reason, 1};
     g_array_append_val(reasons, fresh);
 }
 
-/* Why requests were not answered, as the entries told their callers. */
+/* Counts the unanswered requests by the reason that the entries returned. */
 static void
 print_reasons(const GPtrArray *records, FILE *out)
 {
     GArray *reasons = g_array_new(FALSE, FALSE, sizeof(Reason));
     for (uint32_t i = 0; i < records->len; i++) {
         const GsRecord *r = records->pdata[i];
-        if (r->end != GS_END_ANSWERED) {
+        if (r->outcome != GS_OUTCOME_ANSWERED) {
             count_reason(reasons, r);
         }
     }
     for (uint32_t i = 0; i < reasons->len; i++) {
         const Reason *r = &g_array_index(reasons, Reason, i);
         fprintf(out, "%-10s %-13s %s, %s: %llu\n", r->operation->service,
-                r->operation->op, GsEnd_Name(r->end),
+                r->operation->op, GsOutcome_Name(r->outcome),
                 r->reason[0] != '\0' ? r->reason : "no reason given",
                 (unsigned long long)r->count);
     }
     g_array_free(reasons, TRUE);
 }
 
-/* The table for people; the closing line is printed by its caller. */
+/* Prints the report as a table, without the summary line. */
 void
 GsReport_Print(const GPtrArray *records, struct json_object *stats,
                const GsVerdict *v, FILE *out)
@@ -286,9 +288,10 @@
     struct json_object *o = json_object_new_object();
     json_object_object_add(o, "service", json_object_new_string(op->service));
     json_object_object_add(o, "kind", json_object_new_string(op->op));
-    for (int end = GS_END_NONE; end <= GS_END_UNKNOWN; end++) {
-        uint64_t n = count_end(records, op, (GsEnd)end);
-        add_int(o, GsEnd_Name((GsEnd)end), (int64_t)n);
+    for (int outcome = GS_OUTCOME_NONE; outcome <= GS_OUTCOME_UNKNOWN;
+         outcome++) {
+        uint64_t n = count_end(records, op, (GsOutcome)outcome);
+        add_int(o, GsOutcome_Name((GsOutcome)outcome), (int64_t)n);
     }
     add_int(o, "p50_us", GsRecord_Percentile(records, op, 50));
     add_int(o, "p99_us", GsRecord_Percentile(records, op, 99));
@@ -305,7 +308,7 @@
     json_object_object_add(o, "kind",
                            json_object_new_string(r->operation->op));
     json_object_object_add(o, "outcome",
-                           json_object_new_string(GsEnd_Name(r->end)));
+                           json_object_new_string(GsOutcome_Name(r->outcome)));
     json_object_object_add(o, "reason", json_object_new_string(r->reason));
     add_int(o, "home", r->home);
     add_int(o, "attempts", r->attempts);
@@ -316,7 +319,8 @@
     return o;
 }
 
-/* Writes everything as JSON; false when the file cannot be written. */
+/* Writes the report as JSON. Returns false when the file cannot be
+ * written. */
 bool
 GsReport_Write(const char *file, const GPtrArray *records,
                struct json_object *stats, const GsVerdict *v)
--- a/standins/common/report.h
+++ b/standins/common/report.h
@@ -1,12 +1,12 @@
-/* What the caller tool prints and writes at its end. */
+/* Final report of the caller stand-in. */
 #ifndef GS_REPORT_H
 #define GS_REPORT_H
 
 #include "common/client.h"
 #include "common/record.h"
 
-/* `controls` are control addresses of backend processes, separated by
- * commas. Both give false when one does not answer. */
+/* `controls` is a comma-separated list of control addresses of backend
+ * processes. Both functions return false when a process does not answer. */
 bool GsReport_WaitIdle(GsClient *client, const char *controls,
                        int64_t limit_us);
 bool GsReport_FetchRuns(GsClient *client, const char *controls,
--- a/standins/common/services.c
+++ b/standins/common/services.c
@@ -16,7 +16,8 @@
 
 #define OPERATION_COUNT (sizeof(operations) / sizeof(operations[0]))
 
-/* The operation of a request as it arrives; NULL when there is none. */
+/* Finds the operation of a received request. Returns NULL when there is
+ * none. */
 const GsOperation *
 GsOperation_Match(const char *service, const char *method, const char *path)
 {
@@ -31,7 +32,8 @@
     return NULL;
 }
 
-/* The operation by its name in a mix; NULL when there is none. */
+/* Finds an operation by its name in a request mix. Returns NULL when there is
+ * none. */
 const GsOperation *
 GsOperation_Find(const char *service, const char *op)
 {
--- a/standins/common/services.h
+++ b/standins/common/services.h
@@ -1,4 +1,5 @@
-/* The operations of the users' four services, as both sides play them. */
+/* Operations of the four example services, shared by callers and backend
+ * servers. */
 #ifndef GS_SERVICES_H
 #define GS_SERVICES_H
 
--- a/standins/common/table.c
+++ b/standins/common/table.c
@@ -1,7 +1,7 @@
 #include "common/table.h"
 
 struct GsTable_s {
-    GTree *rows; /* key order, as a listing must have */
+    GTree *rows; /* in key order, which listings require */
     uint64_t version;
 };
 
@@ -47,7 +47,7 @@
     return FALSE;
 }
 
-/* A copy that later writes do not change. */
+/* Returns a snapshot that later writes do not affect. */
 GsTable *
 GsTable_Copy(const GsTable *t)
 {
@@ -66,7 +66,7 @@
     }
 }
 
-/* NULL when the row is absent. Borrowed until the next commit. */
+/* Returns NULL when the row is absent. Valid until the next commit. */
 const GsRow *
 GsTable_Get(const GsTable *t, const char *key)
 {
@@ -88,7 +88,8 @@
     return FALSE;
 }
 
-/* Rows in key order, borrowed until the next commit; free the array only. */
+/* Returns the rows in key order, valid until the next commit. Free only the
+ * array. */
 GPtrArray *
 GsTable_List(const GsTable *t, const char *prefix)
 {
@@ -97,8 +98,8 @@
     return l.found;
 }
 
-/* Checks every row before it writes any: a conflict in the last row must not
- * leave the first ones written. -1 when committed. */
+/* Checks all rows before writing any, so that a conflict in the last row
+ * leaves none written. */
 int32_t
 GsTable_Commit(GsTable *t, GsRow *rows, uint32_t count)
 {
--- a/standins/common/table.h
+++ b/standins/common/table.h
@@ -1,5 +1,5 @@
-/* The platform's table service in memory: rows with versions. Not
- * thread-safe; the stand-in holds one lock around each call. */
+/* In-memory model of the platform's table service: versioned rows. Not
+ * thread-safe; the stand-in holds a lock around each call. */
 #ifndef GS_TABLE_H
 #define GS_TABLE_H
 
@@ -10,7 +10,7 @@
 typedef struct {
     char *key;
     char *value;
-    uint64_t version; /* rises over the whole table; 0: absent */
+    uint64_t version; /* increases over the whole table; 0: absent */
 } GsRow;
 
 typedef struct GsTable_s GsTable;
@@ -20,8 +20,8 @@
 void GsTable_Free(GsTable *t);
 const GsRow *GsTable_Get(const GsTable *t, const char *key);
 GPtrArray *GsTable_List(const GsTable *t, const char *prefix);
-/* Writes all rows and sets their new versions, or writes nothing and returns
- * the index of the first row whose version is not the present one. */
+/* Writes all rows, sets their new versions and returns -1; or writes nothing
+ * and returns the index of the first row whose version is not current. */
 int32_t GsTable_Commit(GsTable *t, GsRow *rows, uint32_t count);
 
 #endif
--- a/standins/standin_backends.c
+++ b/standins/standin_backends.c
@@ -1,4 +1,5 @@
-/* Stand-in of the backend servers of one region: one process, one port each.
+/* Stand-in of the backend servers of one region: one process, one port per
+ * server.
  * usage: standin_backends --config FILE --control IP:PORT
  *
  * FILE: {"servers": [{"name", "service", "address", "slots"}]}; a server may
@@ -26,7 +27,7 @@
     GPtrArray *journal; /* of GsRun */
 } Backends;
 
-/* What a connection keeps between its requests. */
+/* Per-connection data. */
 typedef struct {
     GsBackend *server;
     int fd;
@@ -43,7 +44,8 @@
     return NULL;
 }
 
-/* The caller's key: header, body, or the end of the path. */
+/* Extracts the caller's key from the header, the body or the last part of the
+ * path. */
 static void
 request_key(struct mg_connection *conn, const char *body, char *out)
 {
@@ -58,8 +60,8 @@
     json_object_put(o);
 }
 
-/* The connection's own data, made with its first request; NULL when its
- * server has too many connections. */
+/* Returns the data of a connection, created with its first request. NULL when
+ * the server is at its connection limit. */
 static Peer *
 peer_of(Backends *all, GsBackend *b, struct mg_connection *conn)
 {
@@ -103,7 +105,8 @@
     return down ? GsHttp_Drop(conn) : GsHttp_Reply(conn, 200, "", body);
 }
 
-/* Reads nothing more and never answers, until the fault ends. */
+/* Holds the connection without an answer until the fault ends, at most
+ * SILENT_MAX_S, then closes it. */
 static int
 stay_silent(Backends *all, GsBackend *b, struct mg_connection *conn)
 {
@@ -118,11 +121,11 @@
     return GsHttp_Drop(conn);
 }
 
-/* One request while it is being served. */
+/* Request being served. */
 typedef struct {
     GsBackend *server;
     Peer *peer;
-    GsRun *run; /* NULL for an idempotent one; owned by the journal */
+    GsRun *run; /* NULL if idempotent; owned by the journal */
     GsAdmit admit;
     bool runs;
     bool reset;
@@ -130,8 +133,8 @@
     char key[GS_KEY_MAX];
 } Work;
 
-/* Admits under the lock. The journal has the run from its first moment: a
- * run that was begun counts, also when it is cut off later. */
+/* Admits a request. A run enters the journal when it starts, so runs that are
+ * cut off later count as well. */
 static void
 begin(Backends *all, Work *w, struct mg_connection *conn,
       const GsOperation *op)
@@ -159,26 +162,26 @@
     pthread_mutex_unlock(&all->lock);
 }
 
-/* Works for the service time, or until the deadline when that comes first,
- * or until the caller cancels; false when it was cut off. */
+/* Simulates the run: waits for the service time, or until the deadline or
+ * until the caller cancels. Returns false when the run was cut off. */
 static bool
 work(Backends *all, Work *w, struct mg_connection *conn)
 {
     const char *text = mg_get_header(conn, "GW-Deadline-Ms");
     int64_t left_us = text != NULL ? strtoll(text, NULL, 10) * 1000 : 0;
-    bool cut = text != NULL && left_us < w->service_us;
-    bool gone =
-        GsHttp_WaitGone(conn, cut ? left_us : w->service_us, &w->peer->fd);
+    bool is_past_deadline = text != NULL && left_us < w->service_us;
+    bool is_cancelled = GsHttp_WaitGone(
+        conn, is_past_deadline ? left_us : w->service_us, &w->peer->fd);
     int64_t now_us = GsClock_Now();
     pthread_mutex_lock(&all->lock);
-    w->server->stopped += cut && !gone;
-    w->server->cancelled += gone;
+    w->server->stopped += is_past_deadline && !is_cancelled;
+    w->server->cancelled += is_cancelled;
     GsBackend_End(w->server, now_us);
     if (w->run != NULL) {
         w->run->end_us = now_us;
     }
     pthread_mutex_unlock(&all->lock);
-    return !cut && !gone;
+    return !is_past_deadline && !is_cancelled;
 }
 
 static int
@@ -250,7 +253,7 @@
     GString *out = g_string_new(NULL);
     pthread_mutex_lock(&all->lock);
     for (uint32_t i = 0; i < all->journal->len; i++) {
-        char *line = GsRun_Line(all->journal->pdata[i]);
+        char *line = GsRun_Format(all->journal->pdata[i]);
         g_string_append(out, line);
         g_string_append_c(out, '\n');
         g_free(line);
@@ -267,7 +270,8 @@
     json_object_object_add(o, name, json_object_new_int64(value));
 }
 
-/* Times of a drain are given in ms since its order; -1: not yet. */
+/* Returns the statistics of a server. Drain times are in ms since the start of
+ * the drain; -1: not yet. */
 static struct json_object *
 stats_json(const GsBackend *b)
 {
@@ -307,12 +311,12 @@
     return GsHttp_ReplyJson(conn, 200, list);
 }
 
-/* Sets only what the request names. Caller holds the lock. */
+/* Sets the flags that the request contains. The caller holds the lock. */
 static void
 apply_control(GsBackend *b, struct json_object *o)
 {
     GsBackend_Drain(b, GsJson_Int(o, "drain", b->drain) != 0, GsClock_Now());
-    b->lie_idle = GsJson_Int(o, "lie_idle", b->lie_idle) != 0;
+    b->reports_no_load = GsJson_Int(o, "lie_idle", b->reports_no_load) != 0;
     b->shed = GsJson_Int(o, "shed", b->shed) != 0;
     b->silent = GsJson_Int(o, "silent", b->silent) != 0;
     b->silent_runs = GsJson_Int(o, "runs", b->silent_runs) != 0;
@@ -322,7 +326,7 @@
         (uint32_t)GsJson_Int(o, "reset_share_percent", b->reset_share_percent);
 }
 
-/* POST /control; the name "*" means every server of the process. */
+/* POST /control. The name "*" selects all servers of the process. */
 static int
 control_set(Backends *all, struct mg_connection *conn)
 {
@@ -394,7 +398,7 @@
     b->rng = GwRng_Make(((uint64_t)o->seed << 32) + index);
 }
 
-/* False when the file cannot be read or lists no server. */
+/* Returns false when the file cannot be read or lists no server. */
 static bool
 read_config(Backends *all, const Options *o)
 {
@@ -488,20 +492,27 @@
                  .threads = 1200,
                  .seed = 1};
     struct poptOption options[] = {
-        {"config", 0, POPT_ARG_STRING, &o.config, 0, "servers", "FILE"},
+        {"config", 0, POPT_ARG_STRING, &o.config, 0, "list of backend servers",
+         "FILE"},
         {"control", 0, POPT_ARG_STRING, &o.control, 0, "address", "IP:PORT"},
-        {"service-ms", 0, POPT_ARG_INT, &o.service_ms, 0, "median", NULL},
-        {"sigma", 0, POPT_ARG_DOUBLE, &o.sigma, 0, "of the lognormal", NULL},
-        {"cold-ms", 0, POPT_ARG_INT, &o.cold_ms, 0, "slow at first", NULL},
-        {"cold-factor", 0, POPT_ARG_INT, &o.cold_factor, 0, "by this", NULL},
+        {"service-ms", 0, POPT_ARG_INT, &o.service_ms, 0,
+         "median service time", NULL},
+        {"sigma", 0, POPT_ARG_DOUBLE, &o.sigma, 0,
+         "sigma of the lognormal service time", NULL},
+        {"cold-ms", 0, POPT_ARG_INT, &o.cold_ms, 0,
+         "duration of the cold start", NULL},
+        {"cold-factor", 0, POPT_ARG_INT, &o.cold_factor, 0,
+         "slowdown during the cold start", NULL},
         {"shed-percent", 0, POPT_ARG_INT, &o.shed_percent, 0,
-         "of slots in flight, refused from there on", NULL},
+         "refuse requests above this share of the slots", NULL},
         {"connect-us", 0, POPT_ARG_INT, &o.connect_us, 0,
-         "cost of a connection", NULL},
+         "setup time of a connection", NULL},
         {"connections", 0, POPT_ARG_INT, &o.connections, 0,
-         "limit of one server", NULL},
-        {"threads", 0, POPT_ARG_INT, &o.threads, 0, "open connections", NULL},
-        {"seed", 0, POPT_ARG_INT, &o.seed, 0, "of service times", NULL},
+         "connection limit of a server", NULL},
+        {"threads", 0, POPT_ARG_INT, &o.threads, 0, "maximum open connections",
+         NULL},
+        {"seed", 0, POPT_ARG_INT, &o.seed, 0, "seed of the service times",
+         NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext pc = poptGetContext(NULL, argc, argv, options, 0);
     if (poptGetNextOpt(pc) < -1 || o.config == NULL || o.control == NULL) {
--- a/standins/standin_callers.c
+++ b/standins/standin_callers.c
@@ -1,8 +1,8 @@
-/* Load and experiment tool: many callers over a pool of threads, open-loop.
+/* Load generator: open-loop arrivals, run by a pool of caller threads.
  * usage: standin_callers --mix SERVICE:KIND=WEIGHT,... REGION=ADDR,ADDR...
  *        standin_callers --direct ADDR --mix SERVICE:look-up=1
  *        standin_callers --request METHOD --at ADDR --path PATH [--body TEXT]
- * The last form sends one request and prints the answer: for scripts. */
+ * The last form sends one request and prints the answer, for scripts. */
 #include "common/caller.h"
 #include "common/clock.h"
 #include "common/http.h"
@@ -27,7 +27,7 @@
 
 typedef struct {
     char name[GS_NAME_MAX];
-    GPtrArray *addresses; /* own entries first, then all others */
+    GPtrArray *addresses; /* entries of the region first, then all others */
     uint32_t local_count;
     GsDirectory *directories[MIX_MAX]; /* by index of the mix */
     GsClient client;
@@ -65,16 +65,16 @@
     GPtrArray *records;
 } Load;
 
-/* Set by SIGTERM: no more arrivals; then the judge, as at the end. */
-static volatile sig_atomic_t stop_asked;
+/* Set by SIGTERM: stops the arrivals; the report follows as usual. */
+static volatile sig_atomic_t is_stop_requested;
 
 static void
 on_term(int number)
 {
-    stop_asked = 1;
+    is_stop_requested = 1;
 }
 
-/* "service:kind=weight,..."; false when a part is not understood. */
+/* Parses "service:kind=weight,...". Returns false when a part is malformed. */
 static bool
 parse_mix(Load *l, const char *text)
 {
@@ -98,7 +98,7 @@
     return good && l->weight_sum > 0;
 }
 
-/* "region=address,address". */
+/* Parses "region=address,address". Returns false when malformed. */
 static bool
 parse_home(Load *l, const char *text)
 {
@@ -118,7 +118,8 @@
     return h->local_count > 0;
 }
 
-/* A caller whose own region's entries are all gone asks those of others. */
+/* Appends the entries of other regions, which callers use when no entry of
+ * their own region is reachable. */
 static void
 add_other_homes(Load *l)
 {
@@ -165,15 +166,15 @@
     return i;
 }
 
-/* The next arrival, NULL when the time is over. Kind, home and gap come from
- * the seed alone, whichever thread asks. */
+/* Returns the next arrival, or NULL at the end of the load. Operation, home
+ * and gap depend only on the seed, not on the calling thread. */
 static GsRecord *
 next_arrival(Load *l, uint32_t *mix)
 {
     GsRecord *r = NULL;
     pthread_mutex_lock(&l->lock);
     int64_t end_us = l->start_us + (int64_t)l->options->duration_s * 1000000;
-    if (l->next_us < end_us && !stop_asked) {
+    if (l->next_us < end_us && !is_stop_requested) {
         r = g_new0(GsRecord, 1);
         *mix = draw_mix(l);
         r->operation = l->mix[*mix].operation;
@@ -227,9 +228,10 @@
     g_free(threads);
 }
 
-/* Fetches the journals, judges and reports; the exit code. */
+/* Fetches the journals, evaluates them and prints the report. Returns the exit
+ * code. */
 static int
-judge(Load *l)
+evaluate(Load *l)
 {
     const Options *o = l->options;
     GPtrArray *runs = g_ptr_array_new_with_free_func(g_free);
@@ -241,10 +243,10 @@
         whole = GsReport_FetchRuns(client, o->journals, runs) && whole;
         stats = GsReport_FetchStats(client, o->journals);
     }
-    GsVerdict v = GsVerdict_Judge(l->records, runs);
+    GsVerdict v = GsVerdict_Compute(l->records, runs);
     GsReport_Print(l->records, stats, &v, stdout);
     if (!whole) {
-        printf("the journals are not whole: the judgement is partial\n");
+        printf("the journals are incomplete: the evaluation is partial\n");
     }
     if (o->report != NULL &&
         !GsReport_Write(o->report, l->records, stats, &v)) {
@@ -254,7 +256,7 @@
     GsVerdict_PrintLine(&v, stdout);
     json_object_put(stats);
     g_ptr_array_free(runs, TRUE);
-    return whole && GsVerdict_Good(&v) ? 0 : 1;
+    return whole && GsVerdict_IsClean(&v) ? 0 : 1;
 }
 
 static void
@@ -288,18 +290,19 @@
             g_ptr_array_new_with_free_func(g_free);
     }
     if (!good || l.home_count == 0) {
-        fprintf(stderr, "standin_callers: bad mix or regions\n");
+        fprintf(stderr,
+                "standin_callers: invalid or missing mix or regions\n");
         return 2;
     }
     open_homes(&l);
     run_threads(&l);
-    int rc = judge(&l);
+    int rc = evaluate(&l);
     close_load(&l);
     return rc;
 }
 
-/* Prints the answer's body; 0 for a status below 400, 1 for any other, 3 for
- * none. */
+/* Sends one request and prints the body of the answer. Returns 0 for a status
+ * below 400, 1 for any other status, 3 without an answer. */
 static int
 run_request(const Options *o)
 {
@@ -321,7 +324,7 @@
     return rc;
 }
 
-/* popt hands over a copy of each text. */
+/* Frees the strings, which popt allocates. */
 static void
 free_options(Options *o)
 {
@@ -347,24 +350,25 @@
     struct poptOption options[] = {
         {"mix", 0, POPT_ARG_STRING, &o.mix, 0, "service:kind=weight,...",
          NULL},
-        {"direct", 0, POPT_ARG_STRING, &o.direct, 0, "a backend server",
-         "IP:PORT"},
+        {"direct", 0, POPT_ARG_STRING, &o.direct, 0,
+         "address of a backend server", "IP:PORT"},
         {"journals", 0, POPT_ARG_STRING, &o.journals, 0,
          "control addresses of the backend processes", "ADDR,..."},
         {"report", 0, POPT_ARG_STRING, &o.report, 0, "JSON report", "FILE"},
-        {"rate", 0, POPT_ARG_DOUBLE, &o.rate, 0, "arrivals a second", NULL},
+        {"rate", 0, POPT_ARG_DOUBLE, &o.rate, 0, "arrivals per second", NULL},
         {"duration", 0, POPT_ARG_INT, &o.duration_s, 0, "seconds", NULL},
-        {"deadline-ms", 0, POPT_ARG_INT, &o.deadline_ms, 0, "per request",
-         NULL},
-        {"delay-us", 0, POPT_ARG_INT, &o.delay_us, 0, "one way to entries",
-         NULL},
-        {"threads", 0, POPT_ARG_INT, &o.threads, 0, "open requests", NULL},
-        {"seed", 0, POPT_ARG_INT, &o.seed, 0, "of the arrivals", NULL},
+        {"deadline-ms", 0, POPT_ARG_INT, &o.deadline_ms, 0,
+         "deadline of a request", NULL},
+        {"delay-us", 0, POPT_ARG_INT, &o.delay_us, 0,
+         "one-way delay to entries", NULL},
+        {"threads", 0, POPT_ARG_INT, &o.threads, 0,
+         "maximum concurrent requests", NULL},
+        {"seed", 0, POPT_ARG_INT, &o.seed, 0, "seed of the arrivals", NULL},
         {"request", 0, POPT_ARG_STRING, &o.request, 0, "send one request",
          "METHOD"},
-        {"at", 0, POPT_ARG_STRING, &o.at, 0, "where to", "IP:PORT"},
-        {"path", 0, POPT_ARG_STRING, &o.path, 0, "with its query", NULL},
-        {"body", 0, POPT_ARG_STRING, &o.body, 0, "of that request", NULL},
+        {"at", 0, POPT_ARG_STRING, &o.at, 0, "address to send to", "IP:PORT"},
+        {"path", 0, POPT_ARG_STRING, &o.path, 0, "path with query", NULL},
+        {"body", 0, POPT_ARG_STRING, &o.body, 0, "body of the request", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext pc = poptGetContext(NULL, argc, argv, options, 0);
     if (poptGetNextOpt(pc) < -1) {
--- a/standins/standin_platform.c
+++ b/standins/standin_platform.c
@@ -1,5 +1,5 @@
-/* Stand-in of the platform: table service, object store and instance list,
- * in memory, with faults on order. usage: standin_platform --listen ADDR */
+/* Stand-in of the platform: in-memory table service, object store and instance
+ * list with fault injection. usage: standin_platform --listen ADDR */
 #include "common/clock.h"
 #include "common/fault.h"
 #include "common/http.h"
@@ -22,10 +22,10 @@
 typedef struct {
     pthread_mutex_t lock; /* guards all below */
     GsTable *table;
-    GsTable *old_table; /* what a stale read sees */
+    GsTable *old_table; /* state returned by stale reads */
     GsTable *objects;
     GsTable *old_objects;
-    GPtrArray *changes; /* of the instance list, in order of time */
+    GPtrArray *changes; /* of the instance list, oldest first */
     GsFault fault;
     bool fault_store;
     bool fault_list;
@@ -52,7 +52,8 @@
     return o;
 }
 
-/* Caller holds the lock; the answer is made under it and sent after. */
+/* Builds the answer of a read. The caller holds the lock and sends the answer
+ * after releasing it. */
 static int
 read_rows(Platform *p, struct mg_connection *conn, const GsTable *t,
           struct json_object **out)
@@ -77,7 +78,7 @@
     return 200;
 }
 
-/* Runs one transaction under the lock. */
+/* Runs one transaction. The caller holds the lock. */
 static int
 commit(Platform *p, struct json_object *rows, struct json_object **out)
 {
@@ -112,7 +113,7 @@
     return bad >= 0 ? 409 : 200;
 }
 
-/* The request of one store operation, read before the lock is taken. */
+/* Request of a store operation, read before the lock is taken. */
 typedef struct {
     const char *uri;
     bool write;
@@ -122,8 +123,8 @@
     struct json_object *json;
 } StoreOp;
 
-/* Objects are kept as rows whose version is not checked, but for
- * create-only. */
+/* Runs an object operation. Objects are stored as rows; only create-only
+ * requests check for an existing version. */
 static int
 object_op(Platform *p, struct mg_connection *conn, const StoreOp *op,
           struct json_object **out, char **raw)
@@ -151,7 +152,8 @@
     return 200;
 }
 
-/* Caller holds the lock. Exactly one of `out` and `raw` may be set. */
+/* Runs a store operation and sets at most one of `out` and `raw`. The caller
+ * holds the lock. */
 static int
 run_op(Platform *p, struct mg_connection *conn, const StoreOp *op,
        struct json_object **out, char **raw)
@@ -180,7 +182,7 @@
     return read_rows(p, conn, op->stale ? p->old_table : p->table, out);
 }
 
-/* The fault for this request, drawn once. */
+/* Draws the fault of a request. */
 static GsFaultMode
 draw_fault(Platform *p, bool list, uint32_t *slow_ms)
 {
@@ -218,7 +220,7 @@
     return status;
 }
 
-/* Table service and object store, under the fault of the moment. */
+/* Serves the table service and the object store with the current fault. */
 static int
 store(Platform *p, struct mg_connection *conn,
       const struct mg_request_info *ri)
@@ -254,8 +256,8 @@
     return reply_op(conn, status, out, raw, mode == GS_FAULT_LOST);
 }
 
-/* POST /control/faults. Replaces the fault before; a stale one freezes what
- * reads see now. "target": store (default), list or all. */
+/* POST /control/faults. Replaces the current fault; "stale" freezes the state
+ * that reads return. "target": store (default), list or all. */
 static int
 control_faults(Platform *p, struct mg_connection *conn)
 {
@@ -286,7 +288,7 @@
     return GsHttp_Reply(conn, 200, "", "{}");
 }
 
-/* POST /control/instances: one change of the list, seen after the lag. */
+/* POST /control/instances: changes the list; visible after the lag. */
 static int
 control_instances(Platform *p, struct mg_connection *conn)
 {
@@ -307,7 +309,7 @@
     return GsHttp_Reply(conn, 200, "", "{}");
 }
 
-/* The list as it was `lag` ago. Caller holds the lock. */
+/* Returns the list as of `at_us`. The caller holds the lock. */
 static struct json_object *
 instances_json(const Platform *p, int64_t at_us)
 {
@@ -439,10 +441,11 @@
     int seed = 1;
     struct poptOption options[] = {
         {"listen", 0, POPT_ARG_STRING, &listen, 0, "address", "IP:PORT"},
-        {"list-lag-ms", 0, POPT_ARG_INT, &lag_ms, 0, "lag of the list", NULL},
+        {"list-lag-ms", 0, POPT_ARG_INT, &lag_ms, 0,
+         "lag of the instance list", NULL},
         {"reads-per-s", 0, POPT_ARG_INT, &reads, 0, "0: no limit", NULL},
         {"writes-per-s", 0, POPT_ARG_INT, &writes, 0, "0: no limit", NULL},
-        {"seed", 0, POPT_ARG_INT, &seed, 0, "of faults by share", NULL},
+        {"seed", 0, POPT_ARG_INT, &seed, 0, "seed of the fault draws", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext pc = poptGetContext(NULL, argc, argv, options, 0);
     if (poptGetNextOpt(pc) < -1 || listen == NULL) {
--- a/tests/unit/test_standin_backend.c
+++ b/tests/unit/test_standin_backend.c
@@ -1,3 +1,5 @@
+/* Model of a backend server: admission, connection limit, drain, service
+ * times and reported load. */
 #include "common/backend.h"
 
 #include <criterion/criterion.h>
@@ -13,7 +15,7 @@
                        .rng = GwRng_Make(7)};
 }
 
-Test(standin_backend, sheds_beyond_its_threshold)
+Test(standin_backend, refuses_requests_above_the_shed_threshold)
 {
     GsBackend b = make_backend();
     for (int i = 0; i < 3; i++) {
@@ -43,7 +45,7 @@
     {"down", true, true, true, true, true, GS_ADMIT_DROP, 0},
 };
 
-Test(standin_backend, flags_decide_what_runs)
+Test(standin_backend, control_flags_select_the_admission)
 {
     for (size_t i = 0; i < sizeof(flag_cases) / sizeof(flag_cases[0]); i++) {
         const FlagCase *c = &flag_cases[i];
@@ -58,7 +60,7 @@
     }
 }
 
-Test(standin_backend, connections_keep_to_their_limit)
+Test(standin_backend, closes_connections_above_the_limit)
 {
     GsBackend b = make_backend();
     b.connection_limit = 2;
@@ -71,7 +73,7 @@
     cr_assert_eq(b.connections_refused, 1);
 }
 
-Test(standin_backend, a_drain_ends_with_its_last_request)
+Test(standin_backend, drain_is_idle_after_the_last_request)
 {
     GsBackend b = make_backend();
     GsBackend_Begin(&b, 1);
@@ -83,7 +85,7 @@
     cr_assert_eq(b.drain_last_offer_us, 15);
 }
 
-Test(standin_backend, service_times_follow_seed_and_cold_start)
+Test(standin_backend, service_times_depend_on_seed_and_cold_start)
 {
     GsBackend a = make_backend();
     GsBackend b = make_backend();
@@ -99,11 +101,11 @@
     cr_assert_eq(GsBackend_ServiceTime(&cold, 10), 3000);
 }
 
-Test(standin_backend, a_lying_server_reports_idle)
+Test(standin_backend, reports_no_load_when_told_to)
 {
     GsBackend b = make_backend();
     GsBackend_Begin(&b, 1);
     cr_assert_eq(GsBackend_ReportedLoad(&b), 1);
-    b.lie_idle = true;
+    b.reports_no_load = true;
     cr_assert_eq(GsBackend_ReportedLoad(&b), 0);
 }
--- a/tests/unit/test_standin_caller.c
+++ b/tests/unit/test_standin_caller.c
@@ -7,16 +7,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Two entries (one server, two ports) follow a script, one letter a call:
- * Answer, Not run, Leaving, Unknown, Drop without an answer. The caller may
- * book anew only after a proven refusal by an entry that cannot run it; after
- * a drop or an unknown, a second ticket would be a second booking. */
+/* A caller may use a new ticket only after a not-run outcome; after a closed
+ * connection or an unknown outcome, a second ticket would be a second booking.
+ * Two entries (one server, two ports) follow a script, one letter per call:
+ * Answer, Not run, Leaving, Unknown, Drop without an answer. */
 
 typedef struct {
     pthread_mutex_t lock;
-    const char *script; /* what is left of it */
+    const char *script; /* remaining steps */
     uint32_t minted;
-    GHashTable *tickets; /* seen in calls */
+    GHashTable *tickets; /* tickets received in calls */
     char addresses[2][GS_ADDRESS_MAX];
 } Entries;
 
@@ -79,24 +79,24 @@
 typedef struct {
     const char *script;
     const char *op;
-    bool first_is_dead; /* nothing listens at the first address */
-    GsEnd expected;
-    uint32_t tickets; /* different ones used in calls */
+    bool first_is_dead; /* the first address refuses connections */
+    GsOutcome expected;
+    uint32_t tickets; /* number of distinct tickets used in calls */
 } Case;
 
 static const Case cases[] = {
-    {"A", "booking", false, GS_END_ANSWERED, 1},
-    {"NNA", "booking", false, GS_END_ANSWERED, 3},
-    {"LA", "booking", false, GS_END_ANSWERED, 2},
-    {"U", "booking", false, GS_END_UNKNOWN, 1},
-    {"UA", "booking", false, GS_END_UNKNOWN, 1},
-    {"DU", "booking", false, GS_END_UNKNOWN, 1},
-    {"DDA", "booking", false, GS_END_ANSWERED, 1},
-    {"DDNA", "booking", false, GS_END_ANSWERED, 2},
-    {"A", "booking", true, GS_END_ANSWERED, 1},
-    {"DDU", "booking", true, GS_END_UNKNOWN, 1},
-    {"UA", "look-up", false, GS_END_ANSWERED, 0},
-    {"DDNA", "look-up", false, GS_END_ANSWERED, 0},
+    {"A", "booking", false, GS_OUTCOME_ANSWERED, 1},
+    {"NNA", "booking", false, GS_OUTCOME_ANSWERED, 3},
+    {"LA", "booking", false, GS_OUTCOME_ANSWERED, 2},
+    {"U", "booking", false, GS_OUTCOME_UNKNOWN, 1},
+    {"UA", "booking", false, GS_OUTCOME_UNKNOWN, 1},
+    {"DU", "booking", false, GS_OUTCOME_UNKNOWN, 1},
+    {"DDA", "booking", false, GS_OUTCOME_ANSWERED, 1},
+    {"DDNA", "booking", false, GS_OUTCOME_ANSWERED, 2},
+    {"A", "booking", true, GS_OUTCOME_ANSWERED, 1},
+    {"DDU", "booking", true, GS_OUTCOME_UNKNOWN, 1},
+    {"UA", "look-up", false, GS_OUTCOME_ANSWERED, 0},
+    {"DDNA", "look-up", false, GS_OUTCOME_ANSWERED, 0},
 };
 
 static void
@@ -117,18 +117,18 @@
                        .deadline_us = 20000000};
     GsRecord r = {.key = "k-1", .operation = op, .due_us = GsClock_Now()};
     GsCaller_Run(&caller, &r);
-    cr_assert_eq(r.end, c->expected, "%s %s: %s", c->op, c->script,
-                 GsEnd_Name(r.end));
+    cr_assert_eq(r.outcome, c->expected, "%s %s: %s", c->op, c->script,
+                 GsOutcome_Name(r.outcome));
     cr_assert_eq(g_hash_table_size(e->tickets), c->tickets, "%s %s", c->op,
                  c->script);
-    cr_assert(r.end != GS_END_ANSWERED || r.answer_whole);
+    cr_assert(r.outcome != GS_OUTCOME_ANSWERED || r.answer_whole);
     GsDirectory_Free(caller.directory);
     GsClient_Clear(&client);
     g_hash_table_destroy(e->tickets);
     g_ptr_array_free(addresses, TRUE);
 }
 
-Test(standin_caller, books_anew_only_after_a_proven_refusal)
+Test(standin_caller, new_ticket_only_after_a_not_run_outcome)
 {
     Entries e = {.lock = PTHREAD_MUTEX_INITIALIZER};
     GsHttpOptions http = {.ports = "127.0.0.1:0,127.0.0.1:0",
--- a/tests/unit/test_standin_client.c
+++ b/tests/unit/test_standin_client.c
@@ -7,14 +7,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* An entry answers one booking on a kept connection, reads the next one and
- * dies. libcurl resends on a new connection, which is refused. The caller
- * must see "broken", not "nothing sent": the entry had the request, and a
- * fresh ticket would be a second booking. */
+/* A request that an entry has read must not be reported as "nothing sent": a
+ * retry with a new ticket would be a second booking. The entry answers up to
+ * two bookings on one connection, reads the next one and exits; libcurl
+ * resends on a new connection, which is refused. */
 
 typedef struct {
     int listener;
-    uint32_t answers; /* given before the server dies on a request */
+    uint32_t answers; /* answers before the server exits on a request */
 } DyingServer;
 
 static void *
@@ -63,7 +63,7 @@
     return GsClient_Send(c, &q, reply);
 }
 
-Test(standin_client, a_request_that_left_is_never_nothing_sent)
+Test(standin_client, sent_request_is_never_reported_as_nothing_sent)
 {
     for (uint32_t answers = 0; answers < 3; answers++) {
         char address[GS_ADDRESS_MAX];
--- a/tests/unit/test_standin_http.c
+++ b/tests/unit/test_standin_http.c
@@ -1,6 +1,6 @@
-/* A backend server counts its open connections, and refuses those above its
- * limit. A close that goes uncounted makes the count grow for ever: the
- * stand-in would report a crowd that is not there, and refuse callers. */
+/* The HTTP server must report every closed connection. Backend servers count
+ * open connections and refuse those above a limit: an unreported close would
+ * inflate the count and refuse callers for no reason. */
 #include "common/client.h"
 #include "common/http.h"
 #include "fakes/free_port.h"
@@ -28,7 +28,7 @@
     atomic_fetch_add(&closed, 1);
 }
 
-Test(standin_http, tells_of_closed_connections, .timeout = 30)
+Test(standin_http, reports_closed_connections, .timeout = 30)
 {
     char address[GW_ADDR_MAX];
     FreePort_Address(address);
--- a/tests/unit/test_standin_platform.c
+++ b/tests/unit/test_standin_platform.c
@@ -1,3 +1,5 @@
+/* Platform stand-in: transactions and listings of the table, fault injection
+ * and the budget of operations. */
 #include "common/fault.h"
 #include "common/table.h"
 
@@ -6,8 +8,8 @@
 
 #define ROWS_MAX 3
 
-/* Each case runs after a = version 1, b = version 2. `expected` is the index
- * of the row that conflicts, -1 when all is written. */
+/* Each case starts with row a at version 1 and row b at version 2. `expected`
+ * is the index of the conflicting row, or -1 when all rows are written. */
 typedef struct {
     const char *name;
     uint32_t count;
@@ -19,8 +21,8 @@
     {"update", 1, {{"a", "n", 1}}, -1},
     {"update two", 2, {{"a", "n", 1}, {"b", "n", 2}}, -1},
     {"create", 1, {{"c", "n", 0}}, -1},
-    {"create what is there", 1, {{"a", "n", 0}}, 0},
-    {"update what is not there", 1, {{"c", "n", 1}}, 0},
+    {"create an existing row", 1, {{"a", "n", 0}}, 0},
+    {"update a missing row", 1, {{"c", "n", 1}}, 0},
     {"old version", 1, {{"b", "n", 1}}, 0},
     {"last row conflicts",
      3,
@@ -58,7 +60,7 @@
     }
 }
 
-Test(standin_platform, a_copy_stays_as_it_was)
+Test(standin_platform, copy_is_not_changed_by_later_writes)
 {
     GsTable *t = make_table();
     GsTable *old = GsTable_Copy(t);
@@ -71,7 +73,7 @@
     GsTable_Free(old);
 }
 
-Test(standin_platform, listing_is_by_prefix_in_order)
+Test(standin_platform, listing_filters_by_prefix_in_key_order)
 {
     GsTable *t = GsTable_Create();
     GsRow rows[] = {{"seat/2", "", 0}, {"seat/1", "", 0}, {"sea", "", 0}};
@@ -98,7 +100,7 @@
     {"down", 10, 30, GS_FAULT_NONE},
 };
 
-Test(standin_platform, faults_end_and_keep_to_their_share)
+Test(standin_platform, faults_respect_end_time_and_share)
 {
     for (size_t i = 0; i < sizeof(fault_cases) / sizeof(fault_cases[0]); i++) {
         const FaultCase *c = &fault_cases[i];
@@ -111,7 +113,7 @@
     cr_assert_not(GsFault_Parse("gone", &mode));
 }
 
-Test(standin_platform, budget_is_per_second)
+Test(standin_platform, budget_is_renewed_every_second)
 {
     GsBudget b = {.per_second = 2};
     cr_assert(GsBudget_Take(&b, 5000000));
