--- a/standins/site/caller.c
+++ b/standins/site/caller.c
@@ -5,10 +5,10 @@
 
 #define LOOKUP_EVERY_US 2000000
 #define PAUSE_MS        8
-/* Of one that sends the same request again, whatever it is told. */
-#define AGAIN_MS 150
-/* One in so many pauses is long, where callers rest. */
-#define RESTS_ONE_IN 8
+/* Pause of a caller that repeats a crashing request. */
+#define REPEAT_PAUSE_MS 150
+/* With rest_ms, one in this many pauses is long. */
+#define LONG_PAUSE_ONE_IN 8
 
 typedef enum { STEP_LOOKUP = 1, STEP_CONNECT, STEP_ANSWER, STEP_PAUSE } Step;
 
@@ -20,9 +20,10 @@
     bool stopping;
     bool idle;
     GPtrArray *entries; /* addresses */
-    int64_t looked_us;
-    char at[32];   /* the entry that it is connected to, or was last */
-    uint32_t life; /* which process of it */
+    int64_t lookup_us;
+    char at[32]; /* address of the current or last entry */
+    uint32_t
+        process; /* process of that entry, see SiteJournal_CurrentProcess */
     uint64_t seq;
     GQueue sent; /* SiteRequest, oldest first */
     uv_timer_t timer;
@@ -36,12 +37,12 @@
     return (int64_t)(uv_hrtime() / 1000);
 }
 
-static void next(SiteCaller *c);
+static void advance(SiteCaller *c);
 
 static void
 on_timer(uv_timer_t *timer)
 {
-    next(timer->data);
+    advance(timer->data);
 }
 
 static void
@@ -52,7 +53,7 @@
 }
 
 static void
-hang_up(SiteCaller *c)
+disconnect(SiteCaller *c)
 {
     if (c->conn != NULL) {
         GwConn_Close(c->conn);
@@ -71,7 +72,7 @@
         .body_max = 1 << 20,
     };
 
-    hang_up(c);
+    disconnect(c);
     c->conn = GwConn_Connect(&params, address);
     return c->conn != NULL;
 }
@@ -111,11 +112,11 @@
         a->request_id, id, a->object_key,
         crashes ? 0 : GwRng_Below(c->params.rng, c->params.objects),
         a->time_left, c->params.left_ms, once ? "Content-Length: 0\r\n" : "");
-    SiteSending sending = {.id = id,
-                           .once = once,
-                           .entry = c->at,
-                           .life = c->life,
-                           .first = first};
+    SiteRequestInfo sending = {.id = id,
+                               .once = once,
+                               .entry = c->at,
+                               .process = c->process,
+                               .first = first};
     g_queue_push_tail(&c->sent, SiteJournal_Sent(c->params.journal, &sending));
 }
 
@@ -131,11 +132,11 @@
     write_text(c, out);
 }
 
-/* What was sent on a connection that has ended gets no answer any more. */
+/* Ends all requests that were sent on a closed connection. */
 static void
-give_up_sent(SiteCaller *c, SiteOutcome outcome)
+end_pending(SiteCaller *c, SiteOutcome outcome)
 {
-    SiteEnd end = {.outcome = outcome};
+    SiteResult end = {.outcome = outcome};
     SiteRequest *req;
 
     while ((req = g_queue_pop_head(&c->sent)) != NULL) {
@@ -144,7 +145,7 @@
 }
 
 static void
-ask_directory(SiteCaller *c)
+query_directory(SiteCaller *c)
 {
     const GwAdapter *a = c->params.adapter;
     GString *out = g_string_new(NULL);
@@ -160,24 +161,24 @@
 static bool
 is_stale(const SiteCaller *c)
 {
-    return now_us() - c->looked_us > LOOKUP_EVERY_US;
+    return now_us() - c->lookup_us > LOOKUP_EVERY_US;
 }
 
 static void
-next(SiteCaller *c)
+advance(SiteCaller *c)
 {
     if (c->stopping) {
-        hang_up(c);
+        disconnect(c);
         c->idle = true;
         return;
     }
     if (c->conn != NULL && !c->to_directory &&
-        (c->params.keeps || !is_stale(c))) {
+        (c->params.keeps_entry || !is_stale(c))) {
         send_requests(c, false);
         return;
     }
-    hang_up(c);
-    bool stays = c->params.keeps && c->at[0] != '\0';
+    disconnect(c);
+    bool stays = c->params.keeps_entry && c->at[0] != '\0';
     if (!stays && (c->entries->len == 0 || is_stale(c))) {
         c->step = STEP_LOOKUP;
         c->to_directory = true;
@@ -202,22 +203,23 @@
     SiteCaller *c = owner;
 
     if (c->to_directory) {
-        ask_directory(c);
+        query_directory(c);
     }
     else {
-        c->life = SiteJournal_Life(c->params.journal, c->at);
+        c->process = SiteJournal_CurrentProcess(c->params.journal, c->at);
         send_requests(c, true);
     }
 }
 
-/* The quoted strings of the answer that are addresses. */
+/* Stores the entries of a directory answer: every quoted string that is an
+ * address. */
 static void
-take_directory(SiteCaller *c, const GwHttpMessage *msg)
+store_directory(SiteCaller *c, const GwHttpMessage *msg)
 {
     char **words = g_strsplit(msg->body->str, "\"", -1);
     struct sockaddr_in at;
 
-    c->looked_us = now_us();
+    c->lookup_us = now_us();
     g_ptr_array_set_size(c->entries, 0);
     for (char **w = words; *w != NULL; w++) {
         if (GwConn_ParseAddress(*w, &at)) {
@@ -227,15 +229,16 @@
     g_strfreev(words);
 }
 
-/* The answer to the oldest of what was sent. A refusal in the middle of
- * several can't say that the connection ends. */
+/* Records the answer to the oldest pending request. Only the last of several
+ * pipelined answers can announce the end of the connection, so the others
+ * count as closing. */
 static void
-take_answer(SiteCaller *c, const GwHttpMessage *msg)
+record_answer(SiteCaller *c, const GwHttpMessage *msg)
 {
     SiteRequest *req = g_queue_pop_head(&c->sent);
-    SiteEnd end = {
-        .comeback = GwHttpMessage_Get(msg, "retry-after") != NULL,
-        .closing = !msg->keep_alive || !g_queue_is_empty(&c->sent),
+    SiteResult end = {
+        .has_retry_after = GwHttpMessage_Get(msg, "retry-after") != NULL,
+        .is_closing = !msg->keep_alive || !g_queue_is_empty(&c->sent),
     };
 
     if (msg->status == 200) {
@@ -254,8 +257,8 @@
 static uint32_t
 pause_ms(SiteCaller *c)
 {
-    bool rests =
-        c->params.rest_ms > 0 && GwRng_Below(c->params.rng, RESTS_ONE_IN) == 0;
+    bool rests = c->params.rest_ms > 0 &&
+                 GwRng_Below(c->params.rng, LONG_PAUSE_ONE_IN) == 0;
 
     return rests ? GwRng_Below(c->params.rng, c->params.rest_ms) : PAUSE_MS;
 }
@@ -268,9 +271,9 @@
 
     if (c->to_directory) {
         if (msg->status == 200) {
-            take_directory(c, msg);
+            store_directory(c, msg);
         }
-        hang_up(c);
+        disconnect(c);
         wait_ms = c->entries->len > 0 ? 0 : 100;
     }
     else {
@@ -279,20 +282,20 @@
             SiteJournal_Stray(c->params.journal);
         }
         else {
-            take_answer(c, msg);
+            record_answer(c, msg);
         }
         if (later != NULL) {
             wait_ms = (uint32_t)(g_ascii_strtod(later, NULL) * 1000);
         }
         if (!msg->keep_alive) {
-            hang_up(c);
-            give_up_sent(c, SITE_REQUEST_BEHIND);
+            disconnect(c);
+            end_pending(c, SITE_REQUEST_PIPELINED);
         }
     }
     GwHttpMessage_Free(msg);
     if (c->params.crashes && !c->to_directory) {
-        hang_up(c);
-        wait_ms = AGAIN_MS;
+        disconnect(c);
+        wait_ms = REPEAT_PAUSE_MS;
     }
     if (g_queue_is_empty(&c->sent)) {
         pause_for(c, wait_ms);
@@ -305,16 +308,16 @@
     SiteCaller *c = owner;
 
     if (end == GW_CONN_BAD) {
-        hang_up(c);
+        disconnect(c);
         SiteJournal_Stray(c->params.journal);
     }
     c->conn = NULL;
-    give_up_sent(c, SITE_REQUEST_CLOSED);
+    end_pending(c, SITE_REQUEST_CLOSED);
     if (c->step == STEP_CONNECT) {
-        c->at[0] = '\0'; /* nobody listens there */
+        c->at[0] = '\0'; /* the connection was refused */
     }
     if (c->step != STEP_PAUSE) {
-        c->looked_us = 0;
+        c->lookup_us = 0;
         pause_for(c, 50);
     }
 }
--- a/standins/site/commands.c
+++ b/standins/site/commands.c
@@ -8,7 +8,7 @@
     uv_pipe_t pipe;
     SiteCommandFn run;
     void *owner;
-    GString *text; /* the part of a line that has come */
+    GString *text; /* incomplete line */
     char buffer[512];
 } Commands;
 
@@ -54,7 +54,8 @@
 SiteCommands_Open(uv_loop_t *loop, const char *path, SiteCommandFn run,
                   void *owner)
 {
-    /* Open for writing as well: writers that come and go end nothing. */
+    /* Open for writing as well, so that the pipe has no end of file when a
+     * writer closes it. */
     int fd = open(path, O_RDWR | O_NONBLOCK | O_CLOEXEC);
 
     if (fd < 0) {
--- a/standins/site/crashes.c
+++ b/standins/site/crashes.c
@@ -1,4 +1,4 @@
-/* Requests that crash the servers that run them: how often each was sent. */
+/* Counts how often requests that crash servers reach servers. */
 #include "standins/site/journal_internal.h"
 
 #include <string.h>
@@ -27,7 +27,7 @@
     SiteCrasher *c = crasher_of(j, target);
 
     if (++c->crashes == SITE_CRASHES_MAX) {
-        c->last_allowed_us = SiteJournal_NowUs() + SITE_CONTACT_US;
+        c->last_allowed_us = SiteJournal_NowUs() + SITE_EXCHANGE_US;
     }
 }
 
--- a/standins/site/journal.c
+++ b/standins/site/journal.c
@@ -5,38 +5,39 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An entry may read requests and the signal in one turn of its loop, in any
- * order: for so long after SIGTERM its answers may look like those before. */
+/* An entry may process requests and the signal in one loop iteration, in any
+ * order: for this time after SIGTERM its answers may be those of a running
+ * entry. */
 #define SIGNAL_SLACK_US 100000
-/* A request that meets a close on its way is gone within this time. */
+/* A request that crosses a close of its connection ends within this time. */
 #define CROSSING_US 300000
-/* What is under way at SIGTERM may be cut after this part of the grace; the
- * rest is for the process's own end. */
+/* Requests in flight at SIGTERM may be cut after this share of the grace
+ * period; the process needs the rest to exit. */
 #define GRACE_SHARE 0.8
 
 /* One process of an entry. */
 typedef struct {
-    int64_t term_us;    /* 0: not yet */
-    int64_t noticed_us; /* it could see the signal: it wasn't paused */
+    int64_t term_us;    /* SIGTERM; 0: not sent */
+    int64_t noticed_us; /* when it could handle SIGTERM; INT64_MAX: paused */
     int64_t kill_us;
     bool paused;
-} Life;
+} Process;
 
 typedef struct {
-    GArray *lives; /* Life */
+    GArray *processes; /* Process */
 } Entry;
 
 struct SiteRequest_s {
     char id[48];
     bool once;
     char entry[32]; /* address */
-    uint32_t life;
+    uint32_t process;
     bool first;
     int64_t sent_us;
     int64_t ended_us;
-    SiteEnd end;
+    SiteResult end;
     uint32_t runs;
-    int64_t ran_us; /* the first run's begin */
+    int64_t ran_us; /* start of the first run */
 };
 
 int64_t
@@ -49,12 +50,12 @@
 entry_of(SiteJournal *j, const char *address)
 {
     Entry *entry = g_hash_table_lookup(j->entries, address);
-    Life first = {0};
+    Process first = {0};
 
     if (entry == NULL) {
         entry = g_new0(Entry, 1);
-        entry->lives = g_array_new(FALSE, FALSE, sizeof(Life));
-        g_array_append_val(entry->lives, first);
+        entry->processes = g_array_new(FALSE, FALSE, sizeof(Process));
+        g_array_append_val(entry->processes, first);
         g_hash_table_insert(j->entries, g_strdup(address), entry);
     }
     return entry;
@@ -69,7 +70,7 @@
     j->requests = g_hash_table_new(g_str_hash, g_str_equal);
     j->in_order = g_ptr_array_new();
     j->crashers = g_hash_table_new(g_str_hash, g_str_equal);
-    j->calm_at = G_MAXUINT;
+    j->recovery_start = G_MAXUINT;
     j->start_us = SiteJournal_NowUs();
     return j;
 }
@@ -77,35 +78,35 @@
 void
 SiteJournal_Started(SiteJournal *j, const char *entry)
 {
-    Life life = {0};
+    Process process = {0};
 
-    g_array_append_val(entry_of(j, entry)->lives, life);
+    g_array_append_val(entry_of(j, entry)->processes, process);
 }
 
 void
 SiteJournal_Signalled(SiteJournal *j, const char *entry, int signum)
 {
-    GArray *lives = entry_of(j, entry)->lives;
-    Life *life = &g_array_index(lives, Life, lives->len - 1);
+    GArray *processes = entry_of(j, entry)->processes;
+    Process *process = &g_array_index(processes, Process, processes->len - 1);
     int64_t at_us = SiteJournal_NowUs();
 
     switch (signum) {
     case SIGTERM:
-        if (life->term_us == 0) {
-            life->term_us = at_us;
-            life->noticed_us = life->paused ? INT64_MAX : at_us;
+        if (process->term_us == 0) {
+            process->term_us = at_us;
+            process->noticed_us = process->paused ? INT64_MAX : at_us;
         }
         break;
     case SIGKILL:
-        life->kill_us = at_us;
+        process->kill_us = at_us;
         break;
     case SIGSTOP:
-        life->paused = true;
+        process->paused = true;
         break;
     case SIGCONT:
-        life->paused = false;
-        if (life->noticed_us == INT64_MAX) {
-            life->noticed_us = at_us;
+        process->paused = false;
+        if (process->noticed_us == INT64_MAX) {
+            process->noticed_us = at_us;
         }
         break;
     default:
@@ -114,20 +115,20 @@
 }
 
 uint32_t
-SiteJournal_Life(SiteJournal *j, const char *entry)
+SiteJournal_CurrentProcess(SiteJournal *j, const char *entry)
 {
-    return entry_of(j, entry)->lives->len - 1;
+    return entry_of(j, entry)->processes->len - 1;
 }
 
 SiteRequest *
-SiteJournal_Sent(SiteJournal *j, const SiteSending *sending)
+SiteJournal_Sent(SiteJournal *j, const SiteRequestInfo *sending)
 {
     SiteRequest *req = g_new0(SiteRequest, 1);
 
     g_strlcpy(req->id, sending->id, sizeof(req->id));
     g_strlcpy(req->entry, sending->entry, sizeof(req->entry));
     req->once = sending->once;
-    req->life = sending->life;
+    req->process = sending->process;
     req->first = sending->first;
     req->sent_us = SiteJournal_NowUs();
     (void)g_hash_table_insert(j->requests, req->id, req);
@@ -136,7 +137,7 @@
 }
 
 void
-SiteJournal_Ended(SiteRequest *req, const SiteEnd *end)
+SiteJournal_Ended(SiteRequest *req, const SiteResult *end)
 {
     req->end = *end;
     req->ended_us = SiteJournal_NowUs();
@@ -166,109 +167,113 @@
 }
 
 void
-SiteJournal_Calm(SiteJournal *j)
+SiteJournal_FaultsEnded(SiteJournal *j)
 {
-    j->calm_at = j->in_order->len;
+    j->recovery_start = j->in_order->len;
 }
 
-/* ---- Judgement ----------------------------------------------------------- */
+/* ---- Evaluation ---------------------------------------------------------- */
 
 typedef struct {
     const SiteJournal *j;
     uint32_t grace_ms;
     FILE *log;
     SiteVerdict *verdict;
-} Judge;
+} Evaluation;
 
-static const Life *
-life_of(const Judge *judge, const SiteRequest *req)
+static const Process *
+process_of(const Evaluation *evaluation, const SiteRequest *req)
 {
-    const Entry *entry = g_hash_table_lookup(judge->j->entries, req->entry);
+    const Entry *entry =
+        g_hash_table_lookup(evaluation->j->entries, req->entry);
 
-    return &g_array_index(entry->lives, Life, req->life);
+    return &g_array_index(entry->processes, Process, req->process);
 }
 
-/* Times of one request from its entry's SIGTERM, or from the journal's begin
- * where there was none. */
+/* Logs the times of a request, relative to SIGTERM to its entry, or to the
+ * start of the journal without SIGTERM. */
 static void
-tell(const Judge *judge, const SiteRequest *req, const char *what)
+log_request(const Evaluation *evaluation, const SiteRequest *req,
+            const char *what)
 {
-    const Life *life = life_of(judge, req);
-    int64_t from_us = life->term_us > 0 ? life->term_us : judge->j->start_us;
+    const Process *process = process_of(evaluation, req);
+    int64_t from_us =
+        process->term_us > 0 ? process->term_us : evaluation->j->start_us;
 
-    (void)fprintf(judge->log,
+    (void)fprintf(evaluation->log,
                   "%s: id=%s once=%d first=%d entry=%s process=%u since=%s "
                   "since_at_ms=%" PRId64 " sent_ms=%" PRId64 " run_ms=%" PRId64
                   " ended_ms=%" PRId64 " runs=%u\n",
-                  what, req->id, req->once, req->first, req->entry, req->life,
-                  life->term_us > 0 ? "SIGTERM" : "start",
-                  (from_us - judge->j->start_us) / 1000,
+                  what, req->id, req->once, req->first, req->entry,
+                  req->process, process->term_us > 0 ? "SIGTERM" : "start",
+                  (from_us - evaluation->j->start_us) / 1000,
                   (req->sent_us - from_us) / 1000,
                   req->runs > 0 ? (req->ran_us - from_us) / 1000 : -1,
                   (req->ended_us - from_us) / 1000, req->runs);
 }
 
-/* The connection ended with no answer. */
+/* Classifies a request whose connection closed without an answer. */
 static void
-judge_closed(const Judge *judge, const SiteRequest *req)
+evaluate_closed(const Evaluation *evaluation, const SiteRequest *req)
 {
-    SiteVerdict *v = judge->verdict;
-    const Life *life = life_of(judge, req);
-    int64_t over_us = (int64_t)(judge->grace_ms * 1000 * GRACE_SHARE);
+    SiteVerdict *v = evaluation->verdict;
+    const Process *process = process_of(evaluation, req);
+    int64_t over_us = (int64_t)(evaluation->grace_ms * 1000 * GRACE_SHARE);
 
     v->lost++;
-    if (life->kill_us != 0 && req->ended_us >= life->kill_us) {
+    if (process->kill_us != 0 && req->ended_us >= process->kill_us) {
         v->killed++;
     }
-    else if (req->runs == 0 && req->end.outcome == SITE_REQUEST_BEHIND) {
+    else if (req->runs == 0 && req->end.outcome == SITE_REQUEST_PIPELINED) {
         v->behind++;
-        tell(judge, req, "BEHIND an answer that closed");
+        log_request(evaluation, req,
+                    "BEHIND an answer that closed the connection");
     }
     else if (req->runs == 0 && req->ended_us - req->sent_us < CROSSING_US) {
         v->crossed++;
-        tell(judge, req, "crossed a close");
+        log_request(evaluation, req, "crossed a close of the connection");
     }
-    else if (life->term_us == 0 || req->ended_us < life->noticed_us) {
-        v->cut_sound++;
-        tell(judge, req, "CUT by a sound entry");
+    else if (process->term_us == 0 || req->ended_us < process->noticed_us) {
+        v->cut_unsignalled++;
+        log_request(evaluation, req, "CUT by an entry without a signal");
     }
-    else if (req->sent_us > life->noticed_us) {
+    else if (req->sent_us > process->noticed_us) {
         v->cut_in_stop++;
-        tell(judge, req, "CUT that came in a stop");
+        log_request(evaluation, req, "CUT, sent during a stop");
     }
-    else if (req->ended_us - life->noticed_us < over_us) {
+    else if (req->ended_us - process->noticed_us < over_us) {
         v->cut_early++;
-        tell(judge, req, "CUT before the grace was over");
+        log_request(evaluation, req, "CUT before the end of the grace period");
     }
     else {
         v->cut_at_grace++;
-        tell(judge, req, "cut at the end of the grace");
+        log_request(evaluation, req, "cut at the end of the grace period");
     }
 }
 
 static void
-judge_refused(const Judge *judge, const SiteRequest *req)
+evaluate_refused(const Evaluation *evaluation, const SiteRequest *req)
 {
-    SiteVerdict *v = judge->verdict;
-    const Life *life = life_of(judge, req);
-    bool in_stop = life->term_us != 0 && life->noticed_us != INT64_MAX &&
-                   req->sent_us > life->noticed_us + SIGNAL_SLACK_US;
+    SiteVerdict *v = evaluation->verdict;
+    const Process *process = process_of(evaluation, req);
+    bool in_stop = process->term_us != 0 && process->noticed_us != INT64_MAX &&
+                   req->sent_us > process->noticed_us + SIGNAL_SLACK_US;
 
     v->not_run++;
     if (req->runs > 0) {
         v->false_refusals++;
-        tell(judge, req, "FALSE refusal");
+        log_request(evaluation, req, "FALSE refusal");
     }
-    if (in_stop && (!req->end.comeback || !req->end.closing)) {
-        v->bare_refusals++;
-        tell(judge, req, "BARE refusal");
+    if (in_stop && (!req->end.has_retry_after || !req->end.is_closing)) {
+        v->incomplete_refusals++;
+        log_request(evaluation, req, "BARE refusal");
     }
 }
 
 static void
-judge_one(const Judge *judge, const SiteRequest *req)
+evaluate_request(const Evaluation *evaluation, const SiteRequest *req)
 {
-    SiteVerdict *v = judge->verdict;
+    SiteVerdict *v = evaluation->verdict;
     int64_t took_us = req->ended_us - req->sent_us;
 
     v->sent++;
@@ -278,27 +283,27 @@
         g_array_append_val(v->latencies_us, took_us);
         break;
     case SITE_REQUEST_REFUSED:
-        judge_refused(judge, req);
+        evaluate_refused(evaluation, req);
         break;
     case SITE_REQUEST_UNKNOWN:
         v->unknown++;
         break;
     case SITE_REQUEST_CLOSED:
-    case SITE_REQUEST_BEHIND:
-        judge_closed(judge, req);
+    case SITE_REQUEST_PIPELINED:
+        evaluate_closed(evaluation, req);
         break;
     case SITE_REQUEST_OPEN:
         v->no_outcome++;
-        tell(judge, req, "NO OUTCOME");
+        log_request(evaluation, req, "NO OUTCOME");
         break;
     }
     if (req->end.wrong) {
         v->wrong++;
-        tell(judge, req, "WRONG answer");
+        log_request(evaluation, req, "WRONG answer");
     }
     if (req->once && req->runs > 1) {
         v->doubled++;
-        tell(judge, req, "DOUBLED");
+        log_request(evaluation, req, "DOUBLED");
     }
 }
 
@@ -315,18 +320,19 @@
 SiteJournal_Conclude(const SiteJournal *j, uint32_t grace_ms, FILE *log)
 {
     SiteVerdict verdict = {0};
-    Judge judge = {
+    Evaluation evaluation = {
         .j = j, .grace_ms = grace_ms, .log = log, .verdict = &verdict};
 
     verdict.wrong = j->strays;
-    verdict.calm = j->calm_at != G_MAXUINT;
+    verdict.faults_ended = j->recovery_start != G_MAXUINT;
     verdict.latencies_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
     for (guint i = 0; i < j->in_order->len; i++) {
         const SiteRequest *req = j->in_order->pdata[i];
-        judge_one(&judge, req);
-        if (i >= j->calm_at) {
-            verdict.calm_sent++;
-            verdict.calm_answered += req->end.outcome == SITE_REQUEST_ANSWERED;
+        evaluate_request(&evaluation, req);
+        if (i >= j->recovery_start) {
+            verdict.recovery_sent++;
+            verdict.recovery_answered +=
+                req->end.outcome == SITE_REQUEST_ANSWERED;
         }
     }
     g_array_sort(verdict.latencies_us, compare);
--- a/standins/site/journal_internal.h
+++ b/standins/site/journal_internal.h
@@ -1,22 +1,22 @@
-/* What the parts of the journal share. */
+/* Internals shared by the source files of the journal. */
 #ifndef STANDINS_SITE_JOURNAL_INTERNAL_H
 #define STANDINS_SITE_JOURNAL_INTERNAL_H
 
 #include "standins/site/site.h"
 
-/* A request that crashes servers, by its target. */
+/* Statistics of a request that crashes servers, identified by its target. */
 typedef struct {
     uint32_t crashes;
-    int64_t last_allowed_us; /* 0: it has not crashed too many yet */
-    uint32_t sends_after;    /* that time */
+    int64_t last_allowed_us; /* 0: fewer than SITE_CRASHES_MAX crashes */
+    uint32_t sends_after; /* arrivals at servers later than last_allowed_us */
 } SiteCrasher;
 
 struct SiteJournal_s {
     GHashTable *entries;  /* address -> Entry */
     GHashTable *requests; /* id -> SiteRequest */
-    GPtrArray *in_order;  /* SiteRequest, as sent */
+    GPtrArray *in_order;  /* SiteRequest, in order of sending */
     GHashTable *crashers; /* target -> SiteCrasher */
-    guint calm_at;        /* index of the first one sent in the calm */
+    guint recovery_start; /* index of the first request after all faults */
     uint64_t strays;
     int64_t start_us;
 };
--- a/standins/site/options.h
+++ b/standins/site/options.h
@@ -35,8 +35,9 @@
     int limit_s;
 } SiteOptions;
 
-/* What isn't said has a default. False, with the usage on stderr, where the
- * line can't be understood or lacks what is needed. */
+/* Parses the command line; missing options get defaults. Prints the usage to
+ * stderr and returns false when an option is invalid or a required one is
+ * missing. */
 bool SiteOptions_Read(SiteOptions *a, int argc, const char **argv);
 
 #endif
--- a/standins/site/server.c
+++ b/standins/site/server.c
@@ -7,36 +7,37 @@
 typedef struct {
     SiteServer *server;
     GwClient *client;
-    GList node;         /* in the server's links */
-    GwHttpMessage *msg; /* being run, or queued; NULL */
+    GList node;         /* in the connections of the server */
+    GwHttpMessage *msg; /* request that runs or is queued; NULL: none */
     uv_timer_t timer;   /* of the run */
-    int64_t asked_us;
-    int64_t left_ms; /* of a run, and of a wait for a slot; < 0: not said */
+    int64_t received_us;
+    int64_t left_ms; /* limit of the run and of the wait; < 0: none */
     bool running;
-} Link;
+} Connection;
 
 struct SiteServer_s {
     SiteServerParams params;
     GwServe *serve;     /* NULL between a crash and the restart */
     uv_timer_t process; /* the next crash, or the restart after one */
-    GQueue links;       /* Link */
+    GQueue connections; /* Connection */
     uint32_t running;
-    GQueue queued;          /* Link */
-    GHashTable *remembered; /* object keys */
+    GQueue queued;           /* Connection */
+    GHashTable *cached_keys; /* object keys */
     uint32_t served;
-    double limit_per_s; /* that it names; 0: none */
-    int64_t limit_us;   /* it counts from then on */
-    GArray *arrivals;   /* since then: int64_t us */
+    double limit_per_s; /* announced limit; 0: none */
+    int64_t limit_us;   /* start of the check of the limit */
+    GArray *arrivals;   /* within SITE_LIMIT_SPAN_US: int64_t us */
     uint32_t above_limit;
-    int64_t drained_us; /* 0: not */
+    int64_t drained_us; /* 0: not drained */
     uint32_t late;
 };
 
-/* Requests that wait for a slot; above it they are refused. */
+/* Maximum number of requests that wait for a slot; further ones are
+ * refused. */
 #define QUEUE_MAX 9
-/* From the report that it leaves to the last request. */
+/* Entries may send requests for this time after a drain is announced. */
 #define DRAIN_US 2500000
-/* From the begin of a run to the crash that it causes. */
+/* Time from the start of a run to the crash that it causes. */
 #define CRASH_MS 15
 
 static bool
@@ -46,52 +47,53 @@
 }
 
 static void
-write_answer(Link *link, uint16_t status, const char *extra, const char *id,
-             const char *body)
+write_answer(Connection *conn, uint16_t status, const char *extra,
+             const char *id, const char *body)
 {
-    const GwAdapter *a = link->server->params.adapter;
+    const GwAdapter *a = conn->server->params.adapter;
     GString *text = g_string_new(extra);
 
-    if (link->server->limit_per_s > 0) {
+    if (conn->server->limit_per_s > 0) {
         g_string_append_printf(text, "%s: %.1f\r\n", a->limit,
-                               link->server->limit_per_s);
+                               conn->server->limit_per_s);
     }
     char *fields = g_strdup_printf(
         "%s: %s\r\n%s: %u,%u,%u\r\n%s", a->request_id, id, a->load,
-        link->server->running, link->server->queued.length,
-        link->server->params.slots, text->str);
+        conn->server->running, conn->server->queued.length,
+        conn->server->params.slots, text->str);
     g_string_free(text, TRUE);
     GwServeAnswer answer = {.status = status,
                             .type = "application/octet-stream",
                             .fields = fields,
                             .body = body};
 
-    GwClient_Answer(link->client, &answer);
+    GwClient_Answer(conn->client, &answer);
     g_free(fields);
 }
 
 static const char *
-id_of(const Link *link)
+id_of(const Connection *conn)
 {
     const char *id =
-        GwHttpMessage_Get(link->msg, link->server->params.adapter->request_id);
+        GwHttpMessage_Get(conn->msg, conn->server->params.adapter->request_id);
 
     return id != NULL ? id : "";
 }
 
-static void run(Link *link);
-static void refuse(Link *link, uint16_t status);
+static void run(Connection *conn);
+static void refuse(Connection *conn, uint16_t status);
 
-/* Gives the slot to the next one whose time has not passed in the queue. */
+/* Runs queued requests in free slots; refuses those whose time limit expired
+ * in the queue. */
 static void
 run_next(SiteServer *s)
 {
     int64_t now_us = (int64_t)(uv_hrtime() / 1000);
-    Link *next;
+    Connection *next;
 
     while (s->running < s->params.slots &&
            (next = g_queue_pop_head(&s->queued)) != NULL) {
-        int64_t until_us = next->asked_us + next->left_ms * 1000;
+        int64_t until_us = next->received_us + next->left_ms * 1000;
         if (next->left_ms >= 0 && now_us > until_us) {
             refuse(next, 503);
         }
@@ -102,37 +104,37 @@
 }
 
 static void
-finish(Link *link)
+finish(Connection *conn)
 {
-    SiteServer *s = link->server;
+    SiteServer *s = conn->server;
 
-    GwHttpMessage_Free(link->msg);
-    link->msg = NULL;
-    if (link->running) {
-        link->running = false;
+    GwHttpMessage_Free(conn->msg);
+    conn->msg = NULL;
+    if (conn->running) {
+        conn->running = false;
         s->running--;
         run_next(s);
     }
 }
 
 static void
-free_link(uv_handle_t *handle)
+free_connection(uv_handle_t *handle)
 {
     g_free(handle->data);
 }
 
-/* The connection is gone, and what ran for it goes on nowhere. */
+/* Handles a closed connection: its run is aborted. */
 static void
-on_gone(void *owner, GwClient *client)
+on_disconnected(void *owner, GwClient *client)
 {
-    Link *link = *GwClient_User(client);
+    Connection *conn = *GwClient_User(client);
 
     (void)owner;
-    if (link != NULL) {
-        (void)g_queue_remove(&link->server->queued, link);
-        finish(link);
-        g_queue_unlink(&link->server->links, &link->node);
-        uv_close((uv_handle_t *)&link->timer, free_link);
+    if (conn != NULL) {
+        (void)g_queue_remove(&conn->server->queued, conn);
+        finish(conn);
+        g_queue_unlink(&conn->server->connections, &conn->node);
+        uv_close((uv_handle_t *)&conn->timer, free_connection);
     }
 }
 
@@ -150,7 +152,7 @@
     s->params.restarted(s->params.owner, s->params.number);
 }
 
-/* The process ends, and all that it ran. */
+/* Closes the listener and aborts all runs, as the end of a process does. */
 static void
 on_crash(uv_timer_t *timer)
 {
@@ -159,30 +161,30 @@
 
     GwServe_Free(s->serve);
     s->serve = NULL;
-    while ((at = g_queue_pop_head_link(&s->links)) != NULL) {
-        Link *link = at->data;
-        GwHttpMessage_Free(link->msg);
-        uv_close((uv_handle_t *)&link->timer, free_link);
+    while ((at = g_queue_pop_head_link(&s->connections)) != NULL) {
+        Connection *conn = at->data;
+        GwHttpMessage_Free(conn->msg);
+        uv_close((uv_handle_t *)&conn->timer, free_connection);
     }
     g_queue_clear(&s->queued);
     s->running = 0;
-    SiteServer_Forget(s);
+    SiteServer_ClearCache(s);
     (void)uv_timer_start(&s->process, on_restart, s->params.restart_ms, 0);
 }
 
 static bool
-is_crashing(const Link *link)
+is_crashing(const Connection *conn)
 {
-    return link->server->params.journal != NULL &&
-           Site_Crashes(link->msg->target->str);
+    return conn->server->params.journal != NULL &&
+           Site_Crashes(conn->msg->target->str);
 }
 
 static void
-begin_crash(Link *link)
+schedule_crash(Connection *conn)
 {
-    SiteServer *s = link->server;
+    SiteServer *s = conn->server;
 
-    SiteJournal_Crashed(s->params.journal, link->msg->target->str);
+    SiteJournal_Crashed(s->params.journal, conn->msg->target->str);
     if (!uv_is_active((uv_handle_t *)&s->process)) {
         (void)uv_timer_start(&s->process, on_crash, CRASH_MS, 0);
     }
@@ -193,48 +195,49 @@
 static void
 on_worked(uv_timer_t *timer)
 {
-    Link *link = timer->data;
-    SiteServer *s = link->server;
+    Connection *conn = timer->data;
+    SiteServer *s = conn->server;
     char *seal =
         g_strdup_printf("%s: %s\r\n", s->params.adapter->seal, s->params.id);
-    char *id = g_strdup(id_of(link));
+    char *id = g_strdup(id_of(conn));
 
     s->served++;
     if (chance(s, s->params.lose_answer)) {
-        GwClient_Drop(link->client);
+        GwClient_Drop(conn->client);
     }
     else {
-        write_answer(link, 200, seal, id, id);
+        write_answer(conn, 200, seal, id, id);
         if (chance(s, s->params.stray)) {
-            write_answer(link, 200, seal, id, id);
+            write_answer(conn, 200, seal, id, id);
         }
-        finish(link);
+        finish(conn);
     }
     g_free(id);
     g_free(seal);
 }
 
-/* The time that it was given counts from the start of the run. */
+/* Answers 504 when the time limit expires, counted from the start of the
+ * run. */
 static void
 on_time_over(uv_timer_t *timer)
 {
-    Link *link = timer->data;
-    SiteServer *s = link->server;
+    Connection *conn = timer->data;
+    SiteServer *s = conn->server;
     char *seal =
         g_strdup_printf("%s: %s\r\n", s->params.adapter->seal, s->params.id);
 
-    write_answer(link, 504, seal, id_of(link), "");
-    finish(link);
+    write_answer(conn, 504, seal, id_of(conn), "");
+    finish(conn);
     g_free(seal);
 }
 
 static void
-run(Link *link)
+run(Connection *conn)
 {
-    SiteServer *s = link->server;
+    SiteServer *s = conn->server;
     const char *key =
-        GwHttpMessage_Get(link->msg, s->params.adapter->object_key);
-    bool warm = key != NULL && g_hash_table_contains(s->remembered, key);
+        GwHttpMessage_Get(conn->msg, s->params.adapter->object_key);
+    bool warm = key != NULL && g_hash_table_contains(s->cached_keys, key);
     uint32_t cold_ms = s->params.work_ms;
     if (s->params.spread_ms > 0) {
         cold_ms += GwRng_Below(s->params.rng, s->params.spread_ms);
@@ -242,55 +245,56 @@
     uint32_t work_ms = warm ? cold_ms * 3 / 10 : cold_ms;
 
     if (s->params.journal != NULL) {
-        SiteJournal_Ran(s->params.journal, id_of(link));
+        SiteJournal_Ran(s->params.journal, id_of(conn));
     }
     if (key != NULL) {
-        g_hash_table_add(s->remembered, g_strdup(key));
+        g_hash_table_add(s->cached_keys, g_strdup(key));
     }
-    link->running = true;
+    conn->running = true;
     s->running++;
-    if (is_crashing(link)) {
-        begin_crash(link);
+    if (is_crashing(conn)) {
+        schedule_crash(conn);
         return;
     }
-    if (link->left_ms >= 0 && link->left_ms < work_ms) {
-        (void)uv_timer_start(&link->timer, on_time_over,
-                             (uint64_t)link->left_ms, 0);
+    if (conn->left_ms >= 0 && conn->left_ms < work_ms) {
+        (void)uv_timer_start(&conn->timer, on_time_over,
+                             (uint64_t)conn->left_ms, 0);
         return;
     }
-    (void)uv_timer_start(&link->timer, on_worked, work_ms, 0);
+    (void)uv_timer_start(&conn->timer, on_worked, work_ms, 0);
 }
 
 static void
-refuse(Link *link, uint16_t status)
+refuse(Connection *conn, uint16_t status)
 {
     char *extra =
-        g_strdup_printf("%s: 1\r\n", link->server->params.adapter->not_run);
+        g_strdup_printf("%s: 1\r\n", conn->server->params.adapter->not_run);
 
-    write_answer(link, status, extra, id_of(link), "");
+    write_answer(conn, status, extra, id_of(conn), "");
     g_free(extra);
-    finish(link);
+    finish(conn);
 }
 
-static Link *
-link_of(SiteServer *s, GwClient *client)
+static Connection *
+connection_of(SiteServer *s, GwClient *client)
 {
-    Link *link = *GwClient_User(client);
-
-    if (link == NULL) {
-        link = g_new0(Link, 1);
-        link->server = s;
-        link->client = client;
-        (void)uv_timer_init(s->params.loop, &link->timer);
-        link->timer.data = link;
-        link->node.data = link;
-        g_queue_push_tail_link(&s->links, &link->node);
-        *GwClient_User(client) = link;
+    Connection *conn = *GwClient_User(client);
+
+    if (conn == NULL) {
+        conn = g_new0(Connection, 1);
+        conn->server = s;
+        conn->client = client;
+        (void)uv_timer_init(s->params.loop, &conn->timer);
+        conn->timer.data = conn;
+        conn->node.data = conn;
+        g_queue_push_tail_link(&s->connections, &conn->node);
+        *GwClient_User(client) = conn;
     }
-    return link;
+    return conn;
 }
 
-/* How many came in the span that ends now, against what the limit allows. */
+/* Counts an arrival and compares the last SITE_LIMIT_SPAN_US with the
+ * announced limit. */
 static void
 count_arrival(SiteServer *s, int64_t now_us)
 {
@@ -314,40 +318,40 @@
 }
 
 static void
-on_asked(void *owner, GwClient *client, GwHttpMessage *msg)
+on_request(void *owner, GwClient *client, GwHttpMessage *msg)
 {
     SiteServer *s = owner;
-    Link *link = link_of(s, client);
+    Connection *conn = connection_of(s, client);
     const char *expected =
         GwHttpMessage_Get(msg, s->params.adapter->expect_server);
     const char *left = GwHttpMessage_Get(msg, s->params.adapter->time_left);
     int64_t now_us = (int64_t)(uv_hrtime() / 1000);
 
     count_arrival(s, now_us);
-    link->msg = msg;
-    link->asked_us = now_us;
-    link->left_ms = left != NULL ? strtoll(left, NULL, 10) : -1;
+    conn->msg = msg;
+    conn->received_us = now_us;
+    conn->left_ms = left != NULL ? strtoll(left, NULL, 10) : -1;
     if (s->drained_us != 0 && now_us > s->drained_us + DRAIN_US) {
         s->late++;
     }
-    if (is_crashing(link)) {
+    if (is_crashing(conn)) {
         SiteJournal_CrashReached(s->params.journal, msg->target->str);
     }
     if (expected != NULL && strcmp(expected, s->params.id) != 0) {
-        refuse(link, 421);
+        refuse(conn, 421);
     }
     else if (chance(s, s->params.refuse) || s->queued.length >= QUEUE_MAX) {
-        refuse(link, 503);
+        refuse(conn, 503);
     }
     else if (s->running < s->params.slots) {
-        run(link);
+        run(conn);
     }
     else {
-        g_queue_push_tail(&s->queued, link);
+        g_queue_push_tail(&s->queued, conn);
     }
 }
 
-static const GwServeOps ops = {.asked = on_asked, .gone = on_gone};
+static const GwServeOps ops = {.asked = on_request, .gone = on_disconnected};
 
 SiteServer *
 SiteServer_Create(const SiteServerParams *params)
@@ -355,11 +359,11 @@
     SiteServer *s = g_new0(SiteServer, 1);
 
     s->params = *params;
-    s->remembered =
+    s->cached_keys =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     s->serve = GwServe_Create(params->loop, params->address, &ops, s);
     if (s->serve == NULL) {
-        g_hash_table_destroy(s->remembered);
+        g_hash_table_destroy(s->cached_keys);
         g_free(s);
         return NULL;
     }
@@ -384,9 +388,9 @@
 }
 
 void
-SiteServer_Forget(SiteServer *s)
+SiteServer_ClearCache(SiteServer *s)
 {
-    g_hash_table_remove_all(s->remembered);
+    g_hash_table_remove_all(s->cached_keys);
 }
 
 void
@@ -396,7 +400,7 @@
 }
 
 uint32_t
-SiteServer_Late(const SiteServer *s)
+SiteServer_LateRequests(const SiteServer *s)
 {
     return s->late;
 }
@@ -405,7 +409,7 @@
 SiteServer_SetLimit(SiteServer *s, double per_s)
 {
     s->limit_per_s = per_s;
-    s->limit_us = (int64_t)(uv_hrtime() / 1000) + SITE_CONTACT_US;
+    s->limit_us = (int64_t)(uv_hrtime() / 1000) + SITE_EXCHANGE_US;
     g_array_set_size(s->arrivals, 0);
 }
 
--- a/standins/site/site.h
+++ b/standins/site/site.h
@@ -1,6 +1,6 @@
-/* A small site in one process: the store, backend servers and callers, on one
- * event loop, for entries that run as processes of their own. What the parts
- * see is written down, and judged at the end. */
+/* Simulated site in one process and one event loop: store, backend servers
+ * and callers for entries that run as separate processes. A journal records
+ * all requests and is evaluated at the end. */
 #ifndef STANDINS_SITE_SITE_H
 #define STANDINS_SITE_SITE_H
 
@@ -10,112 +10,122 @@
 
 #include <stdio.h>
 
-/* A request that has crashed so many servers reaches servers no more than
- * SITE_CRASH_SENDS_MAX times, once entries had SITE_CONTACT_US to tell each
- * other. */
+/* Entries get SITE_EXCHANGE_US to exchange state after a request has crashed
+ * SITE_CRASHES_MAX servers. From then on the request may reach servers at most
+ * SITE_CRASH_SENDS_MAX times. */
 #define SITE_CRASHES_MAX     3
 #define SITE_CRASH_SENDS_MAX 3
-#define SITE_CONTACT_US      3000000
+#define SITE_EXCHANGE_US     3000000
 
-/* A server that names a limit gets no more in SITE_LIMIT_SPAN_US than half as
- * much again and SITE_LIMIT_SLACK, later than SITE_CONTACT_US after it first
- * did. */
+/* SITE_EXCHANGE_US after a server first announces a rate limit, it may receive
+ * at most SITE_LIMIT_OVER times the limit, plus SITE_LIMIT_SLACK requests, in
+ * any SITE_LIMIT_SPAN_US. */
 #define SITE_LIMIT_OVER    1.5
 #define SITE_LIMIT_SLACK   5
 #define SITE_LIMIT_SPAN_US 4000000
 
-/* ---- Journal: what callers sent and got, and what servers ran ------------ */
+/* ---- Journal: requests and answers of callers, runs of servers ----------- */
 
 typedef struct SiteJournal_s SiteJournal;
-typedef struct SiteRequest_s SiteRequest; /* one, by its id */
+typedef struct SiteRequest_s SiteRequest; /* identified by its id */
 
 typedef enum {
     SITE_REQUEST_OPEN = 0,
     SITE_REQUEST_ANSWERED,
-    SITE_REQUEST_REFUSED, /* "it did not run" */
-    SITE_REQUEST_UNKNOWN, /* it may have run */
-    SITE_REQUEST_CLOSED,  /* the connection ended with no answer */
-    SITE_REQUEST_BEHIND   /* an answer before its own closed the connection */
+    SITE_REQUEST_REFUSED,  /* not run */
+    SITE_REQUEST_UNKNOWN,  /* may have run */
+    SITE_REQUEST_CLOSED,   /* connection closed without an answer */
+    SITE_REQUEST_PIPELINED /* sent behind a request whose answer closed */
 } SiteOutcome;
 
 typedef struct {
     const char *id;
-    bool once;         /* may not run twice */
+    bool once;         /* must run at most once */
     const char *entry; /* address */
-    uint32_t life;     /* of the connection, see SiteJournal_Life */
-    bool first;        /* on its connection */
-} SiteSending;
+    uint32_t process;  /* see SiteJournal_CurrentProcess */
+    bool first;        /* first request on its connection */
+} SiteRequestInfo;
 
 typedef struct {
     SiteOutcome outcome;
-    bool wrong;    /* the answer to another request */
-    bool comeback; /* a refusal that says when to come back */
-    bool closing;  /* says that the connection ends */
-} SiteEnd;
+    bool wrong;           /* the answer belongs to another request */
+    bool has_retry_after; /* a refusal with Retry-After */
+    bool is_closing;      /* the answer announces the end of the connection */
+} SiteResult;
 
 typedef struct {
     uint64_t sent;
     uint64_t answered;
     uint64_t not_run;
     uint64_t unknown;
-    uint64_t lost;           /* connection ended with no answer: the sum of */
-    uint64_t cut_in_stop;    /* sent after its entry's SIGTERM; ran, or the
-                              entry had it for a while */
-    uint64_t cut_early;      /* under way at SIGTERM, and grace not over */
-    uint64_t cut_sound;      /* its entry had got no signal */
-    uint64_t cut_at_grace;   /* under way at SIGTERM, and grace over */
-    uint64_t killed;         /* its entry was killed */
-    uint64_t crossed;        /* did not run: sent just when the entry closed */
-    uint64_t behind;         /* did not run: sent together with one before it,
-                              whose answer closed the connection */
-    uint64_t no_outcome;     /* open when the site ended */
-    uint64_t wrong;          /* an answer to another request */
-    uint64_t doubled;        /* at most once, and ran more often */
-    uint64_t false_refusals; /* "not run", and it had or did later */
-    uint64_t bare_refusals;  /* in a stop, without a time to come back, or
-                                the connection stayed open */
-    bool calm;               /* the end of the faults was told */
-    uint64_t calm_sent;      /* since then */
-    uint64_t calm_answered;
-    uint64_t late;        /* reached a server after its drain */
-    uint64_t crash_sends; /* of the request that was sent most often: those
-                             that reached a server though it had crashed
-                             SITE_CRASHES_MAX, and not lately */
-    uint64_t crashes;     /* of servers, by all requests */
-    uint64_t above_limit; /* the most that a server got above its limit */
-    bool misled;          /* by an event that was not understood */
-    GArray *latencies_us; /* of answered ones: int64_t, sorted */
+    /* Connections closed without an answer: the sum of the next seven. */
+    uint64_t lost;
+    /* Sent after SIGTERM to the entry; ran, or the entry held the request for
+     * a while. */
+    uint64_t cut_in_stop;
+    uint64_t cut_early;       /* in flight at SIGTERM, within the grace */
+    uint64_t cut_unsignalled; /* the entry had received no signal */
+    uint64_t cut_at_grace;    /* in flight at SIGTERM, after the grace */
+    uint64_t killed;          /* the entry was killed */
+    /* Not run: sent while the entry closed the connection. */
+    uint64_t crossed;
+    /* Not run: pipelined after a request whose answer closed the connection.
+     */
+    uint64_t behind;
+    uint64_t no_outcome;     /* still open at the end */
+    uint64_t wrong;          /* answers to another request */
+    uint64_t doubled;        /* at-most-once requests that ran more often */
+    uint64_t false_refusals; /* refused as not run, but run before or later */
+    /* Refusals during a graceful stop without Retry-After or without closing
+     * the connection. */
+    uint64_t incomplete_refusals;
+    bool faults_ended;      /* the end of all faults was announced */
+    uint64_t recovery_sent; /* since then */
+    uint64_t recovery_answered;
+    uint64_t late; /* requests that reached a server after its drain */
+    /* The most that any one request reached servers after it had crashed
+     * SITE_CRASHES_MAX of them and SITE_EXCHANGE_US had passed. */
+    uint64_t crash_sends;
+    uint64_t crashes; /* server crashes caused by requests */
+    /* Requests above the limit: the worst span of each server, summed. */
+    uint64_t above_limit;
+    bool has_invalid_event;
+    GArray *latencies_us; /* of answered requests: int64_t, sorted */
 } SiteVerdict;
 
 SiteJournal *SiteJournal_Create(void);
-/* An entry's process is about to start; it is known by its callers' address.
- */
+/* Records that a process of an entry is about to start. Entries are identified
+ * by their call address. */
 void SiteJournal_Started(SiteJournal *j, const char *entry);
-/* A signal is being sent to it. */
+/* Records that a signal is being sent to the current process of an entry. */
 void SiteJournal_Signalled(SiteJournal *j, const char *entry, int signum);
-/* Which process of the entry a connection that is made now is with. */
-uint32_t SiteJournal_Life(SiteJournal *j, const char *entry);
-SiteRequest *SiteJournal_Sent(SiteJournal *j, const SiteSending *sending);
+/* Returns the number of the entry's current process, for a new connection. */
+uint32_t SiteJournal_CurrentProcess(SiteJournal *j, const char *entry);
+SiteRequest *SiteJournal_Sent(SiteJournal *j, const SiteRequestInfo *sending);
 const char *SiteRequest_Id(const SiteRequest *req);
-void SiteJournal_Ended(SiteRequest *req, const SiteEnd *end);
-/* Bytes came to a caller that had asked nothing, or that are no answer. */
+void SiteJournal_Ended(SiteRequest *req, const SiteResult *end);
+/* Counts data that a caller received without a pending request, or that is
+ * not a valid answer. */
 void SiteJournal_Stray(SiteJournal *j);
 void SiteJournal_Ran(SiteJournal *j, const char *id);
-/* Whether requests for the target crash the servers that run them. */
+/* Returns true when requests for the target crash the servers that run
+ * them. */
 bool Site_Crashes(const char *target);
-/* A request for such a target has reached a server, and has crashed it. */
+/* Record that a request for such a target reached a server, and that it
+ * crashed the server. */
 void SiteJournal_CrashReached(SiteJournal *j, const char *target);
 void SiteJournal_Crashed(SiteJournal *j, const char *target);
-/* What is sent from now on, once faults are over, is counted on its own. */
-void SiteJournal_Calm(SiteJournal *j);
-/* Judges all; a line goes to `log` for each request that was cut or broke a
- * promise. */
+/* Announces the end of all faults; later requests are also counted
+ * separately. */
+void SiteJournal_FaultsEnded(SiteJournal *j);
+/* Evaluates all requests. Writes a line to `log` for each request that was cut
+ * off or violated a guarantee. */
 SiteVerdict SiteJournal_Conclude(const SiteJournal *j, uint32_t grace_ms,
                                  FILE *log);
-/* Prints it, with a line for each promise that was broken; true when none was.
- * Some are judged only where events were played and entries signalled by the
- * site. */
-bool SiteVerdict_Tell(const SiteVerdict *v, bool played);
+/* Prints the verdict and a line for each violated guarantee. Returns true when
+ * there is none. Some guarantees are checked only if `played`, that is, if the
+ * site ran the events and sent the signals itself. */
+bool SiteVerdict_Print(const SiteVerdict *v, bool played);
 
 /* ---- The store ----------------------------------------------------------- */
 
@@ -124,7 +134,7 @@
 typedef enum {
     SITE_STORE_UP = 0,
     SITE_STORE_BUSY,  /* 503 to every call */
-    SITE_STORE_SILENT /* takes calls, answers nothing */
+    SITE_STORE_SILENT /* accepts calls, never answers */
 } SiteStoreMode;
 
 SiteStore *SiteStore_Create(uv_loop_t *loop, const char *address,
@@ -133,7 +143,8 @@
                    const char *value);
 void SiteStore_Remove(SiteStore *s, const char *table, const char *key);
 void SiteStore_SetMode(SiteStore *s, SiteStoreMode mode);
-/* Drops the history: the next feeds are told to read all again. */
+/* Drops the history: older feeds are answered with 410 and must read the
+ * whole table again. */
 void SiteStore_Compact(SiteStore *s);
 void SiteStore_Sweep(SiteStore *s);
 
@@ -147,33 +158,35 @@
     char id[32];
     char address[32];
     uint32_t slots;
-    uint32_t work_ms;   /* of a cold run; a warm one takes 0.3 of it */
-    uint32_t spread_ms; /* more, at most, of a cold run */
+    uint32_t work_ms; /* duration of a cold run; a warm run takes 0.3 of it */
+    uint32_t spread_ms; /* maximum random addition to work_ms */
     /* Shares of requests, in permille, with each fault. */
-    uint32_t lose_answer; /* runs, and resets the connection */
-    uint32_t stray;       /* answers twice */
-    uint32_t refuse;      /* says that it did not run */
-    uint32_t restart_ms;  /* after a crash */
-    /* It is back after a crash, as a new process. */
+    uint32_t lose_answer; /* run, then the connection is reset */
+    uint32_t stray;       /* answered twice */
+    uint32_t refuse;      /* refused as not run */
+    uint32_t restart_ms;  /* delay after a crash */
+    /* Called when the server has restarted after a crash. */
     void (*restarted)(void *owner, uint32_t number);
     void *owner;
     uint32_t number;
-    SiteJournal *journal; /* shared by all servers; NULL: none is kept */
+    SiteJournal *journal; /* shared by all servers; NULL: none */
     GwRng *rng;
 } SiteServerParams;
 
 SiteServer *SiteServer_Create(const SiteServerParams *params);
 uint32_t SiteServer_Served(const SiteServer *s);
 void SiteServer_SetFaults(SiteServer *s, uint32_t permille);
-/* As after a restart: every object is cold again. */
-void SiteServer_Forget(SiteServer *s);
-/* Requests that reach it some time after this call are counted as late; with
- * 0 none are. */
+/* Makes every object cold, as a restart does. */
+void SiteServer_ClearCache(SiteServer *s);
+/* Marks the server as drained since `now_us`; requests that arrive more than
+ * 2.5 s later count as late. 0 clears the mark. */
 void SiteServer_MarkDrained(SiteServer *s, int64_t now_us);
-uint32_t SiteServer_Late(const SiteServer *s);
-/* Names that many requests a second as its limit from now on; 0 names none. */
+uint32_t SiteServer_LateRequests(const SiteServer *s);
+/* Sets the rate limit that the server announces, in requests per second; 0:
+ * none. */
 void SiteServer_SetLimit(SiteServer *s, double per_s);
-/* How many more it got than its limit allows, in the worst span. */
+/* Returns the largest excess of requests over the limit in any
+ * SITE_LIMIT_SPAN_US. */
 uint32_t SiteServer_AboveLimit(const SiteServer *s);
 
 /* ---- Callers ------------------------------------------------------------- */
@@ -187,28 +200,31 @@
     SiteJournal *journal;
     GwRng *rng;
     uint32_t number;
-    uint32_t objects; /* that requests are about */
-    uint32_t left_ms; /* that it says it will wait */
-    uint32_t depth;   /* requests that it sends at once on its connection */
-    uint32_t rest_ms; /* at most, between some of its requests; 0: none */
-    bool crashes; /* sends one request again and again, each time to an entry
-                     that it looks up anew; it crashes the servers that run it */
-    bool keeps;   /* uses one entry, whatever the directory says, until
-                         nobody listens there */
+    uint32_t objects; /* number of object keys */
+    uint32_t left_ms; /* time limit sent with each request */
+    uint32_t depth;   /* requests pipelined on the connection */
+    uint32_t rest_ms; /* maximum of long pauses; 0: none */
+    /* Repeats a request that crashes servers, each time on a new connection to
+     * an entry of the directory. */
+    bool crashes;
+    /* Keeps its entry, regardless of the directory, until a connection to it
+     * fails. */
+    bool keeps_entry;
 } SiteCallerParams;
 
 typedef struct SiteCaller_s SiteCaller;
 
 SiteCaller *SiteCaller_Create(const SiteCallerParams *params);
-void SiteCaller_Stop(SiteCaller *c); /* begins no further request */
+void SiteCaller_Stop(SiteCaller *c); /* starts no further request */
 bool SiteCaller_IsIdle(const SiteCaller *c);
 
 /* ---- Commands ------------------------------------------------------------ */
 
-/* Takes the words of one line; the last is NULL. */
+/* Runs one command, given as a NULL-terminated list of words. */
 typedef void (*SiteCommandFn)(void *owner, char **words);
 
-/* Reads lines from a named pipe for as long as the loop runs. */
+/* Reads command lines from a named pipe while the loop runs. Returns false
+ * when the pipe cannot be opened. */
 bool SiteCommands_Open(uv_loop_t *loop, const char *path, SiteCommandFn run,
                        void *owner);
 
--- a/standins/site/store.c
+++ b/standins/site/store.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* A feed that has no news yet. */
+/* Pending feed: a long poll without changes so far. */
 typedef struct {
     SiteStore *store;
     GwClient *client;
@@ -18,7 +18,7 @@
     const GwAdapter *adapter;
     GHashTable *tables; /* name -> GPtrArray of GwStoreRow */
     uint64_t version;
-    uint64_t oldest; /* history below it is gone */
+    uint64_t oldest; /* history below this version is dropped */
     SiteStoreMode mode;
     GQueue feeds; /* Feed */
 };
@@ -49,7 +49,7 @@
     GwClient_Answer(client, &out);
 }
 
-/* The rows above a version, without removed ones for a full reading. */
+/* Returns the rows above a version, with removed rows if `removed`. */
 static GwRowSet *
 rows_after(SiteStore *s, const char *table, uint64_t after, bool removed)
 {
@@ -87,7 +87,7 @@
     g_free(feed);
 }
 
-/* Answers a feed that has news, or whose time is over. */
+/* Answers a feed that has changes or has reached its time limit. */
 static void
 try_feed(Feed *feed)
 {
@@ -101,7 +101,7 @@
     GwRowSet_Free(set);
 }
 
-/* Takes the call over. */
+/* Starts a feed, which takes ownership of the contents of `call`. */
 static void
 begin_feed(SiteStore *s, GwClient *client, PlatformCall *call)
 {
@@ -147,7 +147,7 @@
 }
 
 static void
-on_asked(void *owner, GwClient *client, GwHttpMessage *msg)
+on_request(void *owner, GwClient *client, GwHttpMessage *msg)
 {
     SiteStore *s = owner;
     PlatformCall call = {0};
@@ -169,7 +169,7 @@
 }
 
 static void
-on_gone(void *owner, GwClient *client)
+on_disconnected(void *owner, GwClient *client)
 {
     Feed *feed = *GwClient_User(client);
 
@@ -179,7 +179,7 @@
     }
 }
 
-static const GwServeOps ops = {.asked = on_asked, .gone = on_gone};
+static const GwServeOps ops = {.asked = on_request, .gone = on_disconnected};
 
 SiteStore *
 SiteStore_Create(uv_loop_t *loop, const char *address,
--- a/standins/site/verdict.c
+++ b/standins/site/verdict.c
@@ -10,24 +10,26 @@
     return (double)g_array_index(sorted, int64_t, at) / 1000.0;
 }
 
-/* Whether fewer than nine of ten requests are answered once no fault is left.
- */
+/* Returns true when fewer than 90 % of the requests sent after the end of all
+ * faults were answered. */
 static bool
 has_not_recovered(const SiteVerdict *v)
 {
-    return v->calm &&
-           (v->calm_sent == 0 || v->calm_answered * 10 < v->calm_sent * 9);
+    return v->faults_ended &&
+           (v->recovery_sent == 0 ||
+            v->recovery_answered * 10 < v->recovery_sent * 9);
 }
 
-/* One line for each promise that was not kept. */
+/* Prints a line for each violated guarantee. Returns true when there is
+ * none. */
 static bool
-all_kept(const SiteVerdict *v, bool played)
+print_violations(const SiteVerdict *v, bool played)
 {
     const struct {
-        const char *promise;
-        uint64_t broken;
-        bool played; /* judged where the entries are signalled from here */
-    } promises[] = {
+        const char *name;
+        uint64_t violations;
+        bool played; /* checked only if the site sends the signals */
+    } guarantees[] = {
         {"at-most-once", v->doubled, false},
         {"true-refusals", v->false_refusals, false},
         {"own-answers", v->wrong, false},
@@ -36,44 +38,45 @@
         {"crash-budget",
          v->crash_sends > SITE_CRASH_SENDS_MAX ? v->crash_sends : 0, false},
         {"service", v->answered == 0, false},
-        {"events", v->misled, false},
+        {"events", v->has_invalid_event, false},
         {"stops", v->cut_in_stop + v->cut_early, true},
-        {"no-cuts", v->cut_sound, true},
+        {"no-cuts", v->cut_unsignalled, true},
         {"pipelines", v->behind, true},
-        {"refusals-in-stops", v->bare_refusals, true},
+        {"refusals-in-stops", v->incomplete_refusals, true},
         {"outcomes", v->no_outcome, true},
         {"recovery", has_not_recovered(v), true},
     };
-    bool kept = true;
+    bool is_clean = true;
 
-    for (size_t i = 0; i < G_N_ELEMENTS(promises); i++) {
-        bool judged = !promises[i].played || played;
-        if (judged && promises[i].broken > 0) {
-            (void)printf("broken: %s %lu\n", promises[i].promise,
-                         (unsigned long)promises[i].broken);
-            kept = false;
+    for (size_t i = 0; i < G_N_ELEMENTS(guarantees); i++) {
+        bool is_checked = !guarantees[i].played || played;
+        if (is_checked && guarantees[i].violations > 0) {
+            (void)printf("broken: %s %lu\n", guarantees[i].name,
+                         (unsigned long)guarantees[i].violations);
+            is_clean = false;
         }
     }
-    return kept;
+    return is_clean;
 }
 
 static void
-tell_stops(const SiteVerdict *v)
+print_stops(const SiteVerdict *v)
 {
-    (void)printf("stops: %lu cut that came in a stop, %lu before the grace "
-                 "was over, %lu by a sound entry, %lu bare refusals, %lu "
-                 "without an outcome, %lu behind an answer that closed; %lu "
-                 "cut at the end of the grace, %lu by a kill, %lu crossed a "
-                 "close\n",
+    (void)printf("stops: %lu cut that were sent during a stop, %lu before the "
+                 "end of the grace period, %lu by an entry without a signal, "
+                 "%lu incomplete refusals, %lu without an outcome, %lu behind "
+                 "an answer that closed; %lu cut at the end of the grace "
+                 "period, %lu by a kill, %lu crossed a close\n",
                  (unsigned long)v->cut_in_stop, (unsigned long)v->cut_early,
-                 (unsigned long)v->cut_sound, (unsigned long)v->bare_refusals,
+                 (unsigned long)v->cut_unsignalled,
+                 (unsigned long)v->incomplete_refusals,
                  (unsigned long)v->no_outcome, (unsigned long)v->behind,
                  (unsigned long)v->cut_at_grace, (unsigned long)v->killed,
                  (unsigned long)v->crossed);
 }
 
 bool
-SiteVerdict_Tell(const SiteVerdict *v, bool played)
+SiteVerdict_Print(const SiteVerdict *v, bool played)
 {
     (void)printf("site: %lu sent, %lu answered, %lu not run, %lu unknown, "
                  "%lu cut; %lu doubled, %lu false refusals, %lu wrong "
@@ -85,17 +88,17 @@
                  (unsigned long)v->late, quantile_ms(v->latencies_us, 0.5),
                  quantile_ms(v->latencies_us, 0.99));
     if (v->crashes > 0) {
-        (void)printf("crashes: %lu servers crashed by requests, %lu sends of "
-                     "one after its third crash\n",
+        (void)printf("crashes: %lu servers crashed by requests, at most %lu "
+                     "sends of a request after its third crash\n",
                      (unsigned long)v->crashes, (unsigned long)v->crash_sends);
     }
     if (played) {
-        tell_stops(v);
+        print_stops(v);
     }
-    if (v->calm) {
+    if (v->faults_ended) {
         (void)printf("calm: %lu of %lu answered\n",
-                     (unsigned long)v->calm_answered,
-                     (unsigned long)v->calm_sent);
+                     (unsigned long)v->recovery_answered,
+                     (unsigned long)v->recovery_sent);
     }
-    return all_kept(v, played);
+    return print_violations(v, played);
 }
--- a/standins/standin_site.c
+++ b/standins/standin_site.c
@@ -1,13 +1,14 @@
-/* The store, backend servers and callers of a small site, for entries that
- * run beside it; a script starts and stops those. Ends with one line of what
- * was seen, and fails when a promise was not kept.
+/* Simulates the store, backend servers and callers of a small site for entries
+ * that a script starts and stops. Prints a summary at the end and exits with
+ * an error when a guarantee was violated.
  *
- * Events are named on the command line by the second: --drain 3 takes the
- * first server of each service away, --config 4 puts a newer version,
- * --store-busy 5 turns the store off for two seconds, --compact 8 drops its
- * history. Others are read as lines from the pipe of --commands, so that a
- * script can play any series; see `commands` below. Entries are signalled
- * from here then, so that it is known which requests came after a signal. */
+ * Options schedule events by the second: --drain 3 drains the first server of
+ * each service, --new-config 4 writes a newer configuration, --store-busy 5
+ * makes the store unavailable for two seconds, --compact 8 drops its history.
+ * Further events are read as lines from the named pipe of --commands, so that
+ * a script can run any sequence; see `commands` below. The simulator then
+ * sends the signals to the entries itself, so that the journal knows which
+ * requests were sent after a signal. */
 #include "platform/platform.h"
 #include "standins/site/options.h"
 #include "standins/site/site.h"
@@ -20,11 +21,11 @@
 #include <string.h>
 
 #define SERVERS 6
-#define LIMITED 2 /* of them name a limit: one of each service */
+#define LIMITED 2 /* servers that announce a limit: one of each service */
 #define TICK_MS 50
-/* Callers get so long after the end to hear of what they have sent. */
+/* Time after the end for callers to receive pending answers. */
 #define END_S         15
-#define FIRST_VERSION 3 /* of the file given */
+#define FIRST_VERSION 3 /* of the given file */
 
 typedef struct {
     SiteOptions args;
@@ -38,7 +39,7 @@
     SiteJournal *journal;
     SiteServer *servers[SERVERS];
     bool draining[SERVERS];
-    uint32_t born[SERVERS];
+    uint32_t birth[SERVERS];
     SiteStoreMode store_mode;
     GHashTable *paused; /* addresses of entries */
     GPtrArray *callers;
@@ -48,7 +49,7 @@
     bool reconfigured;
     bool limited;
     bool compacted;
-    bool misled; /* by a line that is no command */
+    bool has_invalid_event; /* an event line was invalid */
 } Site;
 
 static char *
@@ -75,30 +76,31 @@
     char *key = g_strdup_printf("server-%d", i);
     char *address = g_strdup_printf("127.0.0.1:%d", site->args.port + i);
     char *slots = g_strdup_printf("%d", site->args.slots);
-    char *born = g_strdup_printf("%u", site->born[i] + 1);
+    char *birth = g_strdup_printf("%u", site->birth[i] + 1);
 
     text = replaced(text, "@ADDRESS@", address);
-    text = replaced(text, "@BORN@", born);
+    text = replaced(text, "@BORN@", birth);
     text = replaced(text, "@SERVICE@", service_of(i));
     text = replaced(text, "@DOMAIN@", i < SERVERS / 2 ? "d1" : "d2");
     text = replaced(text, "@SLOTS@", slots);
     text = replaced(text, "@STATE@", state);
     text = replaced(text, "@SEQ@", "1");
     SiteStore_Put(site->store, Platform_Adapter.server_table, key, text);
-    g_free(born);
+    g_free(birth);
     g_free(slots);
     g_free(address);
     g_free(key);
     g_free(text);
 }
 
-/* Each restart of a server has a time of its own, by which entries know it. */
+/* Registers the restarted server with a new birth time, by which entries
+ * detect the restart. */
 static void
 on_restarted(void *owner, uint32_t number)
 {
     Site *site = owner;
 
-    site->born[number]++;
+    site->birth[number]++;
     put_server(site, (int)number, "ready");
 }
 
@@ -152,7 +154,7 @@
             .depth = i % 4 == 1 ? (uint32_t)site->args.depth : 1,
             .rest_ms = (uint32_t)site->args.rest_ms,
             .crashes = i >= site->args.callers,
-            .keeps = site->args.keep && i % 4 != 0,
+            .keeps_entry = site->args.keep && i % 4 != 0,
         };
         g_ptr_array_add(site->callers, SiteCaller_Create(&params));
     }
@@ -182,10 +184,10 @@
 
 /* ---- Commands ------------------------------------------------------------ */
 
-/* Entries can't learn of a drain while the store is off or they are paused:
- * their time to do so begins anew afterwards. */
+/* Restarts the time that entries have to learn of a drain: they cannot while
+ * the store is unavailable or an entry is paused. */
 static void
-watch_drains(Site *site)
+update_drain_marks(Site *site)
 {
     bool known = site->store_mode == SITE_STORE_UP &&
                  g_hash_table_size(site->paused) == 0;
@@ -197,8 +199,8 @@
     }
 }
 
-/* A server that has drained comes back as a new process, which remembers
- * nothing. */
+/* Starts or ends the drain of a server. After a drain the server is a new
+ * process without cached objects. */
 static void
 set_draining(Site *site, const char *number, bool draining)
 {
@@ -209,11 +211,11 @@
     }
     site->draining[i] = draining;
     if (!draining) {
-        site->born[i]++;
-        SiteServer_Forget(site->servers[i]);
+        site->birth[i]++;
+        SiteServer_ClearCache(site->servers[i]);
     }
     put_server(site, (int)i, draining ? "draining" : "ready");
-    watch_drains(site);
+    update_drain_marks(site);
 }
 
 static void
@@ -257,7 +259,7 @@
         else if (number == SIGCONT || number == SIGKILL) {
             (void)g_hash_table_remove(site->paused, words[2]);
         }
-        watch_drains(site);
+        update_drain_marks(site);
     }
 }
 
@@ -274,7 +276,7 @@
                        : strcmp(words[1], "silent") == 0 ? SITE_STORE_SILENT
                                                          : SITE_STORE_UP;
     SiteStore_SetMode(site->store, site->store_mode);
-    watch_drains(site);
+    update_drain_marks(site);
 }
 
 static void
@@ -305,8 +307,7 @@
     set_evacuated(site, words[1], NULL);
 }
 
-/* A new version, with another time after which idle connections are closed.
- */
+/* Writes a new configuration version with another idle timeout. */
 static void
 run_config(Site *site, char **words)
 {
@@ -332,7 +333,7 @@
 run_calm(Site *site, char **words)
 {
     (void)words;
-    SiteJournal_Calm(site->journal);
+    SiteJournal_FaultsEnded(site->journal);
 }
 
 static void
@@ -349,13 +350,13 @@
     void (*run)(Site *site, char **words);
 } commands[] = {
     {"signal", 4, run_signal}, /* NAME ADDRESS PID */
-    {"start", 2, run_start},   /* ADDRESS; before the process is */
+    {"start", 2, run_start},   /* ADDRESS; before the process starts */
     {"store", 2, run_store},   /* up, busy or silent */
     {"compact", 1, run_compact}, {"drain", 2, run_drain},       /* NUMBER */
     {"ready", 2, run_ready},     {"evacuate", 2, run_evacuate}, /* DOMAIN */
     {"return", 2, run_return},   {"config", 2, run_config},     /* IDLE MS */
     {"faults", 2, run_faults},                                  /* PERMILLE */
-    {"calm", 1, run_calm}, /* no further fault: requests are answered */
+    {"calm", 1, run_calm}, /* faults are over: requests are answered */
     {"end", 1, run_end},
 };
 
@@ -377,17 +378,17 @@
         }
     }
     if (!known) {
-        (void)printf("event not understood: %s\n", line);
-        site->misled = true;
+        (void)printf("unknown event: %s\n", line);
+        site->has_invalid_event = true;
     }
     (void)fflush(stdout);
     g_free(line);
 }
 
-/* ---- Events by the second ------------------------------------------------ */
+/* ---- Scheduled events ---------------------------------------------------- */
 
 static void
-play_events(Site *site)
+run_scheduled_events(Site *site)
 {
     int64_t now_us = (int64_t)(uv_hrtime() / 1000);
 
@@ -424,7 +425,7 @@
     Site *site = timer->data;
     bool idle = true;
 
-    play_events(site);
+    run_scheduled_events(site);
     SiteStore_Sweep(site->store);
     for (guint i = 0; i < site->callers->len; i++) {
         SiteCaller *c = site->callers->pdata[i];
@@ -444,12 +445,12 @@
     SiteVerdict v = SiteJournal_Conclude(
         site->journal, (uint32_t)site->args.grace_ms, stdout);
 
-    v.misled = site->misled;
+    v.has_invalid_event = site->has_invalid_event;
     for (int i = 0; i < SERVERS; i++) {
-        v.late += SiteServer_Late(site->servers[i]);
+        v.late += SiteServer_LateRequests(site->servers[i]);
         v.above_limit += SiteServer_AboveLimit(site->servers[i]);
     }
-    bool kept = SiteVerdict_Tell(&v, site->args.commands != NULL);
+    bool kept = SiteVerdict_Print(&v, site->args.commands != NULL);
     g_array_free(v.latencies_us, TRUE);
     return kept ? EXIT_SUCCESS : EXIT_FAILURE;
 }
@@ -500,7 +501,8 @@
     }
     (void)signal(SIGPIPE, SIG_IGN);
     if (!start(&site)) {
-        (void)fprintf(stderr, "standin_site: can't start\n");
+        (void)fprintf(stderr, "standin_site: cannot open the store, a server, "
+                              "a file or the pipe\n");
         return 1;
     }
     start_callers(&site);
