--- a/standins/demo.sh
+++ b/standins/demo.sh
@@ -1,11 +1,11 @@
 #!/bin/bash
-# The whole system of one user under failures, with callers all the while.
+# Runs the complete system of one site under failures and load.
 # usage: demo.sh BUILD SITE     SITE: hen-viec (default) or dyehouse
 #
-# Prints what was seen of each failure, the callers' table and, last, the
-# "demo:" line. Exit code 1 when a request was doubled, falsely refused,
-# wrongly answered or left without an outcome, or a planned stop failed.
-# Environment: GW_RATE (200 a second), GW_SEED, those of standins/lib.sh.
+# Prints the effect of each failure, the report of the callers and the "demo:"
+# line. Exits with 1 when a request ran twice, was falsely refused, wrongly
+# answered or had no outcome, or a graceful stop failed.
+# Environment: GW_RATE (200 per second), GW_SEED, and those of standins/lib.sh.
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
 . standins/lib.sh
@@ -14,7 +14,7 @@
 store_down_s=10
 bad=0
 
-at() { # SECOND of the run
+at() { # SECOND: waits until this second of the run
     local wait_ms=$((begin_ms + $1 * 1000 - $(gw_now_ms)))
     [ "$wait_ms" -le 0 ] || sleep "$((wait_ms / 1000)).$(
         printf '%03d' $((wait_ms % 1000)))"
@@ -24,7 +24,7 @@
     gw_say "$*" >>"$gw_dir/notes"
 }
 
-fault() { # what must not be
+fault() { # TEXT: records a failed check
     note "FAULT: $*"
     bad=1
 }
@@ -39,7 +39,7 @@
     begin_ms=$(gw_now_ms)
 }
 
-# A change of a cap: how long until every entry serves under it.
+# Changes a cap and measures the time until every entry has the change.
 change_configuration() {
     local entry=${gw_entries[1]} before
     before=$(gw_version "$entry")
@@ -65,10 +65,10 @@
     drain_region=${gw_regions[0]}
     drain_name=$(gw_first_service)-01
     gw_backend "$drain_region" "$drain_name" '"drain": true' ||
-        fault "the drain order was not taken"
+        fault "the drain request failed"
 }
 
-stat_of() { # KEY: of the drained server
+stat_of() { # KEY: a statistic of the drained server
     gw_request GET "${gw_control[$drain_region]}" /stats |
         grep -o "{[^{}]*\"$drain_name\"[^{}]*}" |
         sed -n "s/.*\"$1\": *\(-\{0,1\}[0-9]*\).*/\1/p"
@@ -86,7 +86,7 @@
     fi
 }
 
-# SIGTERM: the list says leaving at once, gone when the process has ended.
+# Stops an entry: listed as leaving before SIGTERM, and as gone after its exit.
 stop_entry() {
     local name=$1 rc=0 from_ms
     from_ms=$(gw_now_ms)
@@ -138,7 +138,7 @@
     replace_entry "$killed"
     at 33
     gw_fault "\"mode\": \"down\", \"for_ms\": $((store_down_s * 1000))" ||
-        fault "the store's outage was not ordered"
+        fault "the fault request for the store failed"
     note "store down for $store_down_s s"
     at "$duration_s"
     check_alive "$stopped"
@@ -156,7 +156,7 @@
 grep -v '^demo: ' "$gw_dir/callers.log"
 cat "$gw_dir/notes"
 grep '^demo: ' "$gw_dir/callers.log" || {
-    gw_fail "the callers gave no closing line (exit $judged)"
+    gw_fail "the callers printed no summary line (exit $judged)"
     exit 1
 }
 [ "$judged" -eq 0 ] && [ "$bad" -eq 0 ]
--- a/standins/demo_site.sh
+++ b/standins/demo_site.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Three entries, six backend servers and forty callers. Meanwhile servers lose
-# and double answers, two of them drain, the configuration changes, the store
-# is off for two seconds and drops its history, one entry is stopped and
-# another one killed. usage: demo_site.sh BUILD
+# Runs three entries, six backend servers and forty callers while servers lose
+# and duplicate answers, two servers drain, the configuration changes, the
+# store is unavailable for two seconds and drops its history, one entry is
+# stopped and another one is killed. usage: demo_site.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/.." || exit 2
 . standins/lib.sh
@@ -12,7 +12,7 @@
     --new-config 4 --store-busy 6 --compact 9 || exit 1
 sleep 5
 gw_say "stopping e1 (SIGTERM)"
-gw_end e1 TERM || gw_fail "e1 did not stop in order"
+gw_end e1 TERM || gw_fail "e1 did not exit with 0"
 site_start_entry e1
 sleep 1
 gw_say "killing e3 (SIGKILL)"
--- a/standins/lib.sh
+++ b/standins/lib.sh
@@ -1,10 +1,11 @@
-# Functions to start, fault and stop a whole system on one machine; sourced
-# by standins/demo.sh and tests/session/*.sh. Every process is ended by its pid.
+# Functions to start, disturb and stop a complete system on one machine;
+# sourced by standins/demo.sh and tests/session/*.sh. Processes are signalled
+# by pid.
 #
-#   gw_begin BUILD SITE   temp dir, ports, names of the site; clean-up on exit
-#   gw_system             starts all and applies the first configuration
+#   gw_begin BUILD SITE   sets up directory, ports and names; clean-up on exit
+#   gw_system             starts everything and applies the first configuration
 # Environment: GW_PORT_BASE (the first free block of 200 from 20000),
-# GW_SERVICE_MS (40), KEEP=1 keeps the temp dir.
+# GW_SERVICE_MS (40), KEEP=1 keeps the directory.
 
 declare -A gw_pid gw_call gw_peer gw_admin gw_region gw_domain
 declare -A gw_control gw_caller_entries
@@ -33,7 +34,8 @@
     done
 }
 
-# One HTTP request; prints the body. usage: gw_request METHOD ADDR PATH [BODY]
+# Sends one HTTP request and prints the body.
+# usage: gw_request METHOD ADDR PATH [BODY]
 gw_request() {
     "$gw_out"/standin_callers --request "$1" --at "$2" --path "$3" \
         ${4:+--body "$4"} --deadline-ms 2000
@@ -59,13 +61,13 @@
     ! gw_alive "$1"
 }
 
-# Sends a signal and waits for the end; gives the exit code of the process.
-# One that is still there after 45 s, more than leave_bound_ms, is killed.
+# Sends a signal, waits for the process and returns its exit code. Kills the
+# process after 45 s, which is more than leave_bound_ms.
 gw_end() { # NAME SIGNAL
     local pid=${gw_pid[$1]}
     local rc=0
     kill -"$2" "$pid" 2>/dev/null
-    { # the shell itself says "Killed" of a job
+    { # hides the shell's own "Killed" message
         gw_await 45 gw_ended "$1" || kill -KILL "$pid"
         wait "$pid" || rc=$?
     } 2>/dev/null
@@ -73,7 +75,7 @@
     return "$rc"
 }
 
-# Ends what is still there: all are asked, then those that stay are killed.
+# Stops all remaining processes: SIGTERM, then SIGKILL after 5 s.
 gw_cleanup() {
     local name
     for name in "${!gw_pid[@]}"; do
@@ -99,7 +101,7 @@
     return 0
 }
 
-# Sizes of the two users. A service is name:servers:slots.
+# Sets the sizes of a site. A service is name:servers:slots.
 gw_site() {
     case $1 in
     hen-viec)
@@ -111,7 +113,7 @@
         gw_mix=lich-hen:look-up=45,lich-hen:booking=25
         gw_mix+=,ket-noi:look-up=15,ket-noi:confirmation=15
         ;;
-    hen-viec-small) # a third of its servers, for tests
+    hen-viec-small) # a third of the servers, for tests
         gw_site hen-viec
         gw_services=(lich-hen:9:3 ket-noi:3:3)
         ;;
@@ -128,8 +130,8 @@
     esac
 }
 
-# Three entries a region, two failure domains. Ports from the base: platform,
-# controls, then three for each entry, then the backend servers.
+# Assigns three entries in two failure domains to each region. Ports from the
+# base: platform, control ports, three per entry, then the backend servers.
 gw_place_entries() {
     local region n name port=$((gw_base + 20))
     for region in "${gw_regions[@]}"; do
@@ -156,7 +158,7 @@
     fi
 }
 
-# Whether nothing listens in the block of 200 ports.
+# Succeeds when nothing listens in the block of 200 ports.
 gw_block_free() { # BASE
     local listening=0A address state port
     while read -r _ address _ state _; do
@@ -168,9 +170,9 @@
     done < <(tail -n +2 /proc/net/tcp)
 }
 
-# Two systems on the same ports would half work: an entry of one refuses the
-# other's token. So a block is locked until the last process of the system
-# has ended: all inherit the descriptor.
+# Locks a free block of ports. Two systems on the same ports would fail in
+# unclear ways, since their entries refuse each other's token. All processes of
+# the system inherit the descriptor, so the lock is held until the last exits.
 gw_take_ports() {
     local base lock
     for base in $(gw_port_bases); do
@@ -204,8 +206,8 @@
         od -An -N32 -tx1 /dev/urandom | tr -d ' \n' >"$gw_key")
 }
 
-# Prints "service name address slots" for each backend server of a region:
-# the servers of a service are dealt to the regions in turn.
+# Prints "service name address slots" for each backend server of a region. The
+# servers of a service are distributed to the regions in turn.
 gw_backends_of() { # REGION
     local spec service count slots i port=$((gw_base + 100))
     for spec in "${gw_services[@]}"; do
@@ -250,13 +252,14 @@
         gw_fail "the backend servers of $region do not answer"
 }
 
-# Sets flags of one backend server, or of all of a region with the name '*'.
+# Sets flags of a backend server, or of all in a region with the name '*'.
 # usage: gw_backend REGION NAME '"drain": true'
 gw_backend() {
     gw_request POST "${gw_control[$1]}" /control \
         "{\"backend\": \"$2\", $3}" >/dev/null
 }
 
+# Injects a fault into the platform.
 # usage: gw_fault '"mode": "down", "for_ms": 10000'
 gw_fault() {
     gw_request POST "$gw_platform" /control/faults "{$1}" >/dev/null
@@ -319,7 +322,7 @@
     echo "${gw_services[0]%%:*}"
 }
 
-# The configuration version an entry gives to callers; 0 before the first.
+# Prints the configuration version that an entry reports to callers; 0: none.
 gw_version() { # NAME
     local text
     text=$(gw_request GET "${gw_call[$1]}" \
@@ -328,7 +331,7 @@
     echo "${text:-0}"
 }
 
-gw_all_at() { # VERSION: every live entry serves it or a later one
+gw_all_at() { # VERSION: every running entry serves this version or a later one
     local name
     for name in "${gw_entries[@]}"; do
         gw_alive "$name" || continue
@@ -374,7 +377,7 @@
     printf ']}'
 }
 
-# Every ordered pair of regions, one line each.
+# Prints every ordered pair of regions, one per line.
 gw_pairs() {
     local from to
     for from in "${gw_regions[@]}"; do
@@ -445,12 +448,12 @@
     done
 }
 
-gw_admin_up() { # NAME: a request without a token is refused, so it listens
+gw_admin_up() { # NAME: any answer will do, also a refusal for lack of a token
     gw_request GET "${gw_admin[$1]}" /metrics >/dev/null 2>&1
     [ $? -ne 3 ]
 }
 
-# Starts everything of the site and waits until every entry is ready.
+# Starts the complete site and waits until every entry is ready.
 gw_system() {
     local region name
     gw_start_platform --list-lag-ms 1000 || return 1
@@ -472,7 +475,7 @@
     done
 }
 
-# Load until gw_judge. usage: gw_start_callers [OPTION...]
+# Starts load that lasts until gw_judge. usage: gw_start_callers [OPTION...]
 gw_start_callers() {
     local regions
     mapfile -t regions < <(gw_caller_regions)
@@ -481,22 +484,23 @@
         --report "$gw_dir/report.json" "$@" "${regions[@]}"
 }
 
-# Ends the load, waits for every outcome and prints the table. Fails when a
-# request was doubled, falsely refused, wrongly answered or lost.
+# Ends the load, waits for all outcomes and prints the report. Fails when a
+# request ran twice, was falsely refused, wrongly answered or had no outcome.
 gw_judge() {
     local rc=0
     gw_end callers TERM || rc=$?
     cat "$gw_dir/callers.log"
-    [ "$rc" -eq 0 ] || gw_fail "the judge of the callers: exit $rc" || return 1
+    [ "$rc" -eq 0 ] || gw_fail "the callers exited with $rc" || return 1
     grep -q '"no_outcome":0,' "$gw_dir/report.json" ||
         gw_fail "requests were left without an outcome"
 }
 
-gw_head() { # the newest version, as the platform's table has it
+gw_head() { # prints the newest version in the platform's table
     gw_ctl "${gw_entries[0]}" history --limit 1 | cut -d ' ' -f 1
 }
 
-# SIGTERM as the platform does it: leaving at once, gone after the end.
+# Stops an entry as the platform does: listed as leaving before SIGTERM, and as
+# gone after the process has exited.
 gw_stop_entry() { # NAME
     local rc=0
     gw_list "$1" leaving
--- a/standins/site.sh
+++ b/standins/site.sh
@@ -1,4 +1,4 @@
-# Functions to run entries of godwitedge beside standin_site; sourced by
+# Functions to run godwitedge entries together with standin_site; sourced by
 # standins/demo_site.sh and tests/session/site_*.sh after lib.sh.
 
 site_entries=(e1 e2 e3)
@@ -8,7 +8,7 @@
 site_ready_path=/godwitridge/readiness
 site_config=deploy/demo/config.json
 
-# Five ports an entry, from the tenth of the block.
+# Prints a port of an entry: five per entry, from the tenth of the block.
 site_port() { # NAME OFFSET
     echo $((gw_base + 10 * ${1#e} + $2))
 }
@@ -41,13 +41,15 @@
     echo "${list#,}"
 }
 
-# The world plays events and signals entries, so that it can tell what came
-# after a signal. After gw_begin. usage: site_begin_played [OPTION...]
+# Starts the site with a command pipe. standin_site signals the entries itself,
+# so that its journal knows which requests were sent after a signal. Requires
+# gw_begin. usage: site_begin_played [OPTION...]
 site_begin_played() {
     local name
     site_pipe=$gw_dir/commands
     mkfifo "$site_pipe" || return 1
-    # Held open for both, so that no writer waits and none ends it.
+    # Open for reading and writing: writers do not block, and the pipe has no
+    # end of file.
     exec {site_commands}<>"$site_pipe"
     site_start_world --commands "$site_pipe" "$@"
     for name in "${site_entries[@]}"; do
@@ -56,12 +58,12 @@
     done
 }
 
-# usage: site_play EVENT...
+# Sends an event to standin_site. usage: site_play EVENT...
 site_play() {
     printf '%s\n' "$*" >&"$site_commands"
 }
 
-# Asks an entry as operators do.
+# Runs godwitctl on an entry.
 site_ctl() { # NAME COMMAND...
     local name=$1
     shift
@@ -81,11 +83,11 @@
     site_play signal "$2" "$(site_address "$1")" "${gw_pid[$1]}"
 }
 
-# Waits for the end of a process that has got a signal; gives its exit code.
-# One that is still there after 45 s is killed.
+# Waits for a signalled process and returns its exit code. Kills the process
+# after 45 s.
 site_wait_end() { # NAME
     local rc=0 pid=${gw_pid[$1]}
-    { # the shell itself says "Killed" of a job
+    { # hides the shell's own "Killed" message
         gw_await 45 gw_ended "$1" || kill -KILL "$pid"
         wait "$pid" || rc=$?
     } 2>/dev/null
@@ -93,7 +95,7 @@
     return "$rc"
 }
 
-# Starts the site's other parts. usage: site_start_world [OPTION...]
+# Starts standin_site. usage: site_start_world [OPTION...]
 site_start_world() {
     gw_start world "$gw_out"/standin_site --store "127.0.0.1:$gw_base" \
         --directories "$(site_directories)" --port $((gw_base + 100)) \
@@ -101,7 +103,7 @@
         "$@"
 }
 
-site_begin() { # BUILD [OPTION OF THE WORLD...]
+site_begin() { # BUILD [OPTION OF standin_site...]
     local out=$1 name
     shift
     gw_begin "$out" hen-viec-small || return 1
@@ -112,15 +114,15 @@
     site_start_world "$@"
 }
 
-# The configuration with long time-outs of its routes, for slow servers.
+# Prepares a configuration with long route timeouts, for slow servers.
 site_slow_config() {
     site_config=$gw_dir/config.json
     sed -E 's/"timeout":"[0-9]+ms"/"timeout":"9000ms"/' \
         deploy/demo/config.json >"$site_config"
 }
 
-# The configuration with one more route, of which nobody has seen a run, and
-# time for callers to send half a request and wait.
+# Prepares a configuration with a further route, without any statistics of
+# runs, and a header timeout that lets callers pause within a request.
 site_late_config() {
     local route='{"name":"long","prefix":"/long/","kind":"unsafe",'
     route+='"timeout":"20000ms","objective":"6000ms","priority":1,'
@@ -132,13 +134,14 @@
         deploy/demo/config.json >"$site_config"
 }
 
-# The requests that broke a promise, or whose connection ended unanswered.
+# Prints the requests that violated a guarantee or whose connection closed
+# without an answer.
 site_broken() {
     grep -E '^(CUT|FALSE|BARE|NO|WRONG|DOUBLED|BEHIND|crossed)' \
         "$gw_dir/world.log"
 }
 
-# Waits for the end of the world and prints what it saw.
+# Waits for standin_site to end and prints its summary.
 site_conclude() {
     local rc=0
     wait "${gw_pid[world]}" || rc=$?
--- a/tests/session/godwitctl.sh
+++ b/tests/session/godwitctl.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# An operator's day at the real daemon: every command that reads or changes,
-# its exit code as in godwitctl(1), its --json, and that a change is in force
-# at every entry when --wait says so.
+# Runs every godwitctl command against real daemons. Checks the exit codes of
+# godwitctl(1), that --json prints JSON, and that a change is in force at every
+# entry when --wait reports it.
 # usage: godwitctl.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -9,7 +9,7 @@
 
 checks=0
 
-# Standard output of the last command is in $out.
+# Runs godwitctl; its standard output is in $out.
 expect() { # EXIT CODE, then ENTRY and ARGUMENTS of godwitctl
     local want=$1 rc=0
     shift
@@ -21,7 +21,7 @@
     exit 1
 }
 
-says() { # PATTERN: in the output of the last command
+says() { # PATTERN: must match the output of the last command
     grep -qE "$1" <<<"$out" && return 0
     gw_fail "no \"$1\" in: $out"
     exit 1
@@ -34,7 +34,7 @@
     exit 1
 }
 
-at_all() { # VERSION: every entry shows it itself, with --json
+at_all() { # VERSION: must be reported by every entry itself, with --json
     local name
     for name in "${gw_entries[@]}"; do
         expect_json 0 "$name" --json status
@@ -42,7 +42,7 @@
     done
 }
 
-# Gossip brings the members; each shows the version that it told.
+# Succeeds when gossip has brought all members, each with version 1.
 all_known() {
     local text name
     text=$(gw_ctl "$one" status) || return 1
@@ -150,7 +150,7 @@
 service=$(gw_first_service)
 place=${gw_regions[0]}
 other=${gw_regions[1]}
-gw_await 60 all_known || gw_fail "not every member is known at version 1" ||
+gw_await 60 all_known || gw_fail "not every member is known with version 1" ||
     exit 1
 read_commands
 change_commands
--- a/tests/session/operators.sh
+++ b/tests/session/operators.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# Eight operators race 200 changes at different entries, while the platform's
-# table loses the answers to some of its writes: they took effect, and the
-# entry can't know. An operator who is told "pending", or nothing, asks with
-# the request id until the answer is final. Then the log of changes holds
-# each accepted change exactly once, and no refused one.
+# Changes must be applied exactly once when the answers to table writes are
+# lost: the write took effect, but the entry cannot know. Eight operators
+# submit 200 concurrent changes at different entries and query the request id
+# of every pending change until its outcome is final. The history must then
+# contain every accepted change once, and no refused one.
 # usage: operators.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -12,7 +12,8 @@
 operators=8
 each=25
 
-# One change of several kinds; every fifth is made for a version long past.
+# Submits a change of varying kind; every fifth is based on an outdated
+# version.
 change() { # OPERATOR K
     local name=${gw_entries[$((($1 * 5 + $2) % ${#gw_entries[@]}))]}
     local from=${gw_regions[$(($2 % 3))]} to=${gw_regions[$((($2 + 1) % 3))]}
@@ -27,7 +28,7 @@
     gw_ctl "$name" --operator "op$1" --request-id "$id" "${base[@]}" $line
 }
 
-# Sets `told`, the last exit code of the operation.
+# Succeeds when the operation has a final outcome; `told` is the exit code.
 is_final() { # OPERATOR ID
     told=0
     gw_ctl "${gw_entries[$1]}" operation "$2" >/dev/null 2>&1 || told=$?
@@ -47,7 +48,7 @@
     done
 }
 
-# Every version below the one given, newest first.
+# Prints the history below a version, newest first.
 read_history() {
     local before=$1 page
     while [ "$before" -gt 1 ]; do
@@ -58,7 +59,7 @@
     done
 }
 
-told_of() { # EXIT CODE: ids
+told_of() { # EXIT CODE: prints the ids of operations that ended with it
     cat "$gw_dir"/told-* | awk -v want="$1" '$2 == want {print $1}' | sort
 }
 
@@ -81,14 +82,14 @@
 final=$(cat "$gw_dir/accepted" "$gw_dir/refused" | wc -l)
 gw_say "$total changes: $(wc -l <"$gw_dir/accepted") accepted," \
     "$(wc -l <"$gw_dir/refused") refused, of these" \
-    "$(cat "$gw_dir"/asked-* 2>/dev/null | wc -l) only after asking"
+    "$(cat "$gw_dir"/asked-* 2>/dev/null | wc -l) only after a query"
 [ "$total" -eq $((operators * each)) ] && [ "$final" -eq "$total" ] ||
-    gw_fail "not every operator was told an outcome" || exit 1
+    gw_fail "not every change has a final outcome" || exit 1
 head=$(gw_head)
 read_history $((head + 1)) >"$gw_dir/history" || exit 1
 awk '$4 ~ /^op/ {print $4}' "$gw_dir/history" | sort >"$gw_dir/in-history"
 diff "$gw_dir/accepted" "$gw_dir/in-history" ||
-    gw_fail "the log of changes is not what operators were told" || exit 1
+    gw_fail "the history differs from the reported outcomes" || exit 1
 [ "$head" -eq $((first + $(wc -l <"$gw_dir/accepted"))) ] ||
     gw_fail "version $head for $(wc -l <"$gw_dir/accepted") changes" || exit 1
 while read -r id told; do
@@ -97,7 +98,7 @@
     rc=0
     gw_ctl "${gw_entries[3]}" operation "$id" >/dev/null 2>&1 || rc=$?
     [ "$now" -eq 0 ] && [ "$rc" -eq "$told" ] ||
-        gw_fail "$id: told $told, later $rc" || exit 1
+        gw_fail "$id: exit $told at first, later $rc" || exit 1
 done < <(cat "$gw_dir"/told-*)
 gw_await 60 gw_all_at "$head" ||
     gw_fail "an entry is not at version $head" || exit 1
--- a/tests/session/replace_all.sh
+++ b/tests/session/replace_all.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# An upgrade: under load, every entry is stopped with SIGTERM and started
-# anew, one after the other. Each hands its seats to peers and ends what it
-# holds before it exits; callers read of it in the look-up answers and move.
-# So each exits 0, and every request of every caller has its outcome.
+# A rolling upgrade under load must lose no request: every entry in turn is
+# stopped with SIGTERM and restarted. A stopping entry hands its seats to peers
+# and finishes its requests before it exits; look-up answers direct callers to
+# other entries. Every entry must exit with 0, and every request must have an
+# outcome.
 # usage: replace_all.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
--- a/tests/session/site_crashing_requests_kept.sh
+++ b/tests/session/site_crashing_requests_kept.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# All entries are killed at once while a request that crashes servers goes on
-# coming: those that start anew must know it, and not learn of it by further
-# crashes.
+# A quarantine must survive the death of all entries: while callers repeat a
+# request that crashes servers, all entries are killed at once. The restarted
+# entries must know the request without further crashes.
 # usage: site_crashing_requests_kept.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -14,9 +14,9 @@
 
 site_begin "$1" --seconds 14 --callers 10 --crashers 2 || exit 1
 for name in "${site_entries[@]}"; do
-    gw_await 8 is_held "$name" || gw_fail "$name holds nothing" || exit 1
+    gw_await 8 is_held "$name" || gw_fail "$name quarantines nothing" || exit 1
 done
-sleep 4 # what is sent from now on counts
+sleep 4 # past SITE_EXCHANGE_US: further sends count
 for name in "${site_entries[@]}"; do
     gw_end "$name" KILL
 done
@@ -27,8 +27,8 @@
 site_conclude || rc=1
 grep -E '^(crasher|crashes:)' "$gw_dir/world.log"
 grep -E '^crasher ' "$gw_dir/world.log" | grep -qv ' 0 sends after' &&
-    { gw_fail "further servers had to crash"; rc=1; }
+    { gw_fail "further servers received the request"; rc=1; }
 for name in "${site_entries[@]}"; do
-    is_held "$name" || gw_fail "$name has forgotten it" || rc=1
+    is_held "$name" || gw_fail "$name has lost the quarantine" || rc=1
 done
 exit $rc
--- a/tests/session/site_explain.sh
+++ b/tests/session/site_explain.sh
@@ -1,24 +1,25 @@
 #!/bin/bash
-# Operators ask entries while servers lose answers: what an entry says of
-# itself and of its servers, what a collector reads, and what became of one
-# request that failed, from the logs of all entries.
+# Operators query entries while servers lose answers: status, statistics of
+# servers, metrics, and the history of a failed request from the logs of all
+# entries.
 #
-# A request whose answer was lost ends as unknown; its line, the failed attempt
-# before it and the conclusion have to be found by its id alone.
+# A request whose answer was lost ends as unknown; `explain` must find its log
+# line, the failed attempt before it and the conclusion by the request id
+# alone.
 # usage: site_explain.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
 . standins/lib.sh
 . standins/site.sh
 
-# Whether what the command prints has the pattern.
+# Succeeds when the output of the command matches the pattern.
 shows() { # PATTERN COMMAND...
     local pattern=$1
     shift
     "$@" 2>/dev/null | grep -E "$pattern" >/dev/null
 }
 
-# The same within 20 s, for what takes a moment to come about.
+# Requires a match within 20 s.
 expect() { # PATTERN COMMAND...
     gw_await 20 shows "$@" || {
         gw_fail "no /$1/ in: ${*:2}"
@@ -32,7 +33,7 @@
 expect '"state":"ready"' site_ctl e1 --json status
 expect '^server-[0-9] ' site_ctl e2 top --limit 3
 [ "$(site_ctl e2 top --limit 3 | wc -l)" -eq 4 ] ||
-    gw_fail "top --limit 3 has other than a head and 3 lines" || exit 1
+    gw_fail "top --limit 3 does not print a header and 3 lines" || exit 1
 expect 'gw_request_ms_count\{route="[^"]+",end="answered"\} [1-9]' \
     site_ctl e3 metrics
 expect '^gw_config_version [1-9]' site_ctl e3 metrics
@@ -49,4 +50,4 @@
 expect 'REQUEST_REPLIED status=502 why=broken' explain
 expect '^unknown: it was sent' explain
 "$gw_out"/godwitctl explain no-such-id "${logs[@]}" >/dev/null
-[ $? -eq 1 ] || gw_fail "an id that is nowhere must be told by exit code 1"
+[ $? -eq 1 ] || gw_fail "explain of an unknown id must exit with 1"
--- a/tests/session/site_idle_close.sh
+++ b/tests/session/site_idle_close.sh
@@ -1,10 +1,10 @@
 #!/bin/bash
-# A request that has come just when its kept connection is closed as idle.
+# A request that arrives just before the idle timeout must be answered.
 #
-# A caller sends a request on a connection that has been idle for nearly the
-# limit. The entry is held up for a moment, as on a busy machine; then it looks
-# at the time first and closes the connection, with the request unread in it.
-# The caller gets no answer, and can't know whether the request was done.
+# A caller sends a request on a connection that is close to the idle timeout
+# while the entry is stalled, as on a busy machine. An entry that then checks
+# the timeout before it reads closes the connection with the request unread,
+# and the caller cannot know whether the request ran.
 # usage: site_idle_close.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -26,7 +26,7 @@
     printf 'X-Attempt-Id: %s\r\nX-Time-Remaining: 2000\r\n\r\n' "$1" >&9
 }
 
-# Takes one answer, whole.
+# Reads one complete answer.
 take_answer() {
     local line length=0
     read -r -t 2 line <&9 || return 1
@@ -38,14 +38,14 @@
     read -r -t 2 -N "$length" line <&9 || [ "$length" -eq 0 ]
 }
 
-# Which of the two the entry sees first, the time or the request, differs from
-# round to round.
+# Repeats the case, since the order in which the entry handles the timeout and
+# the request varies.
 rounds() { # NAME
     local n
     for n in 1 2 3 4 5 6 7 8; do
         exec 9<>"/dev/tcp/127.0.0.1/$(site_port "$1" 0)" || return 1
         ask "first$n"
-        take_answer || gw_fail "no answer at first" || return 1
+        take_answer || gw_fail "the first request got no answer" || return 1
         sleep 0.5
         kill -STOP "${gw_pid[$1]}"
         ask "second$n"
--- a/tests/session/site_large_rows.sh
+++ b/tests/session/site_large_rows.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# A configuration that would keep a small instance's link for seconds.
+# A configuration that would occupy the link of a small instance for seconds
+# must be read from the store.
 #
-# Operators put a new version. Entries that don't poll the store learn from a
-# peer that it is there; read from that peer by all of them, it would be in
-# force on the last ones long after the others. They read it from the store
-# instead, and all five have it in the end; no request is cut or mixed up.
+# Operators write a new version. Entries that do not poll the store learn of it
+# from a peer; if all of them read it from that peer, the last ones would get
+# it long after the others. All five entries must have the version in the end,
+# and no request may be cut off or get another answer.
 # usage: site_large_rows.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -12,7 +13,7 @@
 . standins/site.sh
 
 site_entries=(e1 e2 e3 e4 e5)
-site_link_mbps=0.01 # any row is large beside such a link
+site_link_mbps=0.01 # any row is large for such a link
 site_begin "$1" --seconds 16 --callers 20 --new-config 10 || exit 1
 site_conclude
 rc=$?
@@ -29,6 +30,6 @@
     [ "${!at}" = "$newest" ] ||
         gw_fail "$name has version ${!at}, others $newest" || exit 1
 done
-[ "$newest" -gt 1 ] || gw_fail "no new version came" || exit 1
+[ "$newest" -gt 1 ] || gw_fail "no new version is in force" || exit 1
 grep -q 'name=ROWS_TAKEN .*from=store' "$gw_dir"/e?.log ||
-    gw_fail "nobody read the rows from the store" || exit 1
+    gw_fail "no entry read the rows from the store" || exit 1
--- a/tests/session/site_late_in_a_stop.sh
+++ b/tests/session/site_late_in_a_stop.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# Requests that come on kept connections when their entry has nearly stopped.
+# Requests that complete on open connections late in a graceful stop.
 #
-# Two callers have begun a request when their entry gets SIGTERM, and send the
-# rest when half of the grace is over. One is for a route whose work takes
-# longer than the process lives: passed on, it ran at a server, and its caller's
-# connection ended with no answer. It gets a refusal that is true, with when to
-# come back. The other can still be over in time, and is answered. Both
-# connections are closed.
+# Two callers have sent half a request when their entry gets SIGTERM, and send
+# the rest when half of the grace period is over. A request that would take
+# longer than the process still has must be refused, with Retry-After: if sent
+# to a server, it would run while the caller's connection closes without an
+# answer. A request that can finish in time must be answered. Both connections
+# must be closed afterwards.
 # usage: site_late_in_a_stop.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -26,7 +26,7 @@
         grep -q "$1" "$2" 2>/dev/null && return 0
         sleep 0.1
     done
-    gw_fail "$2 never said $1"
+    gw_fail "no $1 in $2"
 }
 expect() { # WHAT ANSWER PATTERN
     # shellcheck disable=SC2254
--- a/tests/session/site_replace.sh
+++ b/tests/session/site_replace.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# Every entry is replaced in turn under load, with nothing else at fault.
+# A rolling restart under load, without other faults, must lose no request.
 #
-# Callers see every request answered: a stopping entry leaves the directory at
-# once, closes its connections behind answers, and ends what it has begun. No
-# request may be cut, and none may end as unknown.
+# A stopping entry leaves the directory at once, closes its connections after
+# answers and finishes the requests in flight. No request may be cut off or end
+# as unknown.
 # usage: site_replace.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -24,7 +24,7 @@
 case $line in
 *" 0 unknown, 0 cut;"*) ;;
 *)
-    gw_fail "a planned stop cut requests off"
+    gw_fail "a graceful stop cut off requests"
     exit 1
     ;;
 esac
--- a/tests/session/site_server_limits.sh
+++ b/tests/session/site_server_limits.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Servers that name the requests a second that they take from all entries
-# together must not get what each entry takes for itself.
+# Servers announce a limit of requests per second for all entries together; the
+# entries must share it rather than each use it in full.
 # usage: site_server_limits.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
--- a/tests/session/site_stop_held_up.sh
+++ b/tests/session/site_stop_held_up.sh
@@ -1,11 +1,11 @@
 #!/bin/bash
-# A new connection that comes in a stop, while the entry is held up.
+# A connection that arrives while a stopping entry is stalled must be answered.
 #
-# An entry has got SIGTERM and still listens. It is held up for a moment, as
-# on a busy machine, until half of its grace is over; a caller connects
-# meanwhile and sends a request. At its first turn afterwards the entry stops
-# to listen, sees no caller, and ends: the connection is reset with its
-# request unread. There was time enough left to accept and refuse it.
+# An entry that received SIGTERM still listens and is stalled, as on a busy
+# machine, until half of its grace period is over. Meanwhile a caller connects
+# and sends a request. An entry that closes its listener and exits in its first
+# loop iteration afterwards resets the connection with the request unread,
+# although there is time to accept and refuse it.
 # usage: site_stop_held_up.sh BUILD
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -20,7 +20,7 @@
 done
 site_start_world --seconds 20 --callers 1
 
-# One stop of one entry. usage: held_up NAME
+# Stops and stalls an entry. usage: held_up NAME
 held_up() {
     local answer pid=${gw_pid[$1]}
     kill -TERM "$pid"
--- a/tests/session/site_stops_in_series.sh
+++ b/tests/session/site_stops_in_series.sh
@@ -1,23 +1,23 @@
 #!/bin/bash
-# Entries are replaced one after another, some at the same time, while runs
-# take a good part of the grace and callers stay at their entry until it is
-# gone, whatever the directory says.
+# Entries are restarted in series, some at the same time, while runs take much
+# of the grace period and callers keep their entry until it exits, regardless
+# of the directory.
 #
-# A caller sends a request to an entry that has got SIGTERM; it is passed on,
-# its server needs longer than the entry has left, and the process ends: the
-# connection is closed with no answer while the request runs. Whoever sent it
-# can't know whether it was done.
-# What comes after SIGTERM is to be answered whole, or refused truly with a
-# time to come back and the connection closed; only what was under way at
-# SIGTERM may be cut, and only when the grace is over.
+# A stopping entry that sends a request to a server which needs longer than the
+# entry has left would exit during the run; the caller's connection closes
+# without an answer, and the caller cannot know whether the request ran.
+# Requests received after SIGTERM must be answered completely, or be refused
+# without running, with Retry-After and a closed connection. Only requests in
+# flight at SIGTERM may be cut off, and only after the grace period.
 # usage: site_stops_in_series.sh BUILD [SEED]
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
 . standins/lib.sh
 . standins/site.sh
 
-# Cold runs of 0.8 to 1.5 s, no object asked for twice; callers wait 8 s. One
-# request in ten is refused by its first server and sent to a second.
+# Cold runs of 0.8 to 1.5 s, practically no object requested twice; callers
+# wait 8 s. Servers refuse one request in ten, which is sent to a second
+# server.
 site_grace=2500ms
 site_entries=(e1 e2 e3 e4)
 replace() { # NAME...: all get SIGTERM, half a second apart
--- a/tests/session/store_away.sh
+++ b/tests/session/store_away.sh
@@ -1,14 +1,13 @@
 #!/bin/bash
-# The platform's store is away for a minute, under load. In it a backend
-# server begins to drain by its own word, an operator orders the drain of a
-# place, and all entries of a region are killed.
+# The platform's store is unavailable for a minute under load. Meanwhile a
+# backend server announces a drain, an operator drains a place, and all entries
+# of a region are killed.
 #
-# Callers see no request doubled, falsely refused or wrongly answered. The
-# backend's drain needs no store: it becomes idle while the store is away. The
-# place's drain can't be promised: the operator is told "pending", and the
-# same request id settles it once the store is back. Then the killed entries
-# come up, every entry reaches the newest version, and the drained place
-# becomes idle.
+# No request may run twice, be falsely refused or wrongly answered. The drain
+# of the server needs no store, so the server must become idle during the
+# outage. The drain of the place is reported as pending, and must be resolved
+# by its request id after the outage. The killed entries must restart, every
+# entry must reach the newest version, and the drained place must become idle.
 # usage: store_away.sh BUILD      GW_AWAY_S (60)
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -35,8 +34,8 @@
         "$service" "$1"
 }
 
-# Idle is: nothing runs there, and nothing more began between two looks
-# while callers went on.
+# Succeeds when no request is in flight in the place and none started during
+# the last second under load.
 place_idle() { # REGION SERVICE
     local before
     before=$(sum_of "$1" "$2" runs)
@@ -71,7 +70,7 @@
 gw_backend "$place" "$service-01" '"drain": true' || exit 1
 gw_await 30 backend_idle "$place" "$service-01" ||
     gw_fail "$service-01 did not become idle" || exit 1
-gw_say "$service-01 idle while the store is away"
+gw_say "$service-01 idle during the store outage"
 rc=0
 order_place_drain "$place" || rc=$?
 [ "$rc" -eq 3 ] || gw_fail "a change without the store: exit $rc, not 3" ||
@@ -86,7 +85,7 @@
 gw_await 60 settled || gw_fail "$request stays pending" || exit 1
 rc=0
 gw_ctl "${gw_entries[0]}" operation "$request" || rc=$?
-if [ "$rc" -ne 0 ]; then # void: nothing happened and nothing can under it
+if [ "$rc" -ne 0 ]; then # void: neither applied nor applicable later
     request=$request-again
     order_place_drain "$place" || exit 1
 fi
@@ -102,6 +101,6 @@
 gw_await 60 gw_all_at $((version + 1)) ||
     gw_fail "an entry is not at the newest version" || exit 1
 gw_await 60 place_idle "$place" "$service" ||
-    gw_fail "$service in $place still works" || exit 1
+    gw_fail "$service in $place is not idle" || exit 1
 gw_say "$service in $place idle after the drain"
 gw_judge || exit 1
--- a/tests/soak/one.sh
+++ b/tests/soak/one.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
-# One seed of the fault soak: real entries beside the stand-in site, and a
-# schedule of faults that follows from the seed, in series and overlapping.
-# Callers stay at their entry until it is gone. What they and the servers saw
-# is judged at the end: nothing that may run once ran twice, refusals were
-# true, answers were whole and one's own, planned stops cut nothing that came
-# after SIGTERM, and requests are answered again when the faults are over.
+# Runs one seed of the fault soak: real entries with the simulated site, and a
+# schedule of sequential and overlapping faults derived from the seed. Callers
+# keep their entry until it exits. The journal is checked at the end: no
+# at-most-once request ran twice, no refused request ran, answers were complete
+# and belonged to their request, graceful stops cut off nothing received after
+# SIGTERM, and requests are answered again after the faults.
 #
-# When a promise breaks, the seed, the faults with their times and the folder
-# of the logs are printed.
+# When a guarantee is violated, prints the seed, the faults with their times
+# and the folder of the logs.
 # usage: one.sh BUILD SEED
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
@@ -16,23 +16,23 @@
 
 out=$1
 seed=$2
-state=$seed # of the numbers that every choice below follows from
+state=$seed # of the random generator that all choices below use
 kept=$out/soak-$seed
 first_fault_ms=2500
 last_fault_ms=20000
 site_entries=(e1 e2 e3 e4)
-# Entry -> what is known of its process.
+# By entry: state of its process.
 declare -A start_at_ms restart_ms signalled
 broken=0
 
-# Sets `rolled` to a number below N. RANDOM won't do: it has a seed of its own
-# in each subshell.
+# Sets `rolled` to a random number below N. RANDOM is unsuitable: each subshell
+# reseeds it.
 roll() { # N
     state=$(((state * 25214903917 + 11) & 0xffffffffffff))
     rolled=$(((state >> 20) % $1))
 }
 
-# Sets a variable to one of the words. usage: choose NAME WORD...
+# Sets a variable to a random word. usage: choose NAME WORD...
 choose() {
     local -n chosen=$1
     shift
@@ -48,8 +48,8 @@
 
 # ---- Schedule ---------------------------------------------------------------
 
-# Prints "at_ms action argument..." lines. An action that ends a fault stands
-# beside the one that begins it.
+# Prints "at_ms action argument..." lines: the action that starts a fault, and
+# the one that ends it.
 schedule_one() { # AT_MS
     local at=$1 over kind entry server domain delay word
     roll 3500 && over=$((at + 500 + rolled))
@@ -103,8 +103,8 @@
 
 # ---- Actions ----------------------------------------------------------------
 
-# Whether the process has come so far that it handles both signals; before,
-# they would end it as they would any program.
+# Succeeds when the process has installed its handlers of SIGHUP and SIGTERM;
+# before that, the signals would terminate it.
 takes_signals() { # NAME
     local mask
     gw_alive "$1" || return 1
@@ -156,7 +156,7 @@
     site_play_start "$1"
 }
 
-# Takes note of processes that have ended, and starts those that are due.
+# Checks processes that have ended, and restarts those that are due.
 look_after() {
     local name rc now
     now=$(gw_now_ms)
@@ -173,8 +173,8 @@
     done
 }
 
-# Blocks of ports are locked among our own tests; other programs of the machine
-# may still take a port between two lives of an entry.
+# Succeeds when an entry failed to start because another program took its port
+# while the entry was down: the lock on port blocks covers only these tests.
 port_was_taken() { # NAME EXIT_CODE
     [ "$2" -eq 1 ] &&
         tail -1 "$gw_dir/$1.log" | grep -q "can't listen at"
@@ -189,12 +189,12 @@
     case ${signalled[$1]} in
     *KILL*)
         [ "$2" -eq 137 ] || [ "$2" -eq 0 ] ||
-            complain ends "$1 ended with $2 and not by the kill"
+            complain ends "$1 exited with $2 instead of being killed"
         ;;
     *TERM*)
         [ "$2" -eq 0 ] || complain ends "$1 did not stop in order: exit $2"
         ;;
-    *) complain ends "$1 ended by itself: exit $2" ;;
+    *) complain ends "$1 exited without a signal: exit $2" ;;
     esac
 }
 
@@ -241,7 +241,7 @@
     done
 }
 
-versions_of() { # NAME: of each process in turn, 0 at its start
+versions_of() { # NAME: prints the versions of its processes, 0 at each start
     sed -n -e 's/.*name=START .*/0/p' \
         -e 's/.*name=CONFIG_IN_FORCE version=\([0-9]*\).*/\1/p' \
         "$gw_dir/$1.log"
@@ -257,16 +257,16 @@
 
 judge_versions() {
     local name
-    gw_await 20 all_at_newest || complain versions "an entry has an old one"
+    gw_await 20 all_at_newest || complain versions "an entry is outdated"
     for name in "${site_entries[@]}"; do
         versions_of "$name" | awk '$1 > 0 && $1 < last { bad = 1 }
             { last = $1 } END { exit bad }' ||
-            complain versions "$name went back to an older one"
+            complain versions "$name went back to an older version"
     done
 }
 
 show() {
-    gw_say "seed $seed broke a promise; faults by time since the start:"
+    gw_say "seed $seed violated a guarantee; faults by time since the start:"
     grep '^event' "$gw_dir/world.log" | sed 's/^/  /'
     site_broken | sed 's/^/  /'
     rm -rf "$kept"
@@ -291,7 +291,7 @@
     --work-ms "$work_ms" --work-spread-ms "$spread_ms" \
     --faults 10 --depth "${DEPTH:-3}" --rest-ms 1200 \
     --objects "$objects" || exit 2
-# Idle connections are closed early in two of three seeds.
+# Two of three values close idle connections early.
 choose idle_ms 300 1000 15000
 site_play config "$idle_ms"
 play_schedule
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The fault soak: seeds FIRST to FIRST+COUNT-1, some at once.
-# Ends with each promise and the seeds that broke it.
-# usage: soak.sh BUILD FIRST COUNT      SOAK_JOBS=4 seeds at once
+# Runs the fault soak with seeds FIRST to FIRST+COUNT-1, several in parallel.
+# Prints each guarantee with the seeds that violated it.
+# usage: soak.sh BUILD FIRST COUNT      SOAK_JOBS=4 seeds in parallel
 set -uo pipefail
 cd "$(dirname "$0")/../.." || exit 2
 export out=$1
