--- a/standins/demo.sh
+++ b/standins/demo.sh
@@ -150,13 +150,13 @@
 start_callers
 run_failures
 report_drain
-judged=0
-wait "${gw_pid[callers]}" || judged=$?
+callers_rc=0
+wait "${gw_pid[callers]}" || callers_rc=$?
 unset 'gw_pid[callers]'
 grep -v '^demo: ' "$gw_dir/callers.log"
 cat "$gw_dir/notes"
 grep '^demo: ' "$gw_dir/callers.log" || {
-    gw_fail "the callers printed no summary line (exit $judged)"
+    gw_fail "the callers printed no summary line (exit $callers_rc)"
     exit 1
 }
-[ "$judged" -eq 0 ] && [ "$bad" -eq 0 ]
+[ "$callers_rc" -eq 0 ] && [ "$bad" -eq 0 ]
--- a/standins/lib.sh
+++ b/standins/lib.sh
@@ -475,7 +475,8 @@
     done
 }
 
-# Starts load that lasts until gw_judge. usage: gw_start_callers [OPTION...]
+# Starts load that lasts until gw_end_callers.
+# usage: gw_start_callers [OPTION...]
 gw_start_callers() {
     local regions
     mapfile -t regions < <(gw_caller_regions)
@@ -486,7 +487,7 @@
 
 # Ends the load, waits for all outcomes and prints the report. Fails when a
 # request ran twice, was falsely refused, wrongly answered or had no outcome.
-gw_judge() {
+gw_end_callers() {
     local rc=0
     gw_end callers TERM || rc=$?
     cat "$gw_dir/callers.log"
--- a/standins/site.sh
+++ b/standins/site.sh
@@ -43,23 +43,23 @@
 
 # Starts the site with a command pipe. standin_site signals the entries itself,
 # so that its journal knows which requests were sent after a signal. Requires
-# gw_begin. usage: site_begin_played [OPTION...]
-site_begin_played() {
+# gw_begin. usage: site_begin_with_events [OPTION...]
+site_begin_with_events() {
     local name
     site_pipe=$gw_dir/commands
     mkfifo "$site_pipe" || return 1
     # Open for reading and writing: writers do not block, and the pipe has no
     # end of file.
     exec {site_commands}<>"$site_pipe"
-    site_start_world --commands "$site_pipe" "$@"
+    site_start_simulator --commands "$site_pipe" "$@"
     for name in "${site_entries[@]}"; do
         site_write_settings "$name"
-        site_play_start "$name"
+        site_start_with_event "$name"
     done
 }
 
-# Sends an event to standin_site. usage: site_play EVENT...
-site_play() {
+# Sends an event to standin_site. usage: site_send_event EVENT...
+site_send_event() {
     printf '%s\n' "$*" >&"$site_commands"
 }
 
@@ -74,13 +74,13 @@
     echo "127.0.0.1:$(site_port "$1" 0)"
 }
 
-site_play_start() { # NAME
-    site_play start "$(site_address "$1")"
+site_start_with_event() { # NAME
+    site_send_event start "$(site_address "$1")"
     site_start_entry "$1"
 }
 
-site_play_signal() { # NAME SIGNAL
-    site_play signal "$2" "$(site_address "$1")" "${gw_pid[$1]}"
+site_signal_with_event() { # NAME SIGNAL
+    site_send_event signal "$2" "$(site_address "$1")" "${gw_pid[$1]}"
 }
 
 # Waits for a signalled process and returns its exit code. Kills the process
@@ -95,9 +95,9 @@
     return "$rc"
 }
 
-# Starts standin_site. usage: site_start_world [OPTION...]
-site_start_world() {
-    gw_start world "$gw_out"/standin_site --store "127.0.0.1:$gw_base" \
+# Starts standin_site. usage: site_start_simulator [OPTION...]
+site_start_simulator() {
+    gw_start simulator "$gw_out"/standin_site --store "127.0.0.1:$gw_base" \
         --directories "$(site_directories)" --port $((gw_base + 100)) \
         --config "$site_config" --server deploy/demo/server.json \
         "$@"
@@ -111,7 +111,7 @@
         site_write_settings "$name"
         site_start_entry "$name"
     done
-    site_start_world "$@"
+    site_start_simulator "$@"
 }
 
 # Prepares a configuration with long route timeouts, for slow servers.
@@ -136,16 +136,16 @@
 
 # Prints the requests that violated a guarantee or whose connection closed
 # without an answer.
-site_broken() {
+site_violations() {
     grep -E '^(CUT|FALSE|BARE|NO|WRONG|DOUBLED|BEHIND|crossed)' \
-        "$gw_dir/world.log"
+        "$gw_dir/simulator.log"
 }
 
 # Waits for standin_site to end and prints its summary.
 site_conclude() {
     local rc=0
-    wait "${gw_pid[world]}" || rc=$?
-    unset 'gw_pid[world]'
-    grep -E '^(site|stops|calm|broken):' "$gw_dir/world.log"
+    wait "${gw_pid[simulator]}" || rc=$?
+    unset 'gw_pid[simulator]'
+    grep -E '^(site|stops|calm|broken):' "$gw_dir/simulator.log"
     return "$rc"
 }
--- a/tests/session/replace_all.sh
+++ b/tests/session/replace_all.sh
@@ -26,4 +26,4 @@
 done
 gw_await 60 gw_all_at "$(gw_head)" ||
     gw_fail "an entry is not at the newest version" || exit 1
-gw_judge || exit 1
+gw_end_callers || exit 1
--- a/tests/session/site_crashing_requests.sh
+++ b/tests/session/site_crashing_requests.sh
@@ -19,7 +19,7 @@
 site_begin "$1" --seconds 12 --callers 20 --crashers 4 || exit 1
 rc=0
 site_conclude || rc=1
-grep -E '^(crasher|crashes:)' "$gw_dir/world.log"
+grep -E '^(crasher|crashes:)' "$gw_dir/simulator.log"
 lines=$(grep -h 'why=quarantined' "$gw_dir"/e?.log)
 echo "quarantined: $(grep -c 'request=x' <<<"$lines") of crashers," \
     "$(grep -c 'request=c' <<<"$lines") of others"
--- a/tests/session/site_crashing_requests_kept.sh
+++ b/tests/session/site_crashing_requests_kept.sh
@@ -25,8 +25,8 @@
 done
 rc=0
 site_conclude || rc=1
-grep -E '^(crasher|crashes:)' "$gw_dir/world.log"
-grep -E '^crasher ' "$gw_dir/world.log" | grep -qv ' 0 sends after' &&
+grep -E '^(crasher|crashes:)' "$gw_dir/simulator.log"
+grep -E '^crasher ' "$gw_dir/simulator.log" | grep -qv ' 0 sends after' &&
     { gw_fail "further servers received the request"; rc=1; }
 for name in "${site_entries[@]}"; do
     is_held "$name" || gw_fail "$name has lost the quarantine" || rc=1
--- a/tests/session/site_idle_close.sh
+++ b/tests/session/site_idle_close.sh
@@ -19,7 +19,7 @@
     site_write_settings "$name"
     site_start_entry "$name"
 done
-site_start_world --seconds 20 --callers 4
+site_start_simulator --seconds 20 --callers 4
 
 ask() { # ID
     printf 'GET /look-up/1 HTTP/1.1\r\nHost: demo.example\r\n' >&9
@@ -62,13 +62,13 @@
     gw_fail "e1 has no configuration" || exit 1
 sleep 2
 rc=0
-players=()
+jobs=()
 for name in "${site_entries[@]}"; do
     (trap - EXIT && rounds "$name") &
-    players+=($!)
+    jobs+=($!)
 done
-for player in "${players[@]}"; do
-    wait "$player" || rc=1
+for job in "${jobs[@]}"; do
+    wait "$job" || rc=1
 done
 site_conclude || rc=1
 exit "$rc"
--- a/tests/session/site_late_in_a_stop.sh
+++ b/tests/session/site_late_in_a_stop.sh
@@ -20,7 +20,7 @@
     site_write_settings "$name"
     site_start_entry "$name"
 done
-site_start_world --seconds 16 --callers 4
+site_start_simulator --seconds 16 --callers 4
 wait_for() { # TEXT FILE
     for _ in $(seq 200); do
         grep -q "$1" "$2" 2>/dev/null && return 0
--- a/tests/session/site_stop_held_up.sh
+++ b/tests/session/site_stop_held_up.sh
@@ -18,7 +18,7 @@
     site_write_settings "$name"
     site_start_entry "$name"
 done
-site_start_world --seconds 20 --callers 1
+site_start_simulator --seconds 20 --callers 1
 
 # Stops and stalls an entry. usage: held_up NAME
 held_up() {
@@ -40,13 +40,13 @@
 sleep 4
 rc=0
 for round in 1 2; do
-    players=()
+    jobs=()
     for name in "${site_entries[@]}"; do
         (trap - EXIT && held_up "$name") &
-        players+=($!)
+        jobs+=($!)
     done
-    for player in "${players[@]}"; do
-        wait "$player" || rc=1
+    for job in "${jobs[@]}"; do
+        wait "$job" || rc=1
     done
     for name in "${site_entries[@]}"; do
         site_wait_end "$name" ||
--- a/tests/session/site_stops_in_series.sh
+++ b/tests/session/site_stops_in_series.sh
@@ -23,7 +23,7 @@
 replace() { # NAME...: all get SIGTERM, half a second apart
     local name rc
     for name in "$@"; do
-        site_play_signal "$name" TERM
+        site_signal_with_event "$name" TERM
         sleep 0.5
     done
     for name in "$@"; do
@@ -31,13 +31,14 @@
         site_wait_end "$name" || rc=$?
         [ "$rc" -eq 0 ] || gw_fail "$name did not stop in order: $rc" ||
             return 1
-        site_play_start "$name"
+        site_start_with_event "$name"
     done
 }
 
 gw_begin "$1" hen-viec-small || exit 1
 site_slow_config
-site_begin_played --seconds 60 --callers 16 --slots 6 --keep --seed "${2:-1}" \
+site_begin_with_events --seconds 60 --callers 16 --slots 6 --keep \
+    --seed "${2:-1}" \
     --grace-ms 2500 --left-ms 8000 --work-ms 800 --work-spread-ms 700 \
     --refuse 100 --objects 1000000 || exit 1
 sleep 3
@@ -45,8 +46,8 @@
     replace e1 && replace e2 e3 && replace e4 && replace e1 e2 || exit 1
     sleep 1
 done
-site_play end
+site_send_event end
 site_conclude
 rc=$?
-site_broken
+site_violations
 exit "$rc"
--- a/tests/session/site_stops_pipelined.sh
+++ b/tests/session/site_stops_pipelined.sh
@@ -19,7 +19,7 @@
     site_write_settings "$name"
     site_start_entry "$name"
 done
-site_start_world --seconds 16 --callers 4
+site_start_simulator --seconds 16 --callers 4
 
 # Prints the headers of a request without the final empty line.
 request() { # ID
--- a/tests/session/store_away.sh
+++ b/tests/session/store_away.sh
@@ -103,4 +103,4 @@
 gw_await 60 place_idle "$place" "$service" ||
     gw_fail "$service in $place is not idle" || exit 1
 gw_say "$service in $place idle after the drain"
-gw_judge || exit 1
+gw_end_callers || exit 1
--- a/tests/soak/one.sh
+++ b/tests/soak/one.sh
@@ -25,23 +25,23 @@
 declare -A start_at_ms restart_ms signalled
 broken=0
 
-# Sets `rolled` to a random number below N. RANDOM is unsuitable: each subshell
+# Sets `drawn` to a random number below N. RANDOM is unsuitable: each subshell
 # reseeds it.
-roll() { # N
+random_below() { # N
     state=$(((state * 25214903917 + 11) & 0xffffffffffff))
-    rolled=$(((state >> 20) % $1))
+    drawn=$(((state >> 20) % $1))
 }
 
 # Sets a variable to a random word. usage: choose NAME WORD...
 choose() {
     local -n chosen=$1
     shift
-    roll $#
-    local at=$((rolled + 1))
+    random_below $#
+    local at=$((drawn + 1))
     chosen=${!at}
 }
 
-complain() { # PROMISE WORD...
+report_violation() { # GUARANTEE WORD...
     broken=1
     gw_say "broken: $*"
 }
@@ -52,11 +52,11 @@
 # the one that ends it.
 schedule_one() { # AT_MS
     local at=$1 over kind entry server domain delay word
-    roll 3500 && over=$((at + 500 + rolled))
-    roll 4 && entry=e$((1 + rolled))
-    roll 6 && server=$rolled
-    roll 2 && domain=d$((1 + rolled))
-    roll 2500 && delay=$rolled
+    random_below 3500 && over=$((at + 500 + drawn))
+    random_below 4 && entry=e$((1 + drawn))
+    random_below 6 && server=$drawn
+    random_below 2 && domain=d$((1 + drawn))
+    random_below 2500 && delay=$drawn
     choose kind stop stop stop stop stop kill kill pause pause settings \
         config config drain evacuate store compact faults
     case $kind in
@@ -68,36 +68,36 @@
     settings) echo "$at settings $entry 0.$((1 + server))" ;;
     config)
         choose word 200 400 1000 15000
-        echo "$at play config $word"
+        echo "$at event config $word"
         ;;
     drain)
-        echo "$at play drain $server"
-        echo "$((over + 3000)) play ready $server"
+        echo "$at event drain $server"
+        echo "$((over + 3000)) event ready $server"
         ;;
     evacuate)
-        echo "$at play evacuate $domain"
-        echo "$over play return $domain"
+        echo "$at event evacuate $domain"
+        echo "$over event return $domain"
         ;;
     store)
         choose word busy silent
-        echo "$at play store $word"
-        echo "$over play store up"
+        echo "$at event store $word"
+        echo "$over event store up"
         ;;
-    compact) echo "$at play compact" ;;
+    compact) echo "$at event compact" ;;
     faults)
         choose word 10 50 100
-        echo "$at play faults $word"
-        echo "$over play faults 10"
+        echo "$at event faults $word"
+        echo "$over event faults 10"
         ;;
     esac
 }
 
 make_schedule() {
     local left
-    roll 10
-    for ((left = 10 + rolled; left > 0; left--)); do
-        roll $((last_fault_ms - first_fault_ms))
-        schedule_one $((first_fault_ms + rolled))
+    random_below 10
+    for ((left = 10 + drawn; left > 0; left--)); do
+        random_below $((last_fault_ms - first_fault_ms))
+        schedule_one $((first_fault_ms + drawn))
     done | sort -n
 }
 
@@ -115,7 +115,7 @@
 
 send_signal() { # NAME SIGNAL
     gw_alive "$1" || return 0
-    site_play_signal "$1" "$2"
+    site_signal_with_event "$1" "$2"
 }
 
 do_stop() { # NAME RESTART_AFTER_MS
@@ -146,28 +146,28 @@
     takes_signals "$1" && send_signal "$1" HUP
 }
 
-do_play() { # EVENT...
-    site_play "$@"
+do_event() { # EVENT...
+    site_send_event "$@"
 }
 
-begin_process() { # NAME
+start_process() { # NAME
     signalled[$1]=
     start_at_ms[$1]=0
-    site_play_start "$1"
+    site_start_with_event "$1"
 }
 
 # Checks processes that have ended, and restarts those that are due.
-look_after() {
+check_processes() {
     local name rc now
     now=$(gw_now_ms)
     for name in "${site_entries[@]}"; do
         if [ -z "${gw_pid[$name]:-}" ]; then
-            [ "$now" -lt "${start_at_ms[$name]}" ] || begin_process "$name"
+            [ "$now" -lt "${start_at_ms[$name]}" ] || start_process "$name"
         elif ! gw_alive "$name"; then
             rc=0
             wait "${gw_pid[$name]}" 2>/dev/null || rc=$?
             unset "gw_pid[$name]"
-            judge_end "$name" "$rc"
+            check_exit "$name" "$rc"
             start_at_ms[$name]=$((now + ${restart_ms[$name]:-0}))
         fi
     done
@@ -180,7 +180,7 @@
         tail -1 "$gw_dir/$1.log" | grep -q "can't listen at"
 }
 
-judge_end() { # NAME EXIT_CODE
+check_exit() { # NAME EXIT_CODE
     if port_was_taken "$@"; then
         gw_say "$1: $(tail -1 "$gw_dir/$1.log"), starting it again"
         restart_ms[$1]=500
@@ -189,12 +189,13 @@
     case ${signalled[$1]} in
     *KILL*)
         [ "$2" -eq 137 ] || [ "$2" -eq 0 ] ||
-            complain ends "$1 exited with $2 instead of being killed"
+            report_violation ends "$1 exited with $2 instead of being killed"
         ;;
     *TERM*)
-        [ "$2" -eq 0 ] || complain ends "$1 did not stop in order: exit $2"
+        [ "$2" -eq 0 ] ||
+            report_violation ends "$1 did not stop in order: exit $2"
         ;;
-    *) complain ends "$1 exited without a signal: exit $2" ;;
+    *) report_violation ends "$1 exited without a signal: exit $2" ;;
     esac
 }
 
@@ -203,7 +204,7 @@
     begin=$(gw_now_ms)
     while read -r at action; do
         while [ $(($(gw_now_ms) - begin)) -lt "$at" ]; do
-            look_after
+            check_processes
             sleep 0.03
         done
         # shellcheck disable=SC2086
@@ -219,13 +220,13 @@
         do_resume "$name"
     done
     for i in 0 1 2 3 4 5; do
-        site_play ready "$i"
+        site_send_event ready "$i"
     done
-    site_play store up
-    site_play faults 0
-    site_play return d1
-    site_play return d2
-    site_play config 15000
+    site_send_event store up
+    site_send_event faults 0
+    site_send_event return d1
+    site_send_event return d2
+    site_send_event config 15000
 }
 
 is_ready() { # NAME
@@ -235,7 +236,7 @@
 
 all_ready() {
     local name
-    look_after
+    check_processes
     for name in "${site_entries[@]}"; do
         gw_alive "$name" && is_ready "$name" || return 1
     done
@@ -249,26 +250,27 @@
 
 all_at_newest() {
     local name newest
-    newest=$((3 + $(grep -c '^event .* config ' "$gw_dir/world.log")))
+    newest=$((3 + $(grep -c '^event .* config ' "$gw_dir/simulator.log")))
     for name in "${site_entries[@]}"; do
         [ "$(versions_of "$name" | tail -1)" = "$newest" ] || return 1
     done
 }
 
-judge_versions() {
+check_versions() {
     local name
-    gw_await 20 all_at_newest || complain versions "an entry is outdated"
+    gw_await 20 all_at_newest ||
+        report_violation versions "an entry is outdated"
     for name in "${site_entries[@]}"; do
         versions_of "$name" | awk '$1 > 0 && $1 < last { bad = 1 }
             { last = $1 } END { exit bad }' ||
-            complain versions "$name went back to an older version"
+            report_violation versions "$name went back to an older version"
     done
 }
 
-show() {
+show_failure() {
     gw_say "seed $seed violated a guarantee; faults by time since the start:"
-    grep '^event' "$gw_dir/world.log" | sed 's/^/  /'
-    site_broken | sed 's/^/  /'
+    grep '^event' "$gw_dir/simulator.log" | sed 's/^/  /'
+    site_violations | sed 's/^/  /'
     rm -rf "$kept"
     mkdir -p "$kept"
     cp "$gw_dir"/*.log "$gw_dir"/*.json "$gw_dir/schedule" "$kept"
@@ -286,23 +288,23 @@
 for name in "${site_entries[@]}"; do
     signalled[$name]=
 done
-site_begin_played --seconds 120 --callers 16 --slots 10 --keep \
+site_begin_with_events --seconds 120 --callers 16 --slots 10 --keep \
     --seed "$seed" --grace-ms "$grace_ms" --left-ms 8000 \
     --work-ms "$work_ms" --work-spread-ms "$spread_ms" \
     --faults 10 --depth "${DEPTH:-3}" --rest-ms 1200 \
     --objects "$objects" || exit 2
 # Two of three values close idle connections early.
 choose idle_ms 300 1000 15000
-site_play config "$idle_ms"
+site_send_event config "$idle_ms"
 play_schedule
 end_faults
 gw_await 45 all_ready ||
-    complain recovery "an entry is not ready after the faults"
+    report_violation recovery "an entry is not ready after the faults"
 sleep 3
-site_play calm
+site_send_event calm
 sleep 3
-judge_versions
-site_play end
+check_versions
+site_send_event end
 site_conclude || broken=1
-[ "$broken" -eq 0 ] || show
+[ "$broken" -eq 0 ] || show_failure
 exit "$broken"
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -22,14 +22,14 @@
 seq "$first" $((first + count - 1)) |
     xargs -P "${SOAK_JOBS:-4}" -I{} bash -c 'one {}' |
     tee "$out/soak-seeds.log"
-promises=(at-most-once true-refusals own-answers drains service events stops
+guarantees=(at-most-once true-refusals own-answers drains service events stops
     no-cuts pipelines refusals-in-stops outcomes recovery versions ends)
-for promise in "${promises[@]}"; do
+for guarantee in "${guarantees[@]}"; do
     seeds=
     for ((seed = first; seed < first + count; seed++)); do
-        grep -q "^broken: $promise " "$out/soak-$seed.log" && seeds+=" $seed"
+        grep -q "^broken: $guarantee " "$out/soak-$seed.log" && seeds+=" $seed"
     done
-    echo "promise $promise:${seeds:- kept}"
+    echo "promise $guarantee:${seeds:- kept}"
 done
 failed=$(grep -c '^FAIL' "$out/soak-seeds.log")
 echo "soak: $((count - failed)) seeds ok, $failed failed"
