--- a/bench/path.c
+++ b/bench/path.c
@@ -63,9 +63,9 @@
                            : &b->client;
     GsReply reply;
     int64_t begin_ns = now_ns();
-    GsSend sent = GsClient_Send(client, &request, &reply);
+    GsSendResult sent = GsClient_Send(client, &request, &reply);
     GwHistogram_Add(&b->times_ns[kind], (uint64_t)(now_ns() - begin_ns));
-    if (sent != GS_SEND_WHOLE || reply.status != 200) {
+    if (sent != GS_SEND_COMPLETE || reply.status != 200) {
         atomic_fetch_add(&b->errors[kind], 1);
     }
     GsReply_Clear(&reply);
--- a/standins/common/caller.c
+++ b/standins/common/caller.c
@@ -64,7 +64,7 @@
     snprintf(out, cap, "%s%s%s", prefix, o->path, o->idempotent ? r->key : "");
 }
 
-static GsSend
+static GsSendResult
 send_once(const GsCaller *c, GsRecord *r, const RequestState *s,
           GsReply *reply)
 {
@@ -85,7 +85,7 @@
                    .timeout_ms = deadline_ms + TIMEOUT_SLACK_MS};
     r->attempts++;
     GsClock_Sleep(c->delay_us);
-    GsSend sent = GsClient_Send(c->client, &q, reply);
+    GsSendResult sent = GsClient_Send(c->client, &q, reply);
     GsClock_Sleep(c->delay_us);
     return sent;
 }
@@ -184,17 +184,17 @@
 attempt(const GsCaller *c, GsRecord *r, RequestState *s)
 {
     GsReply reply;
-    GsSend sent = send_once(c, r, s, &reply);
+    GsSendResult sent = send_once(c, r, s, &reply);
     bool over = false;
     switch (sent) {
-    case GS_SEND_WHOLE:
+    case GS_SEND_COMPLETE:
         s->has_sent = true;
         over = handle_reply(c, r, s, &reply);
         break;
     case GS_SEND_NOTHING_SENT:
         drop_entry(c, s);
         break;
-    case GS_SEND_BROKEN:
+    case GS_SEND_INTERRUPTED:
         s->has_sent = true;
         s->may_run = true;
         r->outcome = GS_OUTCOME_NONE;
--- a/standins/common/client.c
+++ b/standins/common/client.c
@@ -162,19 +162,19 @@
     }
 }
 
-static GsSend
+static GsSendResult
 classify(const GsReply *r, CURLcode rc)
 {
     if (rc == CURLE_OK) {
-        return GS_SEND_WHOLE;
+        return GS_SEND_COMPLETE;
     }
-    return r->has_sent ? GS_SEND_BROKEN : GS_SEND_NOTHING_SENT;
+    return r->has_sent ? GS_SEND_INTERRUPTED : GS_SEND_NOTHING_SENT;
 }
 
 /* Sends a request and waits for the complete answer. libcurl resends once,
  * with the same ticket, when a reused connection is closed before any byte of
  * the answer. The reply must be cleared whatever the result. */
-GsSend
+GsSendResult
 GsClient_Send(GsClient *c, const GsRequest *request, GsReply *reply)
 {
     *reply = (GsReply){.body = g_string_new(NULL)};
@@ -185,7 +185,7 @@
     prepare(h, request, reply, headers, url);
     CURLcode rc = curl_easy_perform(h);
     curl_easy_getinfo(h, CURLINFO_RESPONSE_CODE, &reply->status);
-    GsSend sent = classify(reply, rc);
+    GsSendResult sent = classify(reply, rc);
     release_handle(c, h);
     curl_slist_free_all(headers);
     g_free(url);
--- a/standins/common/client.h
+++ b/standins/common/client.h
@@ -11,10 +11,10 @@
 #define GS_TICKET_MAX  96
 
 typedef enum {
-    GS_SEND_WHOLE = 1,    /* complete answer received */
+    GS_SEND_COMPLETE = 1, /* complete answer received */
     GS_SEND_NOTHING_SENT, /* no connection; no byte sent */
-    GS_SEND_BROKEN        /* bytes sent, no complete answer received */
-} GsSend;
+    GS_SEND_INTERRUPTED   /* bytes sent, no complete answer received */
+} GsSendResult;
 
 typedef struct {
     const char *method;
@@ -46,7 +46,8 @@
 
 void GsClient_Init(GsClient *c);
 void GsClient_Clear(GsClient *c);
-GsSend GsClient_Send(GsClient *c, const GsRequest *request, GsReply *reply);
+GsSendResult GsClient_Send(GsClient *c, const GsRequest *request,
+                           GsReply *reply);
 void GsReply_Clear(GsReply *reply);
 
 #endif
--- a/standins/common/directory.c
+++ b/standins/common/directory.c
@@ -174,8 +174,8 @@
                    .address = address,
                    .path = path,
                    .timeout_ms = LOOKUP_TIMEOUT_MS};
-    GsSend sent = GsClient_Send(client, &q, &reply);
-    bool good = sent == GS_SEND_WHOLE && reply.status == 200;
+    GsSendResult sent = GsClient_Send(client, &q, &reply);
+    bool good = sent == GS_SEND_COMPLETE && reply.status == 200;
     if (good) {
         pthread_mutex_lock(&d->lock);
         cache_answer(d, address, reply.body->str, GsClock_Now());
--- a/standins/common/http.c
+++ b/standins/common/http.c
@@ -182,7 +182,7 @@
  * connection, which cancels the request. `fd` caches the socket of the
  * connection over its requests; 0 at first. */
 bool
-GsHttp_WaitGone(struct mg_connection *conn, int64_t us, int *fd)
+GsHttp_WaitClosed(struct mg_connection *conn, int64_t us, int *fd)
 {
     const struct mg_request_info *ri = mg_get_request_info(conn);
     if (*fd == 0) {
--- a/standins/common/http.h
+++ b/standins/common/http.h
@@ -28,7 +28,7 @@
 int GsHttp_ReplyJson(struct mg_connection *conn, int status,
                      struct json_object *body);
 int GsHttp_Drop(struct mg_connection *conn);
-bool GsHttp_WaitGone(struct mg_connection *conn, int64_t us, int *fd);
+bool GsHttp_WaitClosed(struct mg_connection *conn, int64_t us, int *fd);
 bool GsHttp_Query(struct mg_connection *conn, const char *name, char *out,
                   size_t cap);
 void GsHttp_BlockSignals(void);
--- a/standins/common/report.c
+++ b/standins/common/report.c
@@ -15,7 +15,7 @@
                    .address = address,
                    .path = path,
                    .timeout_ms = FETCH_TIMEOUT_MS};
-    return GsClient_Send(client, &q, reply) == GS_SEND_WHOLE &&
+    return GsClient_Send(client, &q, reply) == GS_SEND_COMPLETE &&
            reply->status == 200;
 }
 
--- a/standins/standin_backends.c
+++ b/standins/standin_backends.c
@@ -170,7 +170,7 @@
     const char *text = mg_get_header(conn, "GW-Deadline-Ms");
     int64_t left_us = text != NULL ? strtoll(text, NULL, 10) * 1000 : 0;
     bool is_past_deadline = text != NULL && left_us < w->service_us;
-    bool is_cancelled = GsHttp_WaitGone(
+    bool is_cancelled = GsHttp_WaitClosed(
         conn, is_past_deadline ? left_us : w->service_us, &w->peer->fd);
     int64_t now_us = GsClock_Now();
     pthread_mutex_lock(&all->lock);
--- a/standins/standin_callers.c
+++ b/standins/standin_callers.c
@@ -314,11 +314,11 @@
                    .body = o->body,
                    .timeout_ms = o->deadline_ms};
     GsClient_Init(&client);
-    GsSend sent = GsClient_Send(&client, &q, &reply);
-    if (sent == GS_SEND_WHOLE) {
+    GsSendResult sent = GsClient_Send(&client, &q, &reply);
+    if (sent == GS_SEND_COMPLETE) {
         printf("%s\n", reply.body->str);
     }
-    int rc = sent != GS_SEND_WHOLE ? 3 : reply.status >= 400;
+    int rc = sent != GS_SEND_COMPLETE ? 3 : reply.status >= 400;
     GsReply_Clear(&reply);
     GsClient_Clear(&client);
     return rc;
--- a/tests/stress/calls.c
+++ b/tests/stress/calls.c
@@ -92,7 +92,7 @@
     GsReply reply;
     const char *mark = "\"tickets\":[\"";
     out[0] = '\0';
-    if (GsClient_Send(client, &request, &reply) == GS_SEND_WHOLE &&
+    if (GsClient_Send(client, &request, &reply) == GS_SEND_COMPLETE &&
         strstr(reply.body->str, mark) != NULL) {
         const char *at = strstr(reply.body->str, mark) + strlen(mark);
         g_strlcpy(out, at, MIN(strcspn(at, "\"") + 1, GW_TICKET_TEXT_MAX));
@@ -102,12 +102,13 @@
 
 /* Counts the outcome of a call. */
 static void
-count_outcome(Fixture *f, GsSend sent, const GsReply *reply, const char *key)
+count_outcome(Fixture *f, GsSendResult sent, const GsReply *reply,
+              const char *key)
 {
     if (sent == GS_SEND_NOTHING_SENT) {
         atomic_fetch_add(&f->not_sent, 1);
     }
-    else if (sent != GS_SEND_WHOLE) {
+    else if (sent != GS_SEND_COMPLETE) {
         atomic_fetch_add(&f->cut, 1);
     }
     else if (strcmp(reply->outcome, "answered") == 0) {
@@ -148,7 +149,7 @@
         .deadline_ms = 4000,
         .timeout_ms = 90000,
     };
-    GsSend sent = GsClient_Send(client, &request, &reply);
+    GsSendResult sent = GsClient_Send(client, &request, &reply);
     count_outcome(f, sent, &reply, is_post ? key : NULL);
     GsReply_Clear(&reply);
 }
@@ -169,7 +170,7 @@
             .deadline_ms = 1000,
             .timeout_ms = 60000,
         };
-        ready = GsClient_Send(&client, &request, &reply) == GS_SEND_WHOLE &&
+        ready = GsClient_Send(&client, &request, &reply) == GS_SEND_COMPLETE &&
                 strcmp(reply.outcome, "answered") == 0;
         GsReply_Clear(&reply);
         g_usleep(10000);
--- a/tests/unit/test_runtime.c
+++ b/tests/unit/test_runtime.c
@@ -63,7 +63,7 @@
     int fd = 0;
     atomic_fetch_add(&env->delayed, 1);
     while (!atomic_load(&env->release)) {
-        if (GsHttp_WaitGone(conn, 5000, &fd)) {
+        if (GsHttp_WaitClosed(conn, 5000, &fd)) {
             atomic_fetch_add(&env->disconnected, 1);
             return;
         }
@@ -138,7 +138,7 @@
     g_free(env);
 }
 
-static GsSend
+static GsSendResult
 call_for(Env *env, const FakeEntry *e, const char *method, const char *path,
          const char *ticket, GsReply *reply)
 {
@@ -154,7 +154,7 @@
     return GsClient_Send(&env->client, &request, reply);
 }
 
-static GsSend
+static GsSendResult
 call(Env *env, const FakeEntry *e, const char *method, const char *ticket,
      GsReply *reply)
 {
@@ -169,7 +169,7 @@
     while (!answered) {
         GsReply reply;
         answered =
-            call_for(env, e, "GET", path, NULL, &reply) == GS_SEND_WHOLE &&
+            call_for(env, e, "GET", path, NULL, &reply) == GS_SEND_COMPLETE &&
             strcmp(reply.outcome, "answered") == 0;
         GsReply_Clear(&reply);
         g_usleep(answered ? 0 : 10000);
@@ -193,7 +193,8 @@
         .timeout_ms = 10000,
     };
     GsReply reply;
-    cr_assert_eq(GsClient_Send(&env->client, &request, &reply), GS_SEND_WHOLE);
+    cr_assert_eq(GsClient_Send(&env->client, &request, &reply),
+                 GS_SEND_COMPLETE);
     const char *at = strstr(reply.body->str, "\"tickets\":[\"");
     cr_assert_not_null(at, "%s", reply.body->str);
     at += strlen("\"tickets\":[\"");
@@ -248,7 +249,7 @@
         GsReply_Clear(&reply);
     }
     atomic_store(&env->to_delay, 1);
-    cr_expect_eq(call(env, &e, "GET", NULL, &reply), GS_SEND_WHOLE);
+    cr_expect_eq(call(env, &e, "GET", NULL, &reply), GS_SEND_COMPLETE);
     expect(&reply, "answered", NULL);
     cr_expect_eq(reply.body->len, BODY_LEN);
     GsReply_Clear(&reply);
--- a/tests/unit/test_standin_client.c
+++ b/tests/unit/test_standin_client.c
@@ -51,7 +51,7 @@
     return fd;
 }
 
-static GsSend
+static GsSendResult
 book(GsClient *c, const char *address, GsReply *reply)
 {
     GsRequest q = {.method = "POST",
@@ -75,11 +75,11 @@
         pthread_create(&thread, NULL, serve, &s);
         GsClient_Init(&c);
         for (uint32_t i = 0; i < answers; i++) {
-            cr_assert_eq(book(&c, address, &reply), GS_SEND_WHOLE);
+            cr_assert_eq(book(&c, address, &reply), GS_SEND_COMPLETE);
             cr_assert_str_eq(reply.outcome, "answered");
             GsReply_Clear(&reply);
         }
-        cr_assert_eq(book(&c, address, &reply), GS_SEND_BROKEN,
+        cr_assert_eq(book(&c, address, &reply), GS_SEND_INTERRUPTED,
                      "after %u answers", answers);
         GsReply_Clear(&reply);
         pthread_join(thread, NULL);
--- a/tests/unit/test_standin_http.c
+++ b/tests/unit/test_standin_http.c
@@ -48,7 +48,8 @@
                              .path = "/",
                              .timeout_ms = 10000};
         GsClient_Init(&client);
-        cr_expect_eq(GsClient_Send(&client, &request, &reply), GS_SEND_WHOLE);
+        cr_expect_eq(GsClient_Send(&client, &request, &reply),
+                     GS_SEND_COMPLETE);
         GsReply_Clear(&reply);
         GsClient_Clear(&client);
         while (atomic_load(&closed) < i) {
