--- a/lib/router/quarantine.h
+++ b/lib/router/quarantine.h
@@ -2,11 +2,11 @@
  *
  * A crash ends all requests that the server was running, so one crash is weak
  * evidence against any of them. A request is quarantined, that is, refused
- * without being sent, once GW_QUARANTINE_CRASHES different starts of servers
- * have crashed while running it, not all at the same moment, unless other
- * requests explain those crashes as well or better. A successful run clears
- * it. Requests are identified by fingerprint, whatever the attempt or the
- * entry.
+ * without being sent, once GW_QUARANTINE_CRASHES server processes have crashed
+ * while running it, not all at the same moment, unless other requests explain
+ * those crashes as well or better. A successful run clears the request. All
+ * entries identify a request by its fingerprint, which is the same for each
+ * attempt.
  *
  * A server's crash is confirmed shortly after its connections end:
  *
@@ -22,8 +22,8 @@
 
 typedef struct GwQuarantine_s GwQuarantine;
 
-/* Crashes of different servers before a request is quarantined; one more if it
- * shares each of them with an equally suspect request. */
+/* Crashes of different server processes before a request is quarantined; one
+ * more if an equally suspect request ran at each of the crashes. */
 #define GW_QUARANTINE_CRASHES 3
 /* Length of the first quarantine, from the last crash. Each crash after a
  * quarantine doubles the next one. */
@@ -40,7 +40,7 @@
     uint32_t age_ms;  /* since the last crash or the clearance */
     uint32_t span_ms; /* from the first crash to the last */
     uint32_t server_count;
-    /* Starts of servers (hash of id and start time) that crashed while running
+    /* Server processes (hash of id and start time) that crashed while running
      * the request, in ascending order. */
     uint64_t servers[GW_SUSPECT_SERVERS_MAX];
 } GwSuspect;
@@ -70,7 +70,7 @@
 /* The server closed the connection of the request without an answer. */
 void GwQuarantine_NoteConnectionLost(GwQuarantine *q, int64_t now_us,
                                      const GwFingerprint *f, uint64_t server);
-/* That start of a server crashed: all requests whose connections it recently
+/* The server process crashed: all requests whose connections it recently
  * closed become suspects. */
 void GwQuarantine_NoteCrash(GwQuarantine *q, int64_t now_us, uint64_t server);
 /* The server is alive: its lost connections had other reasons. */
--- a/lib/router/quarantine_internal.h
+++ b/lib/router/quarantine_internal.h
@@ -15,8 +15,8 @@
     int64_t changed_us;
     int64_t threshold_us;       /* of the crash that reached the threshold */
     bool is_shared;             /* shared with other entries */
-    GwSuspectState state;       /* as last reported by q->note */
-    uint64_t evaluated_version; /* version for which is_cause holds */
+    GwSuspectState state;       /* as last passed to q->callback */
+    uint64_t evaluated_version; /* q->version for which is_cause is valid */
     bool is_cause;
 } GwSuspectRecord;
 
@@ -31,7 +31,7 @@
     GArray *lost_connections; /* GwLostConnection */
     uint64_t version;         /* incremented with each change of a record */
     uint64_t sum;
-    uint64_t sum_version; /* for which `sum` holds */
+    uint64_t sum_version; /* `version` for which `sum` is valid */
     int64_t changed_us;
     GwQuarantineCallback callback;
     void *ctx;
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -55,7 +55,7 @@
 /* Properties of a backend server, from the registry. */
 typedef struct {
     const char *id;
-    uint64_t born_ms; /* start time; a later one is another server */
+    uint64_t born_ms; /* start time; a later start is a new server */
     const char *service;
     const char *address;
     const char *domain;
@@ -111,13 +111,13 @@
     uint64_t object;
     uint32_t server; /* GwServer_Hash */
     bool warm; /* a run there has ended; else the first run has just begun */
-    int64_t at_us;
+    int64_t at_us; /* creation; from GwRouter_WarmPlacements, last use */
 } GwPlacement;
 
 void GwRouter_PutPlacement(GwRouter *r, int64_t now_us,
                            const GwPlacement *placement);
 /* Appends the warm placements, last used first, at most `most`: bootstrap
- * state for a joining entry, which would otherwise start with a cold set. */
+ * state for a joining entry, which otherwise knows no placements. */
 void GwRouter_WarmPlacements(const GwRouter *r, uint32_t most, GArray *out);
 /* Appends the placements made by this entry in the last `age_us`
  * (GwPlacement), and drops those older than `life_us`. */
@@ -157,7 +157,8 @@
     const char *path;
     const char *key; /* names the object that the request is about; or NULL */
     int64_t left_us; /* time that the caller waits; < 0: not stated */
-    const GwFingerprint *fingerprint; /* NULL unless wanted */
+    const GwFingerprint
+        *fingerprint; /* NULL unless GwRouter_WantsFingerprints */
 } GwArrival;
 
 typedef enum {
@@ -184,8 +185,8 @@
     uint32_t cold_ms;   /* > 0: the server states that it is cold */
     int64_t connect_us; /* time to set up a new connection; 0: reused */
     GwLimitStatement limit;
-    double limit_per_s; /* if NAMED */
-    bool closed;        /* BROKEN: the server closed or reset the connection */
+    double limit_per_s; /* if GW_LIMIT_STATED */
+    bool closed;        /* LOST: the server closed or reset the connection */
     /* Of the request; set if `closed` or GwRouter_WantsFingerprints. */
     const GwFingerprint *fingerprint;
 } GwAttemptEnd;
@@ -193,18 +194,19 @@
 /* Result of a probe connection to a server (GW_ROUTER_PROBE). */
 typedef enum {
     GW_PROBE_ALIVE = 1,
-    GW_PROBE_REFUSED, /* nothing listens there: the process has ended */
-    GW_PROBE_TIMEOUT  /* neither before the timeout */
+    GW_PROBE_REFUSED, /* no listener at the address: the process has exited */
+    GW_PROBE_TIMEOUT  /* no result before the timeout */
 } GwProbeResult;
 
 /* How a request was handled, for the access log. */
 typedef struct {
     char route[48];
-    char server[48];      /* of the last attempt; "" if there was none */
-    uint64_t version;     /* of the configuration that admitted the request */
-    uint32_t attempts;    /* attempts, also those that reached no server */
-    uint32_t waited_ms;   /* until the last attempt, or in all */
-    uint32_t took_ms;     /* since arrival */
+    char server[48];   /* of the last attempt; "" if there was none */
+    uint64_t version;  /* of the configuration that admitted the request */
+    uint32_t attempts; /* attempts, also those that reached no server */
+    uint32_t
+        waited_ms;    /* until the last attempt; until now if there is none */
+    uint32_t took_ms; /* since arrival */
     uint32_t expected_ms; /* total time expected at the last evaluation */
     bool warm;            /* the last server was a placement of the object */
     bool far;             /* the last server is in another region */
@@ -227,10 +229,10 @@
                      GArray *actions);
 void GwRouter_AttemptEnded(GwRouter *r, int64_t now_us, GwRequest *req,
                            const GwAttemptEnd *end, GArray *actions);
-/* The caller disconnected and the host abandoned the attempt. The capacity
- * that becomes free is used only by GwRouter_DispatchPending, to be called after all
- * requests of the connection were reported: otherwise one of them could get
- * it. */
+/* The caller disconnected and the host abandoned the attempt. The freed
+ * capacity is assigned only by GwRouter_DispatchPending, which the host calls
+ * after it has reported all requests of the connection: otherwise another
+ * request of the disconnected caller could get the slot. */
 void GwRouter_CallerDisconnected(GwRouter *r, int64_t now_us, GwRequest *req,
                                  GArray *actions);
 /* Returns the state so far of a request, for the log. */
@@ -246,8 +248,8 @@
 void GwRouter_Tick(GwRouter *r, int64_t now_us, GArray *actions);
 int64_t GwRouter_NextDeadline(const GwRouter *r); /* INT64_MAX: none */
 uint32_t GwRouter_OpenCount(const GwRouter *r);
-/* Number of server evaluations since the start, which is most of the core's
- * work; the fixed work per request counts as several of them. */
+/* Number of server evaluations since the start, a measure of the core's work;
+ * the fixed work per request counts as several evaluations. */
 uint64_t GwRouter_EvaluationCount(const GwRouter *r);
 
 typedef enum {
@@ -255,9 +257,9 @@
     GW_ROUTER_SEND,       /* one attempt at `server` */
     GW_ROUTER_CANCEL,     /* abandon the attempt and close its connection */
     GW_ROUTER_ANSWER, /* pass on the last attempt's answer; ends the request */
-    GW_ROUTER_REPLY,  /* answer with `status`, without a server; ends it */
-    GW_ROUTER_PROBE,  /* connect to `server`, then call GwRouter_ProbeEnded */
-    GW_ROUTER_DROP_SERVER, /* `server` was removed: drop the host's state of it */
+    GW_ROUTER_REPLY, /* answer with `status`, without a server; ends the request */
+    GW_ROUTER_PROBE, /* connect to `server`, then call GwRouter_ProbeEnded */
+    GW_ROUTER_DROP_SERVER,  /* drop the host's state of the removed `server` */
     GW_ROUTER_LOG_EJECTED,  /* log that `server` is ejected for left_ms */
     GW_ROUTER_LOG_RECOVERED /* log that `server` answers without errors again */
 } GwRouterActionKind;
@@ -271,7 +273,7 @@
     GW_REPLY_NO_RETRY,       /* not run, and no attempt is left */
     GW_REPLY_TIMEOUT,        /* sent, then timed out */
     GW_REPLY_TIMEOUT_UNSENT, /* timed out before it was sent */
-    GW_REPLY_MAY_HAVE_RUN,   /* it may have run */
+    GW_REPLY_MAY_HAVE_RUN,   /* an attempt may have run */
     GW_REPLY_LEAVING,     /* the entry is stopping and accepts nothing new */
     GW_REPLY_QUARANTINED, /* the request crashes the servers that run it */
     GW_REPLY_COUNT
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -28,10 +28,11 @@
 #define GW_EJECT_MAX_US       4000000
 #define GW_KEY_PLACEMENTS_MAX 4 /* placements of one object */
 
+/* A token bucket. */
 typedef struct {
     double tokens;
     double max;
-    int64_t at_us;
+    int64_t at_us; /* last refill; 0: never */
 } GwBucket;
 
 /* Tokens in the bucket at `now_us`, refilled at `per_s`; changes nothing. */
@@ -52,14 +53,14 @@
     GwServer *freed_server; /* has got capacity since the last pass; or NULL */
     int64_t stale_limit_due_us; /* next search for a stale limit */
     double work_us;             /* mean time that a request occupies a slot */
-    double cold_per_s;
+    double cold_per_s; /* maximum requests per second to a cold server */
     uint32_t connections_max; /* to one server, of all entries; 0: any */
 } GwServiceState;
 
 typedef struct {
     char *name;
-    double warm_us;
-    double cold_us;
+    double warm_us;        /* mean run time where the object is cached */
+    double cold_us;        /* mean run time at other servers */
     double longest_run_us; /* longest run, decaying; 0: no run has ended yet */
     uint32_t open;         /* requests that refer to this state */
     int64_t caller_time_max_us; /* longest time callers allow, decaying */
@@ -78,11 +79,12 @@
 typedef struct {
     double per_s;         /* < 0: the server states no limit */
     int64_t at_us;        /* start of validity of this limit */
-    int64_t confirmed_us; /* last answer that confirmed it */
+    int64_t confirmed_us; /* last answer that confirmed the limit */
     int64_t answered_us;  /* last answer of any kind */
-    int64_t changed_us;   /* when it became known here; 0: never limited */
-    double share_per_s;   /* this entry's share, requests per second */
-    int64_t share_at_us;  /* when the share was last computed */
+    int64_t
+        changed_us; /* when this entry learned the limit; 0: never limited */
+    double share_per_s;  /* this entry's share, requests per second */
+    int64_t share_at_us; /* when the share was last computed */
     GwBucket tokens;
 } GwServerLimit;
 
@@ -107,15 +109,15 @@
     uint32_t objects;      /* objects with a placement here */
     double utilization;    /* moving average of slots in use over slots */
     int64_t utilization_at_us;
-    double slowdown; /* run time relative to other servers */
-    uint32_t failures;
+    double slowdown;   /* run time relative to other servers */
+    uint32_t failures; /* in a row */
     int64_t eject_until_us;
     int64_t cold_until_us;
     GwBucket cold_tokens;
     GwServerLimit limit;
-    bool owns_rate; /* this entry owned its cold rate before */
-    bool probed;    /* the host is probing it with a connection */
-    int64_t load_at_us;
+    bool owns_rate;     /* this entry owned the cold rate at the last check */
+    bool probed;        /* a probe connection is in progress */
+    int64_t load_at_us; /* last load report */
     uint32_t load_running;
     uint32_t load_waiting;
     void *user;
@@ -143,12 +145,12 @@
 
 /* The share of requests sent to other regions, and its limit. */
 typedef struct {
-    double sent;          /* requests sent, decaying */
-    double remote;        /* part of them to other regions */
-    double demand;        /* requests placed or refused, decaying */
-    double remote_demand; /* part that preferred another region */
-    double allowed_share; /* share allowed now */
-    int64_t at_us;
+    double sent;                /* requests sent, decaying */
+    double remote;              /* part of them to other regions */
+    double demand;              /* requests placed or refused, decaying */
+    double remote_demand;       /* part that preferred another region */
+    double allowed_share;       /* share allowed now */
+    int64_t at_us;              /* last update of the decaying values */
     int64_t unlimited_until_us; /* no limit before this */
     int64_t start_until_us;     /* end of the start phase; 0: not begun */
     double first_work_us;       /* slot time of the first requests, all cold */
@@ -167,10 +169,10 @@
     int64_t objective_end_us;   /* end of the latency objective */
     int64_t useless_after_us;   /* an answer after this is of no use */
     int64_t give_up_us;         /* the caller or the route waits no longer */
-    int64_t server_deadline_us; /* end of the time that is sent to servers */
+    int64_t server_deadline_us; /* end of the time limit sent to servers */
     uint32_t deadline;          /* index in r->deadlines */
-    uint32_t attempts;
-    GwServer *server; /* of the attempt in progress, or NULL */
+    uint32_t attempts;          /* without those that reached no server */
+    GwServer *server;           /* of the attempt in progress, or NULL */
     int64_t sent_us;
     int64_t expected_us; /* expected total time, as of the last evaluation */
     double slot_wait_us; /* wait for a free slot, as of the same evaluation */
@@ -180,18 +182,18 @@
     const GwServer *refused_for; /* the best server, when refused */
     bool has_fingerprint;
     GwFingerprint fingerprint;
-    bool is_suspect;         /* a server crashed while running it */
-    GwServer *probed_server; /* closed the connection; or NULL */
+    bool is_suspect;         /* a server may have crashed while running it */
+    GwServer *probed_server; /* the request waits for its probe; or NULL */
     bool is_waiting;
     bool is_late;                /* is waiting and will miss its objective */
     int64_t last_useful_slot_us; /* a slot after this is too late */
-    GwServer *awaited_server;    /* has no capacity yet; NULL: evaluate */
-    bool awaits_placement;       /* the server is a placement of the object */
+    GwServer *awaited_server; /* its next slot is reserved; NULL: evaluate */
+    bool awaits_placement;    /* awaited_server is a placement */
     bool may_have_run; /* an attempt ended without proof that it did not run */
     uint32_t sends;    /* all attempts, also those that reached no server */
     char last_server[48];
-    uint32_t arrivals; /* attempts that reached a server */
-    uint32_t unsent;
+    uint32_t arrivals; /* ended attempts that reached a server */
+    uint32_t unsent;   /* attempts that reached no server */
     uint32_t tried_count;
     GwServer *tried[8]; /* for comparison only, never dereferenced */
 };
@@ -285,14 +287,15 @@
 
 /* choose.c */
 typedef struct {
-    GwServer *server;     /* NULL: no server can take the request */
-    bool has_free_slot;   /* a slot is free there now */
-    bool in_time;         /* the answer is expected within the objective */
-    bool prefers_remote;  /* the best server is in another region */
-    bool is_placement;    /* the server is a placement of the object */
-    double est_us;        /* expected time to the answer */
-    double wait_us;       /* part of it until a slot is free */
-    int64_t last_slot_us; /* a later run would be cut off by a stop */
+    GwServer *server;    /* NULL: no server can take the request */
+    bool has_free_slot;  /* a slot is free there now */
+    bool in_time;        /* the answer is expected within the objective */
+    bool prefers_remote; /* the best server is in another region */
+    bool is_placement;   /* the server is a placement of the object */
+    double est_us;       /* expected time to the answer */
+    double wait_us;      /* part of it until a slot is free */
+    int64_t
+        last_slot_us; /* a run that starts later may not end before a stop */
 } GwChoice;
 
 GwChoice GwRouter_Choose(GwRouter *r, int64_t now_us, GwRequest *req);
@@ -309,7 +312,8 @@
 } GwRegionRule;
 
 GwRegionRule GwRouter_RegionRule(GwRouter *r, int64_t now_us);
-/* Count a request that was sent (to another region or not), or refused. */
+/* Count a request that was sent or refused, and whether its best server or the
+ * server that it was sent to is in another region. */
 void GwRouter_NoteRegionSent(GwRouter *r, int64_t now_us, const GwRequest *req,
                              bool preferred_remote, bool remote);
 void GwRouter_NoteRegionRefused(GwRouter *r, int64_t now_us,
