--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -7,12 +7,12 @@
 #define DEFAULT_OBJECTIVE_US 1000000
 /* Decay of a route's longest caller time towards the time of a new request;
  * and the largest part of its time that a caller can have used when it
- * retries: it waits at most a third of it before each of one or two
- * retries. */
+ * retries: a caller waits at most a third of its time before each of one or
+ * two retries. */
 #define CALLER_TIME_DECAY 0.02
 #define SPENT_SHARE_MAX   0.67
 /* A server answers shortly after the caller's time is over; that answer states
- * whether the request ran, so it is awaited this long. */
+ * whether the request ran, so the entry waits this long for it. */
 #define SERVER_TIMEOUT_ANSWER_US 120000
 /* After a route's timeout the caller gets its answer at once. */
 #define TIMEOUT_SLACK_US 30000
--- a/lib/router/choose.c
+++ b/lib/router/choose.c
@@ -5,26 +5,26 @@
  * therefore has a few placements, servers to which its requests go: at full
  * load the same slots carry three times as much as with requests spread
  * evenly. Once spread, requests stay spread, since every run is then a cold
- * one. A request waits for a placement of its object as long as the answer
+ * run. A request waits for a placement of its object as long as the answer
  * still meets the objective; an object gets a further placement only where
- * slots are idle, one at a time. */
+ * slots are idle, and only one at a time. */
 #include "router/router_internal.h"
 
 #include <string.h>
 
 /* For this long a load report takes precedence over the local count. */
 #define LOAD_REPORT_LIFE_US 60000
-/* With a larger share of a service's servers ejected, the failures have a
- * common cause outside of them: ejection is ignored. */
+/* With a larger share of a service's servers ejected, the failures probably
+ * have a common cause outside of the servers: ejection is ignored. */
 #define PANIC_SHARE       0.5
 #define PANIC_INTERVAL_US 20000
-/* Cost of leaving the failure domain or the region, as time: traffic across is
- * paid for, and an object that is placed in another region costs the round
- * trip from then on. */
+/* Cost, as time, of a server in another failure domain or region: traffic
+ * between them is paid for, and each later request for an object placed in
+ * another region takes the longer round trip. */
 #define CROSS_DOMAIN_COST_US 60000.0
 #define CROSS_REGION_COST_US 100000.0
-/* Entries must agree on the first placement of an object without
- * communication: a hash of object and server adds up to this to the cost. */
+/* Maximum cost added by a hash of object and server, by which entries agree on
+ * the first placement of an object without communication. */
 #define HASH_SPREAD_COST_US 300000.0
 /* Cost of each object that the server has cached already, and of its recent
  * utilization. */
@@ -78,7 +78,7 @@
     GwRequest *req;
     int64_t now_us;
     bool panic;
-    GwRegionRule side;
+    GwRegionRule region_rule;
 } Search;
 
 /* The set is mostly empty, and a lookup hashes the name. */
@@ -95,12 +95,12 @@
     GwRouter *r = search->r;
 
     /* A placement of the object may belong to another service: reports name
-     * objects by hash only, and a route may have moved. The request would then
-     * be answered by a service that it was never sent to. */
+     * objects by hash only, and a route may have been moved to another
+     * service. The wrong service would then answer the request. */
     if (s->service != search->req->service || s->draining || !s->listed ||
         s->slots == 0 || is_evacuated(r, s) ||
-        (search->side == GW_REGIONS_LOCAL && !s->same_region) ||
-        (search->side == GW_REGIONS_REMOTE && s->same_region) ||
+        (search->region_rule == GW_REGIONS_LOCAL && !s->same_region) ||
+        (search->region_rule == GW_REGIONS_REMOTE && s->same_region) ||
         !GwRoute_AllowsRegion(search->req->route, s->path->region) ||
         was_tried(search->req, s) ||
         (!search->panic && search->now_us < s->eject_until_us)) {
@@ -188,18 +188,17 @@
     }
 }
 
-/* The best placement of the object. Includes placements whose first run is
- * still in progress: excluding them until that run has ended performs worse.
- * */
+/* Returns the best placement of the object. Placements whose first run is
+ * still in progress count as well: excluding them performs worse. */
 static Candidate
 best_placement(const Search *search)
 {
     GwRequest *req = search->req;
     Candidate best = {0};
 
-    bool uses_places = req->key != NULL && !req->is_suspect;
+    bool uses_placements = req->key != NULL && !req->is_suspect;
 
-    for (int i = 0; uses_places && i < GW_KEY_PLACEMENTS_MAX; i++) {
+    for (int i = 0; uses_placements && i < GW_KEY_PLACEMENTS_MAX; i++) {
         GwServer *s = req->key->placements[i].server;
         if (s != NULL && is_eligible(search, s)) {
             Candidate c = evaluate(search, s, req->state->warm_us);
@@ -211,7 +210,7 @@
 
 /* The part of HASH_SPREAD_COST_US for this object at this server. Suspects
  * that ran together on a server when it crashed are spread over different
- * servers, so that the next crash tells them apart. */
+ * servers, so that the next crash shows which of them caused it. */
 static double
 hash_spread_cost_us(const GwRequest *req, const GwServer *s)
 {
@@ -226,8 +225,8 @@
 }
 
 /* Lower bound of the cost at this server: a slot is free and the server was
- * idle. The terms are added in the same order as in `judge` and `best_new`, so
- * that rounding can't put the bound above the cost. */
+ * idle. The terms are added in the same order as in `evaluate` and `best_new`,
+ * so that rounding can't put the bound above the cost. */
 static double
 cost_lower_bound_us(const Search *search, const GwServer *s, double extra_us)
 {
@@ -362,24 +361,24 @@
     };
     r->evaluations += FIXED_EVALUATIONS;
     GwChoice c = choose_server(&search);
-    GwRegionRule side = GwRouter_RegionRule(r, now_us);
+    GwRegionRule rule = GwRouter_RegionRule(r, now_us);
 
     c.prefers_remote = c.server != NULL && !c.server->same_region;
-    if (c.server == NULL || side == GW_REGIONS_ALL || has_home_regions(req) ||
-        c.prefers_remote == (side == GW_REGIONS_REMOTE)) {
+    if (c.server == NULL || rule == GW_REGIONS_ALL || has_home_regions(req) ||
+        c.prefers_remote == (rule == GW_REGIONS_REMOTE)) {
         return c;
     }
-    search.side = side;
+    search.region_rule = rule;
     GwChoice other = choose_server(&search);
     other.prefers_remote = c.prefers_remote;
-    /* The limit on the cross-region share never causes a refusal: without a
-     * server on the required side the first choice stands. A request is not
-     * moved to another region for the share's sake if it would be late there
-     * or would be a cold run. */
+    /* The limit on the cross-region share never causes a refusal: if no server
+     * satisfies the rule, the first choice is used. After the start phase,
+     * a request is not moved to another region for the sake of the share if it
+     * would wait, be late or run cold there. */
     if (other.server == NULL) {
         return c;
     }
-    if (side == GW_REGIONS_REMOTE && !GwRouter_IsStartPhase(r, now_us) &&
+    if (rule == GW_REGIONS_REMOTE && !GwRouter_IsStartPhase(r, now_us) &&
         (!other.in_time || !other.has_free_slot ||
          (req->key != NULL &&
           GwKey_FindPlacement(req->key, other.server) == NULL))) {
--- a/lib/router/cross_region.c
+++ b/lib/router/cross_region.c
@@ -1,12 +1,12 @@
 /* Limits how fast traffic moves between regions.
  *
- * Without a limit, a burst that fills a region's servers sends all excess to
- * other regions at once and back at once when it ends: each time a wave of
- * requests meets cold servers there. The share of requests sent to other
- * regions may change by a few percent per second only; requests that find no
- * local slot and may not leave wait or are refused. The limit is off for some
- * time after the region loses servers, since the traffic then has no local
- * alternative. */
+ * Without a limit, a burst that fills a region's servers moves all excess to
+ * other regions at once, and back at once when the burst ends: each time, many
+ * requests reach servers that don't have their objects cached. The share of
+ * requests sent to other regions may change by a few percent per second only;
+ * requests that find no local slot and may not be sent to another region wait
+ * or are refused. The limit is off for some time after the region loses
+ * servers, since the traffic then has no local alternative. */
 #include "router/router_internal.h"
 
 #include <math.h>
@@ -14,9 +14,9 @@
 
 /* Time constant of the measured shares. */
 #define SHARE_TAU_US 1000000.0
-/* The allowed share follows the wanted one by at most this per second, and the
- * actual share stays within SHARE_BAND of it: a change of 0.09 + 0.06 in 2 s,
- * where operators allow 0.15. */
+/* The allowed share follows the wanted share by at most this per second, and
+ * the actual share stays within SHARE_BAND of the allowed share: a change of
+ * 0.09 + 0.06 in 2 s, where operators allow 0.15. */
 #define SHARE_SLOPE_PER_S 0.045
 #define SHARE_BAND        0.03
 /* With fewer requests in SHARE_TAU_US a share is not significant. */
@@ -59,8 +59,8 @@
 }
 
 /* Updates the slots of servers that accept requests, in all regions and in
- * this one. Recomputed on use only, since server changes come by the
- * hundred. */
+ * this region. Recomputed on use only, since hundreds of servers may change at
+ * once. */
 static void
 update_capacity(GwRouter *r)
 {
@@ -108,10 +108,10 @@
 
 /* The initial allowed share: the part of the region's traffic that its
  * slots can't carry while all work is cold. Without it, a region with few
- * servers keeps all traffic until they are full, and then sends two thirds
- * away at once. Bounded by the share that would leave if callers were
- * spread evenly over regions, since arrivals of a quarter of a second are a
- * poor estimate. */
+ * servers keeps all traffic until they are full, and then sends two thirds to
+ * other regions at once. Bounded by the share that other regions would receive
+ * if callers were spread evenly over regions, since arrivals of a quarter of a
+ * second are a poor estimate. */
 static double
 forecast_share(GwRouter *r, const GwCrossRegion *cr)
 {
--- a/lib/router/keys.c
+++ b/lib/router/keys.c
@@ -1,9 +1,9 @@
 /* Objects and their placements: the servers that have them cached.
  *
  * A server that recently handled an object runs the next request for it in a
- * third of the time, so placements determine capacity. The entry records where
- * it sent each object; entries that know nothing of each other's placements
- * agree by the hash in choose.c. */
+ * third of the time, so placements determine capacity. The entry records the
+ * servers to which it sent each object's requests; entries that don't know
+ * each other's placements agree by the hash in choose.c. */
 #include "router/router_internal.h"
 
 #include <string.h>
@@ -67,9 +67,9 @@
 }
 
 /* The key includes the route, since a server caches an object per route: a
- * booking of a slot doesn't speed up the lookup of the same slot. It includes
- * the service, so that a route that moves to another service or is split has
- * placements in each. */
+ * request of one route doesn't speed up a request of another route for the
+ * same object. The key includes the service, so that a route that moves to
+ * another service or is split has placements in each service. */
 GwKey *
 GwRouter_FindOrAddKey(GwRouter *r, int64_t now_us, const GwRoute *route,
                       const GwServiceState *service, const char *text)
@@ -92,7 +92,7 @@
 
 /* Adds a placement; replaces the oldest one if all are in use. */
 static void
-add_place(GwKey *key, GwServer *s, int64_t now_us)
+add_placement(GwKey *key, GwServer *s, int64_t now_us)
 {
     GwKeyPlacement *at = &key->placements[0];
 
@@ -116,7 +116,7 @@
     if (GwKey_FindPlacement(key, s) == NULL) {
         GwPlacement placement = {
             .object = key->hash, .server = GwServer_Hash(s), .at_us = now_us};
-        add_place(key, s, now_us);
+        add_placement(key, s, now_us);
         g_array_append_val(r->placements, placement);
     }
 }
@@ -134,7 +134,7 @@
         return;
     }
     if (GwKey_FindPlacement(key, s) == NULL) {
-        add_place(key, s, now_us);
+        add_placement(key, s, now_us);
     }
     if (placement->warm) {
         GwKey_FindPlacement(key, s)->ran = true;
--- a/lib/router/peers.c
+++ b/lib/router/peers.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* A server added after a report was applied counts nothing of that report: the
- * count saturates at zero. */
+/* The count saturates at zero: a report that is subtracted may have been
+ * applied before the server was added, and is then not in its count. */
 static void
 adjust_count(uint32_t *count, uint32_t by, bool add)
 {
@@ -36,7 +36,6 @@
     }
 }
 
-/* Finds or creates the peer. */
 static GwPeer *
 find_or_add_peer(GHashTable *peers, const char *name, const char *region)
 {
--- a/lib/router/quarantine.c
+++ b/lib/router/quarantine.c
@@ -8,12 +8,13 @@
 /* A lost connection is dropped if its server is not known to have crashed by
  * then. */
 #define LOST_CONNECTION_LIFE_US 2000000
-/* Lifetime of a suspicion, and of the record that it was cleared. */
+/* Lifetime of a suspect's record, and of the record of its clearance. */
 #define SUSPECT_LIFE_US 600000000LL
 /* A suspect of one crash is sent to other entries only after this: most are
  * retried and cleared at once. */
 #define SHARE_AFTER_US 100000
-/* By then the other entries' records of the same crashes have arrived. */
+/* Delay of the evaluation after a request reaches the threshold: by then the
+ * other entries' records of the same crashes have arrived. */
 #define EVALUATE_AFTER_US 150000
 /* Crashes within this time may have one common cause, other than the requests
  * that ran. Must exceed the difference between the times at which entries
@@ -306,8 +307,8 @@
     return true;
 }
 
-/* Updates the times for a further crash, whose server was added if there was
- * room. */
+/* Updates the times for a further crash, whose server was added if the list
+ * was not full. */
 static void
 update_times(GwSuspectRecord *rec, int64_t at_us)
 {
--- a/lib/router/rate_owners.c
+++ b/lib/router/rate_owners.c
@@ -17,8 +17,8 @@
 #define OWN_AFTER_START_US 2000000
 /* With many entries, peers of other regions become known later. */
 #define OWN_REMOTE_AFTER_START_US 20000000
-/* Part of a cold server's rate that is used, so that a late or doubled view of
- * its owner still keeps within the rate. */
+/* Part of a cold server's rate that is used, as a margin for the time in
+ * which entries disagree on the owner. */
 #define COLD_RATE_SHARE 0.9
 #define COLD_RATE_BURST 2.0
 /* Owners of a limit: the requests that they keep ready add to the limit, which
@@ -26,7 +26,8 @@
 #define LIMIT_SHARE      0.95
 #define OWNERS_PER_LIMIT 2.0
 #define OWNERS_MIN       1.0
-/* Without a minimum, a server with limit 0 would never be asked again. */
+/* Without a minimum, a server with limit 0 would never get a request again,
+ * and so could never state a higher limit. */
 #define LIMIT_SHARE_MIN_PER_S 0.2
 /* Time for which an owner may save up unused tokens. */
 #define LIMIT_BURST_S     0.25
@@ -84,8 +85,8 @@
 /* ---- Cold servers -------------------------------------------------------- */
 
 /* Returns whether this entry owns the cold server's rate and has a token. A
- * new owner starts without tokens: the previous one may just have spent its
- * own. */
+ * new owner starts without tokens: the previous owner may just have spent its
+ * tokens. */
 bool
 GwRouter_HasColdToken(GwRouter *r, GwServer *s, int64_t now_us)
 {
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -8,8 +8,8 @@
 #define EVALUATION_INTERVAL_US 15000
 /* Attempts that reached no server cost time only, but are bounded. */
 #define UNSENT_MAX 3
-/* Part of the retries allowed to all entries together that is used: the rest
- * covers requests counted late or twice, and new entries. */
+/* Part of the retry budget of all entries that is used: the rest covers
+ * requests counted late or twice, and new entries. */
 #define RETRY_SHARE 0.8
 #define RETRY_BURST 8.0
 /* Retry delay of refused callers, randomized so that they don't retry at
@@ -209,9 +209,9 @@
         until_us > now_us ? (uint32_t)((until_us - now_us) / 1000) : 0;
 }
 
-/* An answer after this is of no use. */
+/* Returns the time after which an answer is of no use. */
 static int64_t
-last_useful_slot_us(const GwRequest *req)
+last_useful_answer_us(const GwRequest *req)
 {
     return MIN(req->useless_after_us, req->server_deadline_us);
 }
@@ -226,9 +226,9 @@
 }
 
 /* Sends the request, keeps it waiting, or refuses it. A late answer is still
- * of some use, so a late request may wait behind all that meet their
- * objective; if even that takes too long, the caller is refused at once with a
- * retry delay. */
+ * of some use, so a late request may wait behind all requests that can meet
+ * their objective; if its answer would be useless by then, the request is
+ * refused at once with a retry delay. */
 void
 GwRequest_Place(GwRouter *r, int64_t now_us, GwRequest *req, GArray *actions)
 {
@@ -251,10 +251,10 @@
         send_request(r, now_us, req, c.server, actions);
         return;
     }
-    int64_t back_us = now_us + (int64_t)c.est_us;
+    int64_t answer_us = now_us + (int64_t)c.est_us;
     bool was_late = req->is_late;
     req->is_late = !c.in_time;
-    if (req->is_late && back_us > last_useful_slot_us(req)) {
+    if (req->is_late && answer_us > last_useful_answer_us(req)) {
         GwRouter_NoteRegionRefused(r, now_us, c.prefers_remote);
         req->refused_for = c.server;
         reply(r, now_us, req, GW_REPLY_NO_CAPACITY, actions);
@@ -267,7 +267,7 @@
     req->awaits_placement = c.is_placement;
     req->last_useful_slot_us =
         req->is_late
-            ? last_useful_slot_us(req) - (int64_t)(c.est_us - c.wait_us)
+            ? last_useful_answer_us(req) - (int64_t)(c.est_us - c.wait_us)
             : INT64_MAX;
     req->last_useful_slot_us = MIN(req->last_useful_slot_us, c.last_slot_us);
     int64_t again_us =
@@ -311,8 +311,8 @@
     r->entries = count;
 }
 
-/* Returns whether another attempt is allowed, and charges the retry budget. An
- * attempt that reached no server costs nothing. */
+/* Returns whether another attempt is allowed, and charges the retry budget. A
+ * retry is free if no earlier attempt reached a server. */
 static bool
 may_retry(GwRouter *r, int64_t now_us, GwRequest *req)
 {
@@ -359,8 +359,7 @@
     GwServer_Unref(r, s, actions);
 }
 
-/* Retries or ends the request after an attempt without an answer to pass
- * on. */
+/* Retries or ends the request after an attempt that got no answer. */
 static void
 after_failure(GwRouter *r, int64_t now_us, GwRequest *req, GwServer *s,
               const GwAttemptEnd *end, GArray *actions)
@@ -495,8 +494,8 @@
                   sent ? GW_REPLY_TIMEOUT : GW_REPLY_TIMEOUT_UNSENT, actions);
         }
         else {
-            /* Placing the request moves the deadline again if it still
-             * waits. */
+            /* GwRequest_Place sets an earlier deadline if the request still
+             * waits after that. */
             GwRequest_SetDeadline(r, req, req->give_up_us);
             GwRequest_EndProbeWait(r, req);
         }
--- a/lib/router/router.c
+++ b/lib/router/router.c
@@ -1,3 +1,4 @@
+/* Creates and frees the steering core, and applies configurations. */
 #include "router/router_internal.h"
 
 #include <string.h>
@@ -161,7 +162,7 @@
 
 /* Returns whether the route was removed and no request refers to its state. */
 static gboolean
-is_over(gpointer name, gpointer value, gpointer names)
+is_unused(gpointer name, gpointer value, gpointer names)
 {
     const GwRouteState *state = value;
 
@@ -180,7 +181,7 @@
             g_hash_table_add(names, host->routes[j].name);
         }
     }
-    g_hash_table_foreach_remove(r->routes, is_over, names);
+    g_hash_table_foreach_remove(r->routes, is_unused, names);
     g_hash_table_destroy(names);
 }
 
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -157,8 +157,8 @@
     const char *path;
     const char *key; /* names the object that the request is about; or NULL */
     int64_t left_us; /* time that the caller waits; < 0: not stated */
-    const GwFingerprint
-        *fingerprint; /* NULL unless GwRouter_WantsFingerprints */
+    /* NULL unless GwRouter_WantsFingerprints. */
+    const GwFingerprint *fingerprint;
 } GwArrival;
 
 typedef enum {
@@ -201,12 +201,11 @@
 /* How a request was handled, for the access log. */
 typedef struct {
     char route[48];
-    char server[48];   /* of the last attempt; "" if there was none */
-    uint64_t version;  /* of the configuration that admitted the request */
-    uint32_t attempts; /* attempts, also those that reached no server */
-    uint32_t
-        waited_ms;    /* until the last attempt; until now if there is none */
-    uint32_t took_ms; /* since arrival */
+    char server[48];      /* of the last attempt; "" if there was none */
+    uint64_t version;     /* of the configuration that admitted the request */
+    uint32_t attempts;    /* attempts, also those that reached no server */
+    uint32_t waited_ms;   /* until the last attempt, else until now */
+    uint32_t took_ms;     /* since arrival */
     uint32_t expected_ms; /* total time expected at the last evaluation */
     bool warm;            /* the last server was a placement of the object */
     bool far;             /* the last server is in another region */
@@ -257,7 +256,7 @@
     GW_ROUTER_SEND,       /* one attempt at `server` */
     GW_ROUTER_CANCEL,     /* abandon the attempt and close its connection */
     GW_ROUTER_ANSWER, /* pass on the last attempt's answer; ends the request */
-    GW_ROUTER_REPLY, /* answer with `status`, without a server; ends the request */
+    GW_ROUTER_REPLY, /* answer with `status` of this entry; ends the request */
     GW_ROUTER_PROBE, /* connect to `server`, then call GwRouter_ProbeEnded */
     GW_ROUTER_DROP_SERVER,  /* drop the host's state of the removed `server` */
     GW_ROUTER_LOG_EJECTED,  /* log that `server` is ejected for left_ms */
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -81,10 +81,9 @@
     int64_t at_us;        /* start of validity of this limit */
     int64_t confirmed_us; /* last answer that confirmed the limit */
     int64_t answered_us;  /* last answer of any kind */
-    int64_t
-        changed_us; /* when this entry learned the limit; 0: never limited */
-    double share_per_s;  /* this entry's share, requests per second */
-    int64_t share_at_us; /* when the share was last computed */
+    int64_t changed_us;   /* when this entry learned it; 0: never limited */
+    double share_per_s;   /* this entry's share, requests per second */
+    int64_t share_at_us;  /* when the share was last computed */
     GwBucket tokens;
 } GwServerLimit;
 
@@ -287,15 +286,14 @@
 
 /* choose.c */
 typedef struct {
-    GwServer *server;    /* NULL: no server can take the request */
-    bool has_free_slot;  /* a slot is free there now */
-    bool in_time;        /* the answer is expected within the objective */
-    bool prefers_remote; /* the best server is in another region */
-    bool is_placement;   /* the server is a placement of the object */
-    double est_us;       /* expected time to the answer */
-    double wait_us;      /* part of it until a slot is free */
-    int64_t
-        last_slot_us; /* a run that starts later may not end before a stop */
+    GwServer *server;     /* NULL: no server can take the request */
+    bool has_free_slot;   /* a slot is free there now */
+    bool in_time;         /* the answer is expected within the objective */
+    bool prefers_remote;  /* the best server is in another region */
+    bool is_placement;    /* the server is a placement of the object */
+    double est_us;        /* expected time to the answer */
+    double wait_us;       /* part of it until a slot is free */
+    int64_t last_slot_us; /* a later run may not end before a stop */
 } GwChoice;
 
 GwChoice GwRouter_Choose(GwRouter *r, int64_t now_us, GwRequest *req);
--- a/lib/router/servers.c
+++ b/lib/router/servers.c
@@ -4,12 +4,12 @@
 #include <math.h>
 #include <string.h>
 
-/* Range in which a run time, relative to the mean, counts: one answer that
- * hung for seconds must not exclude a server for minutes. */
+/* Bounds applied to a run time relative to the mean: a single answer that took
+ * many seconds must not exclude a server for minutes. */
 #define SLOWDOWN_MIN 0.5
 #define SLOWDOWN_MAX 16.0
-/* Time constant of the mean of slots in use: long against a request, short
- * against load waves. */
+/* Time constant of the mean of slots in use: longer than a request, shorter
+ * than the usual changes of load. */
 #define UTILIZATION_TAU_US 1500000.0
 
 /* Decay of a route's longest run time per further run. */
@@ -59,12 +59,12 @@
 static void
 free_server(GwRouter *r, GwServer *s, GArray *actions)
 {
-    GwRouterAction forget = {.kind = GW_ROUTER_DROP_SERVER, .server = s};
+    GwRouterAction drop = {.kind = GW_ROUTER_DROP_SERVER, .server = s};
 
     /* The host needs the pointer to release its connections; the memory is
      * freed at the start of the next call. */
     if (actions != NULL && s->user != NULL) {
-        g_array_append_val(actions, forget);
+        g_array_append_val(actions, drop);
     }
     GwRouter_RemovePlacements(r, s);
     g_hash_table_remove(r->by_hash, GUINT_TO_POINTER(GwServer_Hash(s)));
@@ -318,9 +318,9 @@
     GwServer *s = req->server;
     double took =
         (double)(now_us - req->sent_us - end->connect_us) - s->path->rtt_us;
-    double faded = req->state->longest_run_us * (1 - LONGEST_RUN_DECAY);
+    double decayed = req->state->longest_run_us * (1 - LONGEST_RUN_DECAY);
 
-    req->state->longest_run_us = MAX(faded, took);
+    req->state->longest_run_us = MAX(decayed, took);
     if (took < 1000.0 || !req->sent_to_free_slot) {
         return;
     }
@@ -329,7 +329,7 @@
     double ratio = took / *mean;
     double seen = CLAMP(ratio, SLOWDOWN_MIN, SLOWDOWN_MAX);
     s->slowdown += 0.2 * (seen - s->slowdown);
-    /* A slow server is no measure of the work itself. */
+    /* A run at a slow server doesn't measure the work of the route. */
     if (ratio < 2.0) {
         *mean += GW_MEAN_WEIGHT * (took - *mean);
     }
@@ -367,8 +367,9 @@
         }
         break;
     case GW_ATTEMPT_REFUSED:
-        /* The server is full although it seemed to have capacity: a short
-         * pause. */
+        /* The server is full although it seemed to have capacity: it is
+         * ejected for a short time. If another server uses the address, for
+         * longer. */
         s->eject_until_us =
             now_us + (end->other_server ? GW_EJECT_MAX_US : GW_EJECT_US / 4);
         break;
--- a/lib/router/stop.c
+++ b/lib/router/stop.c
@@ -1,11 +1,11 @@
 /* Graceful stop of the entry: which requests may still be sent.
  *
  * The process exits at a set time and closes the connections of its callers. A
- * request that a server still runs then ends without an answer, and nobody can
- * tell whether it ran. So once a stop has begun, each request is sent only if
- * its run can end in the remaining time, whether it is new, waiting or
- * retried. A request that can't has not run and is refused at once, so that
- * the caller can retry at another entry. */
+ * request that a server still runs then ends without an answer, and its caller
+ * can't know whether it ran. So once a stop has begun, each request is sent
+ * only if its run can end in the remaining time, whether it is new, waiting or
+ * retried. Any other request is refused at once without being run, so that the
+ * caller can retry at another entry. */
 #include "router/router_internal.h"
 
 /* Upper bound of a run relative to earlier cold runs of its route: servers
@@ -43,9 +43,10 @@
            req->give_up_us <= r->end_us - ANSWER_DELAY_US;
 }
 
-/* The longest time that a server may be given. It counts from the start of the
- * run and bounds the time in the server's queue too, whatever this entry knows
- * of the server's slots. */
+/* The longest time limit to send to a server. The limit counts from the start
+ * of the run and also bounds the time in the server's queue, whatever this
+ * entry knows of the server's slots; so each gets half of the remaining
+ * time. */
 static int64_t
 server_time_us(const GwRouter *r, int64_t now_us)
 {
@@ -53,9 +54,9 @@
 }
 
 /* Time to allow for a run. For an idempotent request, the expected run time at
- * that server: if the run takes longer, the server's answer that the time is
- * over lets the caller retry. A request that may run only once would be lost
- * by that, so the longest recent run is assumed, and a cold object. */
+ * that server: if the run takes longer, the server answers that the time is
+ * over, and the caller can retry. A request that may run only once can't be
+ * retried, so the longest recent run and an uncached object are assumed. */
 static double
 allowed_run_us(const GwRequest *req, const GwServer *s, double run_us)
 {
@@ -84,8 +85,8 @@
     return r->end_us - ANSWER_DELAY_US - (int64_t)after_us;
 }
 
-/* The server answers when this time is over, so that even a run longer than
- * any before ends with an answer, and before the entry exits. */
+/* The server answers when this time is over, so that even a run that takes
+ * longer than all earlier ones gets an answer before the entry exits. */
 int64_t
 GwRouter_ServerUntil(const GwRouter *r, int64_t now_us, const GwRequest *req)
 {
--- a/lib/router/waiting.c
+++ b/lib/router/waiting.c
@@ -5,9 +5,8 @@
 /* Bounds the passes over all waiting requests to this many server evaluations
  * per us, a tenth of what a tenth of a core can do (bench_router_cost). */
 #define EVALUATIONS_PER_US 0.5
-/* Of the requests that any server with capacity would do for, at most this
- * many are evaluated when one gets capacity; the first mostly takes the
- * slot. */
+/* Maximum number of requests without a placement that are evaluated when a
+ * server gets capacity; mostly, the first of them takes the slot. */
 #define UNBOUND_EVALUATIONS_MAX 2
 
 void
@@ -34,7 +33,7 @@
     GwServiceState *service;
     GArray *actions;
     bool is_full;           /* evaluates all requests */
-    const GwServer *free;   /* has got capacity; or NULL */
+    const GwServer *free;   /* server that got capacity; or NULL */
     uint32_t unbound_count; /* evaluated requests without a placement */
 } Pass;
 
@@ -72,7 +71,7 @@
         else if (req->is_late == late) {
             GwServer_Reserve(req->awaited_server);
         }
-        /* A request that was placed has left the array. */
+        /* A request that was sent or refused is no longer in the array. */
         if (i < waiting->len && waiting->pdata[i] == req) {
             i++;
         }
