--- a/lib/router/arrivals.c
+++ b/lib/router/arrivals.c
@@ -63,8 +63,8 @@
 /* Time that the caller has spent on earlier tries. A refused caller retries
  * with less time left than callers of the route state at first, and its
  * objective counts from the first try. The time stated at first is taken to be
- * the longest seen, decaying: a single caller with a long time must not make
- * all others look late for good. */
+ * the longest seen, decaying: a single caller with a long time must not
+ * make all later callers count as late forever. */
 static int64_t
 spent_earlier_us(GwRouteState *state, int64_t left_us)
 {
--- a/lib/router/quarantine.c
+++ b/lib/router/quarantine.c
@@ -112,9 +112,9 @@
     return most;
 }
 
-/* Returns whether this request explains its crashes best: it has more of them
- * than any other request that ran there, or as many and one crash beyond the
- * threshold. */
+/* Returns whether this request explains its crashes best: at
+ * GW_QUARANTINE_CRASHES of them, all other requests that ran there have fewer
+ * crashes in total, or, at one crash more than that, none of them has more. */
 static bool
 is_cause(const GwQuarantine *q, const GwSuspectRecord *rec)
 {
--- a/lib/router/requests.c
+++ b/lib/router/requests.c
@@ -277,7 +277,7 @@
 }
 
 /* Removed servers may be referred to by actions that the host has not carried
- * out yet: it may call the router while carrying them out. */
+ * out yet: the host may call the router while it carries out actions. */
 void
 GwRouter_FreeRemoved(GwRouter *r, const GArray *actions)
 {
--- a/lib/router/router.h
+++ b/lib/router/router.h
@@ -1,5 +1,5 @@
 /* The steering core of one entry: decides which backend server runs a request
- * and when, and what the caller receives when no server does.
+ * and when, and the status that the caller receives if no server runs it.
  *
  * A GwRouter does no I/O and reads no clock. The host reports events with
  * their time, and carries out the actions that are appended:
@@ -223,7 +223,7 @@
 bool GwRouter_WantsFingerprints(const GwRouter *r);
 void GwRouter_ProbeEnded(GwRouter *r, int64_t now_us, GwServer *s,
                          GwProbeResult result, GArray *actions);
-/* Starts a request. It may have ended when this returns (REPLY). */
+/* Starts a request. The request may end during the call (GW_ROUTER_REPLY). */
 void GwRouter_Arrive(GwRouter *r, int64_t now_us, const GwArrival *arrival,
                      GArray *actions);
 void GwRouter_AttemptEnded(GwRouter *r, int64_t now_us, GwRequest *req,
@@ -260,7 +260,7 @@
     GW_ROUTER_PROBE, /* connect to `server`, then call GwRouter_ProbeEnded */
     GW_ROUTER_DROP_SERVER,  /* drop the host's state of the removed `server` */
     GW_ROUTER_LOG_EJECTED,  /* log that `server` is ejected for left_ms */
-    GW_ROUTER_LOG_RECOVERED /* log that `server` answers without errors again */
+    GW_ROUTER_LOG_RECOVERED /* log that `server` runs without errors again */
 } GwRouterActionKind;
 
 typedef enum {
--- a/lib/router/router_internal.h
+++ b/lib/router/router_internal.h
@@ -236,8 +236,9 @@
 
 /* servers.c */
 GwServiceState *GwRouter_FindOrAddService(GwRouter *r, const char *name);
-/* Slots in use or about to be: requests in flight, where those sent across
- * regions count by the part of their time that they spend in a slot. */
+/* Number of slots in use or about to be used: the requests in flight, where a
+ * request sent across regions counts as the part of its time that it spends in
+ * a slot. */
 double GwServer_SlotsInUse(const GwRouter *r, const GwServer *s);
 double GwServer_Load(const GwRouter *r, const GwServer *s, int64_t now_us);
 bool GwServer_IsCold(const GwServer *s, int64_t now_us);
@@ -262,7 +263,8 @@
 void GwServer_SpendLimit(GwServer *s, int64_t now_us);
 /* Returns a limited server that has sent no answer for long although this
  * entry's share allows a request: that request would show whether the limit
- * still holds. NULL if there is none or the last search was a moment ago. */
+ * is still in force. NULL if there is no such server or the last search was a
+ * moment ago. */
 GwServer *GwRouter_FindStaleLimited(GwRouter *r, int64_t now_us,
                                     GwServiceState *service);
 void GwRouter_LearnLimit(GwRouter *r, int64_t now_us, GwServer *s,
@@ -292,7 +294,7 @@
     bool prefers_remote;  /* the best server is in another region */
     bool is_placement;    /* the server is a placement of the object */
     double est_us;        /* expected time to the answer */
-    double wait_us;       /* part of it until a slot is free */
+    double wait_us;       /* part of est_us until a slot is free */
     int64_t last_slot_us; /* a later run may not end before a stop */
 } GwChoice;
 
--- a/lib/router/waiting.c
+++ b/lib/router/waiting.c
@@ -1,4 +1,4 @@
-/* The queue of requests that wait for a server, and the choice of those to
+/* The queue of requests that wait for a server. Chooses the requests to
  * evaluate again after an event. */
 #include "router/router_internal.h"
 
