--- a/lib/edge/aggregate.c
+++ b/lib/edge/aggregate.c
@@ -1,16 +1,16 @@
 /* Chooses the entry that aggregates the loads of a failure domain, and
  * which loads each peer is sent (load_sum.h gives the reason). While
- * entries are few, each reports its loads to each.
+ * entries are few, each entry reports its loads to all others.
  *
  *     entry -> aggregator of its domain: its own requests in flight
  *     aggregator -> aggregators of other domains: the sum over its domain
- *     aggregator -> entries that report to it: the sum over all others, by
- *                   region
+ *     aggregator -> entries that report to it: the sum over all entries except
+ *                   the receiver, by region
  *
  * Each entry chooses for itself: the first reachable entry of the failure
  * domain in the order of GwEntryRank_IsBefore. Two aggregators may be active
- * for a short time, with half of the loads each; no guarantee depends on
- * there being only one. */
+ * for a short time, each with a part of the loads; no guarantee depends on
+ * having a single aggregator. */
 #include "edge/peers_internal.h"
 
 #include <string.h>
@@ -261,8 +261,8 @@
                            count);
 }
 
-/* Accepts the sum only from the aggregator to which this entry reports: two
- * active aggregators hold only a part of the loads each. */
+/* Accepts the sum only from the aggregator to which this entry reports: while
+ * two aggregators are active, each has only a part of the loads. */
 void
 GwPeers_ApplyAllSum(GwPeers *peers, GwPeerEntry *peer,
                     const Gw__Peer__SumChange *change)
--- a/lib/edge/bootstrap.h
+++ b/lib/edge/bootstrap.h
@@ -1,8 +1,8 @@
 /* Bootstrap state sent to a new entry: peer addresses and warm placements.
  *
- * When all entries start together, each is new to each. Sending everything
- * to every new entry cost 40 MB in the first seconds with 68 entries, and
- * bytes between failure domains are paid for. */
+ * When all entries start together, each is new to all others. Sending the
+ * whole state to every new entry cost 40 MB in the first seconds with 68
+ * entries, and bytes between failure domains are paid for. */
 #ifndef GW_EDGE_BOOTSTRAP_H
 #define GW_EDGE_BOOTSTRAP_H
 
@@ -10,8 +10,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Entries of a region that send warm placements to a new entry: one would
- * do, but a single sender may be lost. */
+/* Entries of a region that send warm placements to a new entry: more than one,
+ * since a single sender may fail. */
 #define GW_BOOTSTRAP_SENDERS 2
 
 /* Whether to send the known addresses to a new entry. An entry that read
@@ -42,9 +42,9 @@
  * entry at once: the aggregator and the next in rank. */
 #define GW_NOTIFIED_REMOTE 2
 
-/* Chooses the peers that a new entry notifies at once: all of its region,
- * and few of other regions, which may learn of it later. Sets `notified`
- * for each row. */
+/* Chooses the peers that a new entry notifies at once: all of its region, and
+ * GW_NOTIFIED_REMOTE per failure domain of other regions, whose other entries
+ * may learn of the new entry later. Sets `notified` for each row. */
 void GwBootstrap_ChooseNotified(const char *region, const GArray *rows,
                                 bool *notified);
 
--- a/lib/edge/callers.c
+++ b/lib/edge/callers.c
@@ -10,7 +10,7 @@
  * reads its answers. */
 #define PIPELINE_MAX 32
 /* Retry-After of a 503 sent because the budget for bodies is used up. */
-#define NO_ROOM_RETRY_MS 1000
+#define OVER_BUDGET_RETRY_MS 1000
 static void
 free_exchange(GwExchange *x)
 {
@@ -22,8 +22,8 @@
     g_free(x);
 }
 
-/* Logs the end of a request that has no answer yet. A request queued behind
- * others on its connection would otherwise leave no log line. */
+/* Logs the end of a request that has no answer yet. Otherwise there would be
+ * no log line for a request queued behind others on its connection. */
 static void
 log_open_exchange(const GwExchange *x, GwRequestEnd end)
 {
@@ -270,7 +270,8 @@
     if (x == NULL && caller->error_status != 0) {
         GString *out = g_string_new(NULL);
         write_reply(out, caller->error_status,
-                    caller->error_status == 503 ? NO_ROOM_RETRY_MS : 0, true);
+                    caller->error_status == 503 ? OVER_BUDGET_RETRY_MS : 0,
+                    true);
         GwConn_Write(caller->conn, out);
         g_string_free(out, TRUE);
         close = true;
@@ -362,7 +363,7 @@
 /* Dropping a request is correct only after an answer with "Connection: close":
  * the caller then knows that no later request was run, and resends it. An
  * idle_ms above a few milliseconds means that no such answer preceded the
- * request, so the caller can't tell whether it ran. */
+ * request, so the caller can't know whether it ran. */
 static void
 on_dropped(void *host, const GwConnDropped *dropped)
 {
--- a/lib/edge/edge.c
+++ b/lib/edge/edge.c
@@ -63,9 +63,9 @@
                 GwFeed_AgeMs(x->edge->server_feed, GwEdge_Now()), more);
 }
 
-/* Logs one line per request: its id, the versions and ages of the data that
- * decided about it, and the outcome. The line of an answered request is short,
- * because these lines are most of the log's volume. */
+/* Logs one line per request: its id, the versions and ages of the data used to
+ * route it, and the outcome. The line of an answered request is short, because
+ * these lines are most of the log's volume. */
 void
 GwEdge_LogRequestEnd(const GwExchange *x, GwRequestEnd end, uint16_t status,
                      GwReplyReason why,
@@ -152,7 +152,7 @@
         break;
     case GW_ROUTER_SEND:
         /* From the configuration that admitted the request, which may be newer
-         * than the one at its arrival. */
+         * than the configuration at its arrival. */
         x->idempotent = act->idempotent;
         GwServerLink_Send(x, act->server, act->left_ms);
         break;
@@ -174,7 +174,7 @@
         GwServerLink_Probe(edge, act->server);
         break;
     case GW_ROUTER_DROP_SERVER:
-        GwServerLink_Forget(edge, act->server);
+        GwServerLink_DropServer(edge, act->server);
         break;
     case GW_ROUTER_LOG_EJECTED:
         GwLog_Event(GW_LOG_BACKEND_EJECTED, "server=%s for_ms=%u",
@@ -190,7 +190,8 @@
 /* libuv runs timers before it polls sockets. After a long turn an answer or
  * the end of a connection that arrived before the deadline may still be
  * unread, so deadlines are evaluated only after a poll. This also guarantees
- * that sockets are read when handling one deadline takes until the next. */
+ * that sockets are read even if the next deadline is always due by the time
+ * that one is handled. */
 static void
 on_deadline(uv_timer_t *timer)
 {
@@ -302,8 +303,8 @@
 
 /* ---- Start and shutdown -------------------------------------------------- */
 
-/* Each line stands for more than GW_TURN_LONG_US of work, which bounds their
- * rate. */
+/* Logs a long turn. A line is logged only after a turn of more than
+ * GW_TURN_LONG_US, which bounds the rate of these lines. */
 static void
 on_long_turn(void *ctx, int64_t turn_us)
 {
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -111,7 +111,7 @@
 /* Called at each sweep during a graceful stop. */
 void GwEdge_ContinueStop(GwEdge *edge, int64_t now_us);
 /* Begins the graceful stop if a stop signal was received. Called also before
- * each step that may start a request, because the loop may get to the signal
+ * each step that may start a request, because the loop may handle the signal
  * seconds after its arrival. Appends actions that the calling function must
  * run. */
 void GwEdge_CheckStopSignal(GwEdge *edge);
@@ -157,7 +157,7 @@
 /* Connects to check that the server is alive, and reports the result to the
  * router. */
 void GwServerLink_Probe(GwEdge *edge, GwServer *s);
-void GwServerLink_Forget(GwEdge *edge, GwServer *s);
+void GwServerLink_DropServer(GwEdge *edge, GwServer *s);
 /* Ends the attempts whose connections are not established yet. */
 void GwServerLink_AbortConnecting(GwEdge *edge);
 void GwServerLink_CloseAll(GwEdge *edge);
@@ -165,9 +165,9 @@
 
 /* feed.c */
 void GwFeed_Close(GwFeed *feed);
-/* `is_news` filters the changes that count as updates; NULL: all of them. */
+/* `is_update` selects the changes that are sent to peers; NULL: all. */
 GwFeed *GwFeed_Create(GwEdge *edge, const char *table, GwRowChanged changed,
-                      GwRowIsUpdate is_news);
+                      GwRowIsUpdate is_update);
 void GwFeed_Free(GwFeed *feed);
 void GwFeed_Sweep(GwFeed *feed, int64_t now_us);
 /* Selects whether this entry reads the table from the store or relies on
@@ -178,9 +178,9 @@
 /* Whether this entry recently saw an outage of the store during which no peer
  * could read it either. */
 bool GwFeed_HadOutage(const GwFeed *feed, int64_t now_us);
-/* Handles a peer's report; `saw_away`: the peer observed an outage of the
+/* Handles a peer's report; `saw_outage`: the peer observed an outage of the
  * store. */
-void GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_away);
+void GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_outage);
 uint64_t GwFeed_Version(const GwFeed *feed);
 /* Time since the last answer about the table, from the store or a peer. */
 int64_t GwFeed_AgeMs(const GwFeed *feed, int64_t now_us);
@@ -190,8 +190,8 @@
 /* Reads the missing rows from the store, once: for rows too large to be
  * exchanged between peers. */
 void GwFeed_ReadFromStore(GwFeed *feed, uint64_t version);
-/* Whether such a read may be tried: the store has not failed one recently, and
- * this entry does not read the table from the store anyway. */
+/* Whether GwFeed_ReadFromStore may be called: no such read failed recently,
+ * and this entry does not read the table from the store anyway. */
 bool GwFeed_MayReadFromStore(const GwFeed *feed);
 /* Approximate size of the rows, in bytes, that a peer with that version
  * lacks. */
@@ -238,10 +238,10 @@
 /* Makes the next reports to the region go out soon, after updates from the
  * store. */
 void GwPeers_ExpediteRegion(GwPeers *peers);
-/* The same for peers in this failure domain. */
+/* As GwPeers_ExpediteRegion, for peers of this failure domain. */
 void GwPeers_ExpediteDomain(GwPeers *peers);
 /* Whether this entry is one of the few that write the row of that name. All
- * entries agree on them by a hash of the name. */
+ * entries choose the same writers by a hash of the name. */
 bool GwPeers_IsWriterOf(const GwPeers *peers, uint64_t name);
 /* Distance class of the traffic with the peer at that address. */
 GwDistance GwPeers_DistanceTo(const GwPeers *peers, const char *address);
--- a/lib/edge/feed.c
+++ b/lib/edge/feed.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Pause between an answer and the next poll: changes come in bursts, and one
- * poll then returns them all. */
+/* Pause between an answer and the next poll: changes come in bursts, and a
+ * poll after the pause returns the whole burst. */
 #define POLL_PAUSE_US 300000
 /* The store counts as unavailable after this time without an answer: rows may
  * have expired meanwhile. */
@@ -17,14 +17,14 @@
 
 GwFeed *
 GwFeed_Create(GwEdge *edge, const char *table, GwRowChanged changed,
-              GwRowIsUpdate is_news)
+              GwRowIsUpdate is_update)
 {
     GwFeed *feed = g_new0(GwFeed, 1);
 
     feed->edge = edge;
     feed->table = g_strdup(table);
     feed->cache = GwRowCache_Create(changed, edge);
-    GwRowCache_SetIsUpdate(feed->cache, is_news);
+    GwRowCache_SetIsUpdate(feed->cache, is_update);
     feed->phase = PHASE_READ;
     feed->retry_ms = GW_POLL_RETRY_MIN_MS;
     feed->answered_us = GwEdge_Now();
@@ -121,9 +121,9 @@
 }
 
 /* A row that expired while the store was unavailable is written again by its
- * owner, if that is alive, within two seconds of the store's return, so
- * deleted rows may come back. Sets a grace period for them, unless some entry
- * could read the store all the time. */
+ * owner, if the owner is alive, within two seconds after the store is
+ * available again. Sets a grace period for the removal of rows, unless some
+ * entry could read the store all the time. */
 static bool
 set_grace_after_outage(GwFeed *feed, int64_t now_us, bool failed,
                        bool polls_succeed)
@@ -142,12 +142,12 @@
 }
 
 void
-GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_away)
+GwFeed_NotePeerReport(GwFeed *feed, int64_t now_us, bool saw_outage)
 {
     bool polls_succeed =
         GwFeed_IsHealthy(feed) && !GwFeed_HadOutage(feed, now_us);
 
-    (void)set_grace_after_outage(feed, now_us, saw_away, polls_succeed);
+    (void)set_grace_after_outage(feed, now_us, saw_outage, polls_succeed);
 }
 
 static void
--- a/lib/edge/feed_internal.h
+++ b/lib/edge/feed_internal.h
@@ -27,13 +27,13 @@
     Phase phase;
     bool reads; /* this entry reads the table from the store */
     bool known; /* the table was read once, from the store or a peer */
-    /* At most one read at a time, from a peer or a single one from the
-     * store. */
-    bool peer_full;     /* reads the whole table */
-    bool peer_is_store; /* reads from the store */
+    /* Fetch of missing rows from a peer, or once from the store; at most one
+     * at a time. */
+    bool peer_full;     /* fetches the whole table */
+    bool peer_is_store; /* fetches from the store */
     GwConn *peer;
     int64_t peer_sent_us;
-    int64_t store_failed_us; /* last time such a read failed; 0: never */
+    int64_t store_failed_us; /* last failed fetch from the store; 0: never */
     char peer_address[64];
 };
 
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -7,10 +7,10 @@
 /* A copy that was not refreshed for this long is read again in full:
  * tombstones of removed rows may have expired. */
 #define STALE_US 60000000
-/* Maximum time without a byte from a peer before another one is tried: a
- * round trip between two regions and the peer's processing. Time since the
- * last byte counts, not the whole transfer: on a link of 10 Mbit/s a row of
- * 300 KB that four peers read at once takes a second. */
+/* Maximum time without a byte from a peer before another peer is tried: a
+ * round trip between two regions and the peer's processing. The time of the
+ * whole transfer can be longer: on a link of 10 Mbit/s a row of 300 KB that
+ * four peers read at once takes a second. */
 #define PEER_ANSWER_MS 600
 /* Maximum time of the whole transfer, which bounds the delay by a peer that
  * sends very slowly. */
--- a/lib/edge/fetch_tree.h
+++ b/lib/edge/fetch_tree.h
@@ -1,8 +1,9 @@
 /* Chooses the entry from which missing rows are fetched.
  *
- * All entries learn of changed rows from the entry that reads the store. If
- * all fetched from that entry, it would send the same rows once per entry,
- * mostly to other failure domains, where bytes are paid for. So the entries
+ * All entries learn of changed rows by reports from the entry that reads the
+ * store. If all entries fetched from that entry, it would send the same rows
+ * once per entry, mostly to other failure domains, and bytes between failure
+ * domains are paid for. So the entries
  * of a failure domain form a tree by rank: the root fetches from any entry
  * that has the rows, every other entry fetches from its parent. */
 #ifndef GW_EDGE_FETCH_TREE_H
@@ -19,12 +20,12 @@
 /* How long to wait for the parent, which may be unreachable, before
  * fetching from any entry: three steps of a report and an answer. */
 #define GW_FETCH_WAIT_US 800000
-/* The same for an entry that has no rows yet and accepts no callers until
- * then. */
+/* As GW_FETCH_WAIT_US, for an entry that has no rows yet and accepts no
+ * callers until it has them. */
 #define GW_FETCH_START_WAIT_US 200000
 #define GW_FETCH_OUTSIDE       UINT32_MAX
 
-/* What ranks an entry for duties that load its instance. */
+/* Properties by which entries are ranked for duties that load the instance. */
 typedef struct {
     const char *name;
     uint32_t link_kbps;
@@ -33,9 +34,9 @@
 
 /* The order of the tree, of the store readers of a region and of
  * aggregators: the larger link first, then the larger processor, then by a
- * hash of the names. Ordered by the hash alone, an instance of 10 Mbit/s
- * served four others beside its own callers while instances of 200 Mbit/s
- * served none. */
+ * hash of the names. With an order by the hash alone, an instance of 10 Mbit/s
+ * served four other entries beside its own callers while instances of
+ * 200 Mbit/s served none. */
 bool GwEntryRank_IsBefore(const GwEntryRank *a, const GwEntryRank *b);
 
 /* Rows are read from the store directly if a copy would occupy a peer's
--- a/lib/edge/gossip.c
+++ b/lib/edge/gossip.c
@@ -2,8 +2,8 @@
 
 #include <glib.h>
 
-/* A change is passed on for this long; later, peers that lack it get it
- * with a page. */
+/* A change is forwarded for this long; later, peers that lack the change
+ * receive it with a page. */
 #define CHANGE_LIFE_US 500000
 /* Checksums may differ while a change is still propagating. */
 #define CHECKSUM_SETTLE_US 1000000
--- a/lib/edge/load_sum.h
+++ b/lib/edge/load_sum.h
@@ -2,10 +2,10 @@
  *
  * Entries that share servers must know each other's loads within a tenth of
  * a second: with loads that were 0.6 to 3 s old, 67 entries kept the
- * servers' queues full and answered half of what they could in time.
- * Reports from each to each would need one report per pair, which no small
+ * servers' queues full and answered half of the possible requests in time.
+ * Direct reports would need one report per pair of entries, which no small
  * instance can carry. So one entry of each failure domain aggregates the
- * loads of the others and sends them the sums over all entries
+ * loads of the other entries and sends them the sums over all entries
  * (docs/PLATFORM.md, "Who tells whom"). */
 #ifndef GW_EDGE_LOAD_SUM_H
 #define GW_EDGE_LOAD_SUM_H
@@ -33,9 +33,9 @@
 /* Minimum period of reports with loads. */
 #define GW_SUM_PERIOD_MIN_MS 50
 
-/* Period of load reports of `bytes` bytes to one entry, in ms: they take
- * 3 % of its link, which leaves the rest to callers, unless that needs a
- * period below GW_SUM_PERIOD_MIN_MS or above 1 s. */
+/* Returns the period in ms of load reports of `bytes` bytes to one entry. The
+ * reports take 3 % of the entry's link, which leaves the rest to callers,
+ * unless that needs a period below GW_SUM_PERIOD_MIN_MS or above 1 s. */
 uint32_t GwLoadSum_PeriodMs(uint32_t bytes, uint32_t link_kbps);
 
 #endif
--- a/lib/edge/meters.h
+++ b/lib/edge/meters.h
@@ -17,7 +17,7 @@
 } GwRequestEnd;
 
 const char *GwRequestEnd_Name(GwRequestEnd end);
-/* The end of a request that the entry itself answers with that status. */
+/* Returns the end of a request that the entry itself answers with `status`. */
 GwRequestEnd GwRequestEnd_OfReply(uint16_t status);
 
 typedef struct GwMeters_s GwMeters;
--- a/lib/edge/peers_internal.h
+++ b/lib/edge/peers_internal.h
@@ -12,7 +12,7 @@
 /* Maximum addresses in a directory answer, and in the bootstrap state sent
  * to a new entry. */
 #define GW_KNOWN_ADDRESSES_MAX 64
-/* Of one report. */
+/* Maximum size of a report. */
 #define GW_REPORT_MAX_BYTES 16384
 
 /* Which loads a report carries. The values are sent on the wire. */
@@ -46,8 +46,8 @@
     bool saw_outage;   /* reports a recent store outage */
     bool has_reported; /* has sent at least one report */
     int64_t last_report_us;
-    uint32_t next_ms; /* time until its next report, as announced */
-    int64_t sent_us;
+    uint32_t next_ms;    /* time to its next report, as it announced */
+    int64_t sent_us;     /* last report, or start of the first period */
     uint32_t sent_count; /* reports sent to the peer */
     uint32_t sent_bytes; /* size of the last report sent */
     bool is_urgent;      /* send the next report at the next tick */
@@ -82,7 +82,7 @@
     uint64_t seq;
     double period_scale; /* factor on all periods; bounds the report rate */
     uint32_t new_live; /* peers that became live since the periods were set */
-    double unseen_period_scale; /* the same, for peers that never reported */
+    double unseen_period_scale; /* factor for peers that never reported */
     uint32_t address_requests;  /* sent since address_requests_us */
     int64_t address_requests_us;
     int64_t tables_seen_us; /* first report of a peer with tables; 0: none */
@@ -155,7 +155,7 @@
 /* aggregate.c */
 /* Chooses the aggregators among the current peers. */
 void GwPeers_ChooseAggregators(GwPeers *peers, int64_t now_us);
-/* Which loads the next report to the peer carries. */
+/* Returns the loads that the next report to the peer carries. */
 GwLoadScope GwPeers_LoadScopeFor(const GwPeers *peers,
                                  const GwPeerEntry *peer);
 /* Whether this entry counts the loads that the peer reports. */
@@ -192,13 +192,13 @@
 void GwPeers_MakeBacklog(GwPeers *peers, GwPeerEntry *peer);
 
 /* gossip_peers.c */
-/* Sends what changed since the last call to a few random peers at the next
+/* Sends the changes since the last call to a few random peers at the next
  * tick. */
 void GwPeers_GossipChanges(GwPeers *peers, GwGossipKind kind, int64_t now_us,
                            int64_t changed_us);
 
 /* suspects.c */
-/* Of one report. */
+/* Maximum suspects in a report. */
 #define GW_SUSPECTS_MAX 64
 typedef struct {
     GwSuspect known[GW_SUSPECTS_MAX];
@@ -215,6 +215,7 @@
 void GwPeers_GossipSuspects(GwPeers *peers, int64_t now_us);
 
 /* limits.c */
+/* Maximum limits in a report. */
 #define GW_LIMITS_MAX 256
 typedef struct {
     GwLimit known[GW_LIMITS_MAX];
--- a/lib/edge/readers.c
+++ b/lib/edge/readers.c
@@ -1,23 +1,24 @@
 /* Chooses the entries that read the store. Calls to the store are paid for
  * and rate limited, and all entries would read the same rows. One entry per
- * region polls; the others learn of changes from reports and fetch the rows
- * from a peer. */
+ * region polls; the other entries receive reports of the changed versions and
+ * fetch the rows from a peer. */
 #include "edge/peers_internal.h"
 
 #include <string.h>
 
 /* With fewer other readers than this, every entry reads: the store may have
- * rejected the readers, or they may be unreachable. */
+ * rejected the readers, or the readers may be unreachable. */
 #define OTHER_READERS_MIN 2
 /* A reader counts for this long after its last report, which is shorter
- * than the time after which it is dead: changes must arrive within 2.5 s
- * even if all readers stop at once, while needless reading costs one call. */
+ * than the time after which a peer counts as dead: changes must arrive within
+ * 2.5 s even if all readers stop at once, while a needless read costs only one
+ * call. */
 #define READER_PERIODS 2.4
 #define READER_MIN_US  1200000
 /* A new entry fetches its tables from a peer, which costs no call: it waits
  * SEEK_US for a report of a peer that has them, and PEER_ROWS_US for the
- * rows. When all entries start together no peer has them, and each reads
- * the store, as callers are waiting. */
+ * rows. When all entries start together no peer has the tables, and each entry
+ * reads the store, as callers are waiting. */
 #define SEEK_US      150000
 #define PEER_ROWS_US 700000
 /* At the first start of the whole system, callers come later: the first
--- a/lib/edge/reports.c
+++ b/lib/edge/reports.c
@@ -1,13 +1,14 @@
 /* Sends reports to other entries, one datagram each.
  *
- * A report is complete and repeated, so a lost one delays its content by
- * one period and has no other effect. Entries that share backend servers
- * need each other's loads and placements soon; all others only need the
- * sender's liveness. While entries are few, each reports to each. Above
- * that, loads go through aggregators (aggregate.c), and the periods of all
- * other reports grow with the number of entries, which bounds the reports
- * that an entry sends per second. Bytes between failure domains are paid
- * for, so names and addresses are sent only in some reports. */
+ * Each report is complete and the next one repeats it, so the loss of a report
+ * delays its content by one period and has no other effect. Entries that share
+ * backend servers need each other's loads and placements soon; all other
+ * entries only need the sender's liveness. While entries are few, each entry
+ * reports to all others. With more entries, loads go through aggregators
+ * (aggregate.c), and the periods of all other reports grow with the number of
+ * entries, which bounds the reports that an entry sends per second. Bytes
+ * between failure domains are paid for, so names and addresses are sent only
+ * in some reports. */
 #include "edge/peers_internal.h"
 
 #include "wire/peer.pb-c.h"
@@ -20,11 +21,12 @@
 #define REGION_PERIOD_MS 100
 #define REMOTE_PERIOD_MS 250
 /* Maximum reports that an entry sends per second; 12 entries need 72. With
- * aggregated loads, reports to all others carry liveness only. */
+ * aggregated loads, all reports except those to and from aggregators carry
+ * liveness only. */
 #define REPORTS_PER_S  80.0
 #define LIVENESS_PER_S 40.0
-/* Periods of an aggregator's reports to those of other failure domains in
- * the region and in other regions, where bytes are paid for. */
+/* Periods of an aggregator's reports to the aggregators of other failure
+ * domains, in the region and in other regions, where bytes are paid for. */
 #define SUM_REGION_MS GW_SUM_PERIOD_MIN_MS
 #define SUM_REMOTE_MS 500
 /* Periods are recomputed after this many new live peers. */
@@ -284,8 +286,8 @@
         len - loads - placements - suspects;
 }
 
-/* Whether to request addresses. Few peers are asked at a time, as each
- * answers with all addresses that it knows. */
+/* Whether to request addresses from the peer. Only a few requests are sent per
+ * interval, as each peer answers with all addresses that it knows. */
 static bool
 needs_addresses(GwPeers *peers)
 {
--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -22,7 +22,7 @@
     }
 }
 
-/* Rejects reordered datagrams and those of a process that has since
+/* Rejects reordered datagrams, and datagrams that a process sent before it
  * restarted. */
 static bool
 is_newer(const GwPeerEntry *peer, const Report *report)
@@ -94,8 +94,9 @@
     }
 }
 
-/* With aggregated loads, only an aggregator counts directly received loads:
- * elsewhere the same requests would count twice, once more within the sum. */
+/* With aggregated loads, only an aggregator counts loads that a peer reports
+ * for itself: other entries receive them within the sum and would count them
+ * twice. */
 static void
 apply_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
 {
@@ -155,7 +156,8 @@
 
 /* Whether to answer a new or restarted peer at once. Peers of other regions
  * wait for the next periodic report, unless this entry aggregates loads:
- * when hundreds of entries start together, each would answer each. */
+ * when hundreds of entries start together, every entry would answer all
+ * others. */
 static bool
 answers_at_once(const GwPeers *peers, const GwPeerEntry *peer, bool was_live,
                 const Report *report)
--- a/lib/edge/server_links.c
+++ b/lib/edge/server_links.c
@@ -12,11 +12,12 @@
  * the server's close. */
 #define IDLE_MARGIN_MS 700
 /* A non-idempotent request reuses only a connection with traffic within this
- * time: a middlebox may have dropped the state of an older one, and then it is
- * unknown whether the request ran. A new connection costs about 1 ms. */
+ * time: a middlebox may have dropped the state of a connection that was idle
+ * for longer, and then the entry can't know whether the request ran. A new
+ * connection costs about 1 ms. */
 #define NON_IDEMPOTENT_IDLE_MS 1500
-/* Connect time-outs for servers in the same region and in others; they leave
- * time beyond the round trip. */
+/* Connect time-outs for servers in the same region and in other regions;
+ * longer than the round trip. */
 #define CONNECT_SAME_REGION_MS  300
 #define CONNECT_OTHER_REGION_MS 500
 /* TCP_USER_TIMEOUT: with data unacknowledged for this long, the server or the
@@ -118,7 +119,7 @@
 }
 
 /* Returns a connection to the pool without having sent anything on it, so its
- * idle time goes on. */
+ * idle time continues to count. */
 static void
 return_unsent(GwServerLink *link)
 {
@@ -501,7 +502,7 @@
 }
 
 void
-GwServerLink_Forget(GwEdge *edge, GwServer *s)
+GwServerLink_DropServer(GwEdge *edge, GwServer *s)
 {
     GwPool *pool = *GwServer_User(s);
 
@@ -543,8 +544,9 @@
 
 /* Aborts connects that take too long: a machine without power sends no reply.
  * A connection established while the loop was busy is noticed only at the next
- * poll, so time is counted up to the last poll. Measured by the clock alone,
- * an entry that is behind would take all servers for failed. */
+ * poll, so time is counted up to the last poll. If the time were
+ * counted up to now, all connects would time out at an entry whose loop is
+ * behind. */
 static void
 sweep_connecting(GwEdge *edge)
 {
--- a/lib/edge/settings.c
+++ b/lib/edge/settings.c
@@ -7,9 +7,9 @@
 #include <string.h>
 
 #define DURATION_MAX_MS 3600000
-/* Directory answers expire after this time: short enough for callers to leave
- * a stopped entry soon, and long enough for each to ask at most once in two
- * seconds. */
+/* Directory answers expire after this time: short enough for callers to stop
+ * using a stopped entry soon, and long enough for each caller to send at most
+ * one directory request in two seconds. */
 #define LOOKUP_TTL_MS 2000
 #define ROW_GRACE_MS  2000
 #define ENTRIES_MAX   16
--- a/lib/edge/settings.h
+++ b/lib/edge/settings.h
@@ -23,7 +23,7 @@
     uint32_t grace_ms;   /* from the stop signal to the exit */
     uint32_t lookup_ttl_ms;
     bool first_start; /* first start of the whole system, without callers */
-    uint32_t row_grace_ms; /* time for expired rows to come back */
+    uint32_t row_grace_ms; /* time for owners to write expired rows again */
     char log_level[8];
 } GwEdgeSettings;
 
--- a/lib/edge/stop.c
+++ b/lib/edge/stop.c
@@ -9,8 +9,8 @@
  * a reserve for a busy processor and for the delivery of the last answers. */
 #define END_PART 0.9
 /* Number of polls before the loop ends: one to accept connections and one to
- * read their requests. If the process was stalled until then, these requests
- * still have to be refused. */
+ * read their requests, which still have to be refused if the process was
+ * stalled until then. */
 #define END_POLLS 2
 
 /* Flushes the log here: closing takes time, and the process may be killed
@@ -52,8 +52,7 @@
 }
 
 /* Refuses the requests that wait for a slot or for a connection to their
- * server: nothing of them was sent, so callers can be assured that they did
- * not run. */
+ * server: no byte of them was sent, so they are known not to have run. */
 static void
 on_grace_end(uv_timer_t *timer)
 {
--- a/lib/edge/stop_signal.h
+++ b/lib/edge/stop_signal.h
@@ -1,13 +1,13 @@
 /* The stop signal and its time of arrival. The loop handles a signal only at
- * the end of its turn, but the platform's grace period starts with the signal
- * itself. */
+ * the end of a turn, but the platform's grace period begins when it sends the
+ * signal. */
 #ifndef GW_EDGE_STOP_SIGNAL_H
 #define GW_EDGE_STOP_SIGNAL_H
 
 #include <uv.h>
 
-/* Handler of SIGTERM and SIGINT; at most one per process. `notify` is called on
- * the loop for each signal. */
+/* Handler of SIGTERM and SIGINT; at most one per process. `notify` is called
+ * on the loop for each signal. */
 typedef struct {
     uv_async_t wake;
     void (*notify)(void *owner);
--- a/lib/edge/sum_change.c
+++ b/lib/edge/sum_change.c
@@ -354,7 +354,7 @@
 struct GwSumCopy_s {
     GwSumAck ack;
     GPtrArray *regions; /* names */
-    GArray *cells;      /* Copied */
+    GArray *cells;      /* CopyCell, by number */
     GArray *own;        /* numbers of cells whose `own` is not zero */
     GwSumCallback set;
     void *ctx;
--- a/lib/edge/sum_change.h
+++ b/lib/edge/sum_change.h
@@ -2,12 +2,12 @@
  * as changes (deltas).
  *
  * The sender numbers its counters ("cells": one per server and region of
- * the requests' senders) in order of creation and stores when each last
- * changed. A receiver acknowledges what it has (GwSumAck) and is sent all
- * cells changed since then, with absolute counts, and the names of cells
- * that it does not know. So lost changes are sent again, late or repeated
- * ones are ignored, and a receiver with an unknown base is sent everything:
- * no wrong count outlasts one message delay. */
+ * the requests' senders) in order of creation and stores when each cell last
+ * changed. A receiver acknowledges its state (GwSumAck) and is sent all cells
+ * changed since then, with absolute counts, and the names of cells that it
+ * does not know. So lost changes are sent again, late or repeated changes are
+ * ignored, and a receiver with an unknown state is sent all cells: no wrong
+ * count outlasts one message delay. */
 #ifndef GW_EDGE_SUM_CHANGE_H
 #define GW_EDGE_SUM_CHANGE_H
 
@@ -21,7 +21,7 @@
     uint32_t cells; /* cells known by name */
 } GwSumAck;
 
-/* Maximum cells named in one change; the rest is named in later changes. */
+/* Maximum cells named in one change; later changes name the other cells. */
 #define GW_SUM_NAMED_MAX 1000
 /* Maximum cells of a sender. Above it, cells are renumbered without those
  * of removed servers. */
@@ -65,7 +65,7 @@
 /* Does not call `set`. */
 void GwSumCopy_Free(GwSumCopy *copy);
 /* Returns false, with no effect, for a change that does not build on the
- * current state; the sender learns from the ack what to send. */
+ * current state; the sender finds the missing cells by the next ack. */
 bool GwSumCopy_Apply(GwSumCopy *copy, const Gw__Peer__SumChange *change);
 GwSumAck GwSumCopy_Ack(const GwSumCopy *copy);
 /* Appends the requests in flight from all regions as GwPeerLoad. */
--- a/lib/edge/suspects.c
+++ b/lib/edge/suspects.c
@@ -106,8 +106,8 @@
     }
 }
 
-/* Entries that write the same row: one would do, but a single writer may be
- * lost. */
+/* Entries that write the same row: more than one, since a single writer may
+ * fail. */
 #define WRITERS 2
 
 bool
--- a/lib/edge/turns.h
+++ b/lib/edge/turns.h
@@ -26,8 +26,8 @@
 void GwTurns_Close(GwTurns *turns);
 GwTurnsView GwTurns_View(const GwTurns *turns);
 /* Start of the last poll plus its idle time, in us of uv_hrtime: the poll has
- * seen all input that arrived before this time. Later input is unread, however
- * old it is. */
+ * seen all input that arrived before this time. Input that arrived later is
+ * still unread. */
 int64_t GwTurns_PolledUntil(const GwTurns *turns);
 
 #endif
