--- a/lib/http/conn.h
+++ b/lib/http/conn.h
@@ -27,7 +27,7 @@
 /* Callbacks are never made from within a call of this module. `ended`
  * is called at most once, and never after the owner closed the
  * connection. After GW_CONN_MALFORMED the owner can still write and must
- * close the connection; after all other ends it is released. */
+ * close the connection; after all other ends the connection is released. */
 typedef struct {
     void (*connected)(void *owner);
     void (*message)(void *owner, GwHttpMessage *msg); /* takes ownership */
--- a/lib/http/listener.h
+++ b/lib/http/listener.h
@@ -1,4 +1,4 @@
-/* A minimal HTTP server: each complete request is passed to the owner, who
+/* A minimal HTTP server: each complete request is passed to the owner, which
  * responds immediately or later. Pipelining is not supported: responses are
  * sent in the order in which the owner writes them. */
 #ifndef GW_HTTP_LISTENER_H
--- a/lib/http/parser.c
+++ b/lib/http/parser.c
@@ -319,7 +319,8 @@
 
 /* Derived from `msg` and not from a flag set per read, because a message may
  * start after another one in the same read: such a connection would be closed
- * as idle with half a request. Empty lines between messages start none. */
+ * as idle with half a request. Empty lines between messages don't count as the
+ * start of a message. */
 bool
 GwHttpParser_IsInMessage(const GwHttpParser *p)
 {
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -27,10 +27,10 @@
     uint32_t objective_ms; /* latency objective */
     uint32_t priority;     /* 0 is the highest */
     uint32_t attempts_max; /* backend servers tried per request */
-    uint32_t part_count;
+    uint32_t part_count;   /* services in the traffic split */
     GwRouteDestination *parts;
     uint32_t home_count; /* 0: all regions are allowed */
-    char **homes;        /* regions that may receive the request */
+    char **homes;        /* allowed regions of backend servers */
 } GwRoute;
 
 typedef struct {
@@ -77,7 +77,8 @@
 void GwRouting_Unref(GwRouting *r);
 /* Sorts hosts and routes for binary search; must be called once, after the
  * last host, route and service is set. With 2,000 routes a lookup takes
- * 0.15 us instead of 5.9 us by linear search, and each request makes two. */
+ * 0.15 us instead of 5.9 us by linear search; each request needs two
+ * lookups. */
 void GwRouting_Seal(GwRouting *r);
 /* Returns the route with the longest matching prefix, or NULL. `host` may
  * include a port, `path` a query. */
--- a/lib/store/outage.h
+++ b/lib/store/outage.h
@@ -11,7 +11,7 @@
 typedef struct {
     bool failed;        /* polls of this entry, or of a peer by its report */
     bool polls_succeed; /* this entry polls, without any failure */
-    uint32_t healthy_peers; /* peers that report the same */
+    uint32_t healthy_peers; /* peers that report the same as polls_succeed */
 } GwStoreHealth;
 
 /* Returns whether the store was unavailable to all entries. Rows of live
--- a/lib/store/rows.c
+++ b/lib/store/rows.c
@@ -3,7 +3,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Must be longer than the lag of any peer, or that peer restores the row. */
+/* Must be longer than a peer's copy can lag behind, or the peer's older copy
+ * restores the row. */
 #define TOMBSTONE_LIFE_US 120000000
 
 /* A row that is absent from the store since `version` and is removed here at
@@ -21,7 +22,7 @@
     int64_t grace_until_us;
     int64_t grace_us;
     GwRowChanged changed;
-    GwRowIsUpdate is_update; /* NULL: all changes are */
+    GwRowIsUpdate is_update; /* NULL: all changes are updates */
     void *ctx;
 };
 
