--- a/lib/edge/control.c
+++ b/lib/edge/control.c
@@ -73,12 +73,12 @@
     GwFeed *const feeds[] = {edge->operator_feed, edge->server_feed};
     GwHttpResponse answer = {.status = 404, .body = "{}"};
     GByteArray *rows = NULL;
-    GwRowsRequest ask;
+    GwRowsRequest request;
 
-    if (GwRowsRequest_ReadTarget(target, &ask)) {
+    if (GwRowsRequest_ReadTarget(target, &request)) {
         for (size_t i = 0; i < G_N_ELEMENTS(feeds) && answer.status == 404;
              i++) {
-            rows = GwFeed_AnswerPeer(feeds[i], &ask, &answer.status);
+            rows = GwFeed_AnswerPeer(feeds[i], &request, &answer.status);
         }
     }
     if (rows != NULL) {
--- a/lib/edge/edge_internal.h
+++ b/lib/edge/edge_internal.h
@@ -199,7 +199,7 @@
 /* Answers a peer's read of this entry's copy: 200 with packed rows; 404 for
  * another table or one not read yet; 410 when the peer has to read the whole
  * table. */
-GByteArray *GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsRequest *ask,
+GByteArray *GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsRequest *request,
                               uint16_t *status);
 
 /* router_rows.c */
--- a/lib/edge/feed_peers.c
+++ b/lib/edge/feed_peers.c
@@ -39,17 +39,18 @@
 static void
 request_rows(GwFeed *feed)
 {
-    GwRowsRequest ask = {.after = feed->peer_full ? 0 : GwFeed_Version(feed)};
+    GwRowsRequest request = {.after =
+                                 feed->peer_full ? 0 : GwFeed_Version(feed)};
 
     if (feed->peer_is_store) {
         request_from_store(feed);
         return;
     }
-    if (ask.after > 0) {
-        ask.digest = GwRowCache_Digest(feed->cache);
+    if (request.after > 0) {
+        request.digest = GwRowCache_Digest(feed->cache);
     }
-    g_strlcpy(ask.table, feed->table, sizeof(ask.table));
-    char *target = GwRowsRequest_WriteTarget(&ask);
+    g_strlcpy(request.table, feed->table, sizeof(request.table));
+    char *target = GwRowsRequest_WriteTarget(&request);
     GwConn_WriteGet(feed->peer, target, "peer");
     g_free(target);
 }
@@ -211,23 +212,24 @@
  * is older: when many entries start together, tables are read at many
  * versions. */
 static bool
-has_same_rows(const GwFeed *feed, const GwRowsRequest *ask)
+has_same_rows(const GwFeed *feed, const GwRowsRequest *request)
 {
-    return ask->digest != 0 && ask->digest == GwRowCache_Digest(feed->cache);
+    return request->digest != 0 &&
+           request->digest == GwRowCache_Digest(feed->cache);
 }
 
 GByteArray *
-GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsRequest *ask,
+GwFeed_AnswerPeer(const GwFeed *feed, const GwRowsRequest *request,
                   uint16_t *status)
 {
-    uint64_t after = ask->after;
+    uint64_t after = request->after;
 
     *status = 404;
-    if (strcmp(ask->table, feed->table) != 0 || !feed->known) {
+    if (strcmp(request->table, feed->table) != 0 || !feed->known) {
         return NULL;
     }
     if (after != 0 && !GwRowCache_HasRemovalsAfter(feed->cache, after)) {
-        if (!has_same_rows(feed, ask)) {
+        if (!has_same_rows(feed, request)) {
             *status = 410;
             return NULL;
         }
--- a/lib/edge/load_sum.h
+++ b/lib/edge/load_sum.h
@@ -2,7 +2,8 @@
  *
  * Entries that share servers must know each other's loads within a tenth of
  * a second: with loads that were 0.6 to 3 s old, 67 entries kept the
- * servers' queues full and answered half of the possible requests in time.
+ * servers' queues full and answered in time half as many requests as they
+ * could.
  * Direct reports would need one report per pair of entries, which no small
  * instance can carry. So one entry of each failure domain aggregates the
  * loads of the other entries and sends them the sums over all entries
--- a/lib/edge/meters.c
+++ b/lib/edge/meters.c
@@ -29,7 +29,7 @@
 
 struct GwMeters_s {
     GHashTable *routes; /* name -> RouteMeter */
-    uint64_t whys[GW_REPLY_COUNT];
+    uint64_t reasons[GW_REPLY_COUNT];
 };
 
 const char *
@@ -124,7 +124,7 @@
     (*at)->counts[bucket]++;
     (*at)->sum_ms += took_ms;
     (*at)->count++;
-    meters->whys[why]++;
+    meters->reasons[why]++;
 }
 
 /* Escapes a label value, which may be any text of the operator. */
@@ -183,6 +183,6 @@
     for (int i = GW_REPLY_NONE + 1; i < GW_REPLY_COUNT; i++) {
         g_string_append_printf(
             out, "gw_replies_total{why=\"%s\"} %" PRIu64 "\n",
-            GwReplyReason_Name((GwReplyReason)i), meters->whys[i]);
+            GwReplyReason_Name((GwReplyReason)i), meters->reasons[i]);
     }
 }
--- a/lib/edge/peers_internal.h
+++ b/lib/edge/peers_internal.h
@@ -110,7 +110,9 @@
     GwSumMessage *message; /* reused */
     char aggregator[32];   /* address of this entry's aggregator */
     int64_t sums_received_us;
-    GArray *domain_relays; /* GwPlacement to relay, by origin */
+    /* GwPlacement to relay: received from this failure domain, and from other
+     * failure domains of the region. */
+    GArray *domain_relays;
     GArray *region_relays;
     GArray *loads;      /* reused */
     GArray *placements; /* reused */
--- a/lib/edge/sum_change.c
+++ b/lib/edge/sum_change.c
@@ -390,6 +390,7 @@
     return copy->ack;
 }
 
+/* Passes the cell's count to the callback if the count has changed. */
 static void
 publish(GwSumCopy *copy, uint32_t number)
 {
@@ -416,7 +417,8 @@
     g_ptr_array_set_size(copy->regions, 0);
 }
 
-/* Whether the cell numbers encoded by `gaps` are all below `end`. */
+/* Whether the cell numbers encoded by `gaps` are all below `end`. Each gap is
+ * the count of numbers skipped before the next number. */
 static bool
 numbers_are_below(const uint32_t *gaps, size_t count, uint32_t end)
 {
@@ -431,6 +433,7 @@
     return true;
 }
 
+/* Whether the change contains all cells. */
 static bool
 is_whole(const Gw__Peer__SumChange *change)
 {
--- a/lib/http/conn.c
+++ b/lib/http/conn.c
@@ -92,7 +92,7 @@
 /* Checks the socket itself, where only a read of zero bytes is an orderly end.
  * libuv reports a hang-up after a short read as UV_EOF without reading the
  * socket, also after a reset; a response without a length that was truncated
- * by a reset would be taken for complete. */
+ * by a reset would be treated as complete. */
 static bool
 has_ended_in_order(const GwConn *c)
 {
--- a/lib/http/parser.c
+++ b/lib/http/parser.c
@@ -278,7 +278,7 @@
 GwHttpError
 GwHttpParser_Feed(GwHttpParser *p, const char *data, size_t len)
 {
-    /* http-parser takes a call with zero bytes for the end of the stream. */
+    /* http-parser treats a call with zero bytes as the end of the stream. */
     if (p->error != GW_HTTP_OK || len == 0) {
         return p->error;
     }
--- a/lib/router/rate_owners.c
+++ b/lib/router/rate_owners.c
@@ -4,9 +4,9 @@
  * No entry knows how many requests the others send, so a server's rate is
  * divided among a few rate owners: the first, by a hash, of the serving
  * entries of the server's region, or of all entries if no entry serves in that
- * region. Each entry computes the same owners. A cold server has one owner; a limit is
- * shared by as many owners as can each keep a request ready without exceeding
- * the limit by more than allowed. */
+ * region. Each entry computes the same owners. A cold server has one owner; a
+ * limit is shared by as many owners as can each keep a request ready without
+ * exceeding the limit by more than allowed. */
 #include "router/router_internal.h"
 
 #include <math.h>
