--- a/lib/http/parser.c
+++ b/lib/http/parser.c
@@ -278,7 +278,7 @@
 GwHttpError
 GwHttpParser_Feed(GwHttpParser *p, const char *data, size_t len)
 {
-    /* http-parser takes a call with zero bytes for the end of the stream. */
+    /* http-parser treats a call with zero bytes as the end of the stream. */
     if (p->error != GW_HTTP_OK || len == 0) {
         return p->error;
     }
@@ -319,7 +319,8 @@
 
 /* Derived from `msg` and not from a flag set per read, because a message may
  * start after another one in the same read: such a connection would be closed
- * as idle with half a request. Empty lines between messages start none. */
+ * as idle with half a request. Empty lines between messages don't count as the
+ * start of a message. */
 bool
 GwHttpParser_IsInMessage(const GwHttpParser *p)
 {
