--- a/standins/site/server.c
+++ b/standins/site/server.c
@@ -1,4 +1,4 @@
-#include "http/serve.h"
+#include "http/listener.h"
 #include "standins/site/site.h"
 
 #include <stdlib.h>
