--- a/lib/edge/reports_in.c
+++ b/lib/edge/reports_in.c
@@ -94,9 +94,9 @@
     }
 }
 
-/* With aggregated loads, only an aggregator counts loads that a peer reports
- * for itself: other entries receive them within the sum and would count them
- * twice. */
+/* With aggregated loads, only an aggregator counts the loads in a peer's
+ * report: other entries receive the same requests within the sum over all
+ * entries and would count them twice. */
 static void
 apply_loads(GwPeers *peers, GwPeerEntry *peer, const Report *report)
 {
