--- a/lib/steer/backends.c
+++ b/lib/steer/backends.c
@@ -3,10 +3,10 @@
 #include "steer/steer_internal.h"
 
 /* True while a drain that this entry observed itself is in force: for
- * drain_hint_ttl_ms, since the health endpoint may lag, and then until a
- * later health report says that the server is not draining. If the
- * observation expired by itself, a draining server without a working health
- * endpoint would receive new calls after each expiry. */
+ * drain_hint_ttl_ms, since the health endpoint may lag, and then until a later
+ * health report shows that the server is not draining. If the observation
+ * expired by itself, a draining server without a working health endpoint would
+ * receive new calls after each expiry. */
 static bool
 is_observed_draining(const GwBackendState *b, int64_t now_us)
 {
@@ -46,9 +46,9 @@
            !GwBackend_IsEjected(b, now_us) && b->shed_until_us <= now_us;
 }
 
-/* The server's weight in thousandths. A server that has returned with cold
- * caches is ramped up over GW_SLOW_START_US, so that the entries do not all
- * send to it because it appears idle. */
+/* The server's weight in thousandths. A server that is available again, with
+ * cold caches, is ramped up over GW_SLOW_START_US, so that the entries do not
+ * all send to it because it appears idle. */
 uint32_t
 GwBackend_SlowStartWeight(const GwBackendState *b, int64_t now_us)
 {
@@ -157,9 +157,8 @@
     b->shed_until_us = now_us + GW_MS(wait_ms);
 }
 
-/* Ends expired ejections, sheds and drains; true when the server is
- * available again. A server back from an ejection or a drain starts its
- * slow start here. */
+/* Ends expired ejections, sheds and drains; true when the server is available
+ * again. The slow start after an ejection or a drain begins here. */
 bool
 GwBackend_Tick(GwBackendState *b, int64_t now_us)
 {
@@ -183,7 +182,7 @@
 }
 
 /* Records the end of one attempt. A refusal is not a failure; a cancelled
- * attempt or an exceeded deadline proves nothing about the server. */
+ * attempt or an exceeded deadline is no evidence of a fault of the server. */
 void
 GwBackend_RecordEnd(GwBackendState *b, int64_t now_us, int64_t latency_us,
                     const GwAttemptEvent *end, int64_t drain_ttl_us,
--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -86,10 +86,11 @@
     return false;
 }
 
-/* The member whose digest shows the most idle units. Digests lag, so a peer
- * of this region whose digest shows none is still asked, last: an unneeded
- * request costs one round trip, while a missing one leaves a queue beside
- * idle slots. A peer of another region without idle units is not asked. */
+/* The member whose digest shows the most idle units. Digests lag, so a peer of
+ * this region whose digest shows none is still asked, last: an unneeded
+ * request costs one round trip, while a missing request makes calls wait
+ * although slots are idle. A peer of another region without idle units is not
+ * asked. */
 static const GwMember *
 best_lender(const GwSteer *s, const GwMembers *members,
             const GwAskState *asking, uint32_t regions, uint64_t service,
@@ -325,10 +326,10 @@
     }
 }
 
-/* Whether a waiting call could still run on the loan. A loan that ends
- * before the calls' deadlines cannot be used here, and its lender would
- * count the units as lent for the rest of the term: they would be idle
- * beside a queue. */
+/* Whether a waiting call could still run on the loan. A loan that ends before
+ * the calls' deadlines cannot be used here, and its lender would count the
+ * units as lent for the rest of the term: they would be idle while calls
+ * wait. */
 static bool
 is_wanted(const GwSteer *s, const GwBorrowed *b, const uint32_t *queued)
 {
--- a/lib/steer/grants.c
+++ b/lib/steer/grants.c
@@ -174,10 +174,10 @@
     return percent > 0 && GwRng_Below(&s->rng, 100) < percent;
 }
 
-/* At the destination: whether a relayed call may run on its grant. The
- * grant must have been given by this entry to that peer, be unexpired and
- * have a unit left. The source enforces the same; this check also holds if
- * it does not. */
+/* At the destination: whether a relayed call may run on its grant. The grant
+ * must have been given by this entry to that peer, be unexpired and have a
+ * unit left. The source applies the same limits, but the destination does not
+ * rely on that. */
 bool
 GwSteer_GrantAdmits(const GwSteer *s, int64_t now_us,
                     const GwPickRequest *request)
@@ -446,12 +446,12 @@
 static uint32_t
 count_lent_units(const GwCapState *shift)
 {
-    uint32_t out = 0;
+    uint32_t lent = 0;
 
     for (uint32_t i = 0; i < shift->capacity; i++) {
-        out += shift->units[i].lent_loan != 0;
+        lent += shift->units[i].lent_loan != 0;
     }
-    return out;
+    return lent;
 }
 
 static uint32_t
@@ -473,7 +473,7 @@
 static uint32_t
 warm_allowance(const GwSteer *s, int64_t now_us, GwCapState *shift)
 {
-    int64_t out_milli = (int64_t)count_lent_units(shift) * 1000;
+    int64_t lent_milli = (int64_t)count_lent_units(shift) * 1000;
     int64_t rate =
         (int64_t)s->config->warmup_step * 1000 * count_own_units(shift);
     int64_t age_us = MIN(now_us - shift->level_at_us, GW_MS(60000));
@@ -484,7 +484,7 @@
     rate /= shift->cap;
     int64_t step = rate * age_us / GW_MS(1000);
     int64_t burst = MAX(rate / 8, 1000);
-    int64_t top = out_milli + burst;
+    int64_t top = lent_milli + burst;
     if (shift->level_milli > top) {
         shift->level_milli = MAX(top, shift->level_milli - step);
     }
@@ -495,7 +495,7 @@
 #if GW_MUTANT == 30 /* breaks: grants grow by warmup_step a second at most */
     return GW_UNITS_MAX;
 #endif
-    int64_t left = shift->level_milli - out_milli;
+    int64_t left = shift->level_milli - lent_milli;
     return left > 0 ? (uint32_t)(left / 1000) : 0;
 }
 
@@ -536,7 +536,8 @@
 }
 
 /* At the destination: grants units of the shift to an entry of the source
- * region, no more than the own idle slots can serve after local demand. */
+ * region, no more than this entry's idle slots can serve after local
+ * demand. */
 void
 GwSteer_ReceiveGrantAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
                         const GwMembers *members, const uint32_t *queued,
--- a/lib/steer/loans.c
+++ b/lib/steer/loans.c
@@ -29,7 +29,8 @@
     return NULL;
 }
 
-/* A loan id that no other start of any entry uses. */
+/* A new loan id, different from those of other entries and of earlier starts
+ * of this entry. */
 uint64_t
 GwSteer_NextLoan(GwSteer *s)
 {
@@ -37,7 +38,7 @@
     return s->seq_base + s->loan_seq;
 }
 
-/* Queues a message to a member for the caller to fill in; NULL when the
+/* Queues a message to a member and returns it to be filled in; NULL when the
  * member is not known. */
 GwMessage *
 GwSteer_SendTo(GwSteer *s, const GwMembers *members, GwNodeId to,
@@ -73,8 +74,9 @@
 
 /* The number of own idle units, minus those that local calls wait for and
  * those granted to other regions. All of them may be lent to a peer of the
- * region: a unit returns within one round trip, so a reserve would leave
- * more slots idle beside a queue than it would save waits. */
+ * region: a lent unit can be returned within one round trip, so a reserve
+ * would leave more slots idle while calls of the peer wait than it would save
+ * local calls from waiting. */
 uint32_t
 GwSteer_CountLendable(const GwSteer *s, int64_t now_us,
                       const GwServiceState *service, uint32_t queued)
@@ -94,9 +96,9 @@
     return idle > keep ? idle - keep : 0;
 }
 
-/* The number of units that may be granted to another region: the lendable
- * ones minus a reserve for the next local arrivals, since a grant is out
- * far longer than a loan. */
+/* The number of units that may be granted to another region: the lendable ones
+ * minus a reserve for the next local arrivals, since a grant lasts far longer
+ * than a loan. */
 uint32_t
 GwSteer_CountGrantable(const GwSteer *s, int64_t now_us,
                        const GwServiceState *service, uint32_t queued)
--- a/lib/steer/seat_claim.c
+++ b/lib/steer/seat_claim.c
@@ -35,9 +35,9 @@
 
     for (uint32_t i = 0; i < s->total; i++) {
         const GwSeat *t = &s->seats[i];
-        bool coming =
+        bool is_pending =
             t->state == GW_SEAT_TAKING || t->write.op == GW_SEAT_OP_CLAIM;
-        count += t->state == GW_SEAT_HELD || coming ? 1 : 0;
+        count += t->state == GW_SEAT_HELD || is_pending ? 1 : 0;
     }
     return count;
 }
@@ -70,7 +70,7 @@
 }
 
 /* True when the holder's node runs again under a newer start number. The
- * start named in the row has then exited, since both use one address. */
+ * process named in the row has then exited, since both use one address. */
 static bool
 has_holder_restarted(const GwSeats *s, const GwSeatRow *row,
                      const GwMembers *members)
@@ -144,9 +144,10 @@
     }
 }
 
-/* Reclaims the seat of a start that certainly has exited. A backend server
- * may still run calls of that start, so the claim waits for the hold-off.
- * The holder's own new start claims first; other entries wait longer. */
+/* Reclaims the seat of a process that has certainly exited, because its node
+ * has been restarted. A backend server may still run calls of that process, so
+ * the claim waits for the hold-off. The restarted node claims first; other
+ * entries wait longer. */
 static void
 reclaim_restarted(GwSeats *s, int64_t now_us, uint32_t seat, GwActions *out)
 {
--- a/lib/steer/seat_handover.c
+++ b/lib/steer/seat_handover.c
@@ -76,7 +76,7 @@
 {
     uint32_t held = 0;
     uint32_t last = GW_NONE;
-    uint32_t poor = 0;
+    uint32_t fewest = 0;
 
     for (uint32_t i = 0; i < s->total; i++) {
         GwSeatState state = s->seats[i].state;
@@ -89,8 +89,8 @@
         }
     }
     if (last != GW_NONE && held > GwSeats_FairShare(s, members) &&
-        find_smallest_holder(s, NULL, members, 0, &poor) != NULL &&
-        poor + 2 <= held) {
+        find_smallest_holder(s, NULL, members, 0, &fewest) != NULL &&
+        fewest + 2 <= held) {
         GwSeats_SetState(s, last, GW_SEAT_PARTING, out);
     }
 }
@@ -140,7 +140,7 @@
 {
     GwSeat *t = &s->seats[seat];
     const GwMember *to = NULL;
-    uint32_t poor = 0;
+    uint32_t fewest = 0;
 
     if (t->offer.sent_us != 0 &&
         now_us - t->offer.sent_us < GW_SEAT_RESEND_US) {
@@ -150,7 +150,7 @@
         to = GwMembers_Find(members, t->offer.to[t->offer.peers - 1]);
     }
     if (to == NULL && t->offer.peers < GW_SEAT_PEERS_MAX) {
-        to = find_smallest_holder(s, t, members, seat, &poor);
+        to = find_smallest_holder(s, t, members, seat, &fewest);
         if (to != NULL) {
             t->offer.to[t->offer.peers++] = to->info.id.node;
             t->offer.tries = 0;
@@ -232,9 +232,9 @@
             have < GwSeats_FairShare(s, members));
 }
 
-/* Handles an offer. The reply is sent once the offer is accepted; this
- * process then repeats the write until the row names it or has changed, so
- * the holder need not stay running for it. */
+/* Handles an offer. The reply is sent once the offer is accepted; this process
+ * then repeats the write until the row names it or has changed, so that the
+ * holder may exit before the write succeeds. */
 static void
 receive_offer(GwSeats *s, int64_t now_us, const GwSeatHandover *h,
               const GwMember *from, const GwMembers *members, GwActions *out)
--- a/lib/steer/seats.h
+++ b/lib/steer/seats.h
@@ -32,9 +32,9 @@
  * not handing it over, no reclaim notice is open, and the process is not
  * fenced. */
 bool GwSeats_IsUsable(const GwSeats *s, uint32_t seat);
-/* True while `seat` is being handed over: GwSeats_IsUsable() is already
- * false, and the caller calls GwSeats_Release() once no unit of the seat is
- * in use or on loan. */
+/* True while `seat` is being handed over: GwSeats_IsUsable() is already false,
+ * and steer.c calls GwSeats_Release() once no unit of the seat is in use or on
+ * loan. */
 bool GwSeats_IsParting(const GwSeats *s, uint32_t seat);
 void GwSeats_Release(GwSeats *s, int64_t now_us, uint32_t seat,
                      const GwMembers *members, GwActions *out);
--- a/lib/steer/seats_internal.h
+++ b/lib/steer/seats_internal.h
@@ -25,8 +25,8 @@
 /* Delay of the first read; the member list is known by then. */
 #define GW_SEAT_FIRST_READ_US 1000000LL
 #define GW_SEAT_READ_SOON_US  100000LL /* delay of an early read */
-/* A seat free, or abandoned, for longer than this may be claimed by entries
- * that have their share. */
+/* A seat that has been free, or whose holder has been stopped, for longer than
+ * this may be claimed by entries that already hold their fair share. */
 #define GW_SEAT_UNCLAIMED_US 10000000LL
 /* Longest age of an instance list that shows that a holder has stopped. */
 #define GW_SEAT_LIST_FRESH_US 30000000LL
@@ -84,7 +84,7 @@
     int64_t since_us;        /* when this row version was first seen */
     int64_t notice_us;       /* when our own notice was confirmed; 0 never */
     int64_t restarted_us;    /* holder's restart first seen; 0 never */
-    int64_t stopped_us;      /* holder first found stopped; 0 not */
+    int64_t stopped_us;      /* holder first found stopped; 0: not stopped */
     uint64_t released_claim; /* highest claim number released for good */
     struct {
         GwSeatOp op;
@@ -103,7 +103,7 @@
         uint64_t claim;
         int64_t retry_us;
     } take;
-    int64_t given_us;
+    int64_t given_us; /* when a peer accepted the offer */
 } GwSeat;
 
 struct GwSeats_s {
@@ -117,7 +117,7 @@
     int64_t fence_us;      /* when the last pause was detected */
     int64_t last_event_us; /* last event of any kind; 0 none */
     uint64_t epoch;
-    uint64_t counter;
+    uint64_t counter; /* last request number, part of each token */
     uint32_t failed_reads;
     int64_t next_list_us;
     struct {
--- a/lib/steer/steer_internal.h
+++ b/lib/steer/steer_internal.h
@@ -34,15 +34,20 @@
 #define GW_LATENCY_INITIAL_US GW_MS(10)
 #define GW_ASK_TIMEOUT_US     GW_MS(300)
 #define GW_ASK_PAUSE_US       GW_MS(2)
-#define GW_ASK_SLOTS_MAX      1 /* one busy unit keeps a larger loan out */
-#define GW_LOAN_IDLE_US       0
-#define GW_GRANT_PAUSE_US     GW_MS(100)
-#define GW_GRANT_IDLE_US      GW_MS(500)
-#define GW_TRIED_MAX          16
-#define GW_NO_LENDER_US       GW_MS(1000)
-#define GW_PEER_PAUSE_US      GW_MS(1000)
-#define GW_REMAP_SLACK_US     GW_MS(5000)
-#define GW_RETRY_HINT_MS      1000
+/* Slots per loan. A loan is returned as a whole, so one busy slot would delay
+ * the return of the others. */
+#define GW_ASK_SLOTS_MAX  1
+#define GW_LOAN_IDLE_US   0
+#define GW_GRANT_PAUSE_US GW_MS(100)
+#define GW_GRANT_IDLE_US  GW_MS(500)
+#define GW_TRIED_MAX      16
+/* How long the region counts as having no lender after a search found none. */
+#define GW_NO_LENDER_US  GW_MS(1000)
+#define GW_PEER_PAUSE_US GW_MS(1000)
+/* Longest distribution of a configuration version, see
+ * GwSteer_RemapBlock(). */
+#define GW_REMAP_SLACK_US GW_MS(5000)
+#define GW_RETRY_HINT_MS  1000
 
 /* A slot unit, or a unit of a cap, as seen by this entry. */
 typedef struct {
@@ -160,7 +165,7 @@
     uint32_t cap;
     uint32_t capacity;
     GwSlot *units;
-    int64_t level_milli; /* warm-up: thousandths of units that may be out */
+    int64_t level_milli; /* warm-up: units that may be granted, in 1/1000 */
     int64_t level_at_us;
 } GwCapState;
 
