--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -203,14 +203,15 @@
             GwActions *out)
 {
     const GwLoanGive *give = &msg->u.give;
-    bool asked = give->seq > s->seq_base && give->seq <= s->seq_base + s->seq;
+    bool was_requested =
+        give->seq > s->seq_base && give->seq <= s->seq_base + s->seq;
 
 #if GW_MUTANT == 24 /* breaks: no return while calls run on the loan */
     bool has_loan = false;
 #else
     bool has_loan = GwSteer_FindBorrowed(s, give->loan) != NULL;
 #endif
-    if (asked && !has_loan && give->unit_count > 0) {
+    if (was_requested && !has_loan && give->unit_count > 0) {
         send_return(s, members, msg->from, give->loan, give->unit_count,
                     give->units, out);
     }
@@ -359,23 +360,23 @@
 {
     for (guint i = s->borrowed->len; i-- > 0;) {
         GwBorrowed *b = &g_array_index(s->borrowed, GwBorrowed, i);
-        bool over = b->use_until_us <= now_us;
+        bool expired = b->use_until_us <= now_us;
         bool idle = now_us - b->used_us >= idle_limit_us(s, b);
 #if GW_MUTANT == 27 /* breaks: no return while calls run on the loan */
-        bool busy = over && is_busy(s, b);
+        bool busy = expired && is_busy(s, b);
 #else
         bool busy = is_busy(s, b);
 #endif
         if (busy) {
-            if (over) {
+            if (expired) {
                 GwSteer_DropLoan(s, now_us, b->id);
             }
             continue;
         }
-        if (!over && (!idle || is_wanted(s, b, queued))) {
+        if (!expired && (!idle || is_wanted(s, b, queued))) {
             continue;
         }
-        if (!over) {
+        if (!expired) {
             send_return(s, members, b->peer, b->id, b->unit_count, b->units,
                         out);
         }
--- a/lib/steer/choose.c
+++ b/lib/steer/choose.c
@@ -222,12 +222,12 @@
     }
     for (uint32_t i = 0; i < n; i++) {
         GwBackendState *b = service->backends[i];
-        uint64_t mine = rendezvous_hash(s->params.id.node, b->id);
-        uint32_t above = 0;
+        uint64_t own_hash = rendezvous_hash(s->params.id.node, b->id);
+        uint32_t higher = 0;
         for (uint32_t j = 0; j < n; j++) {
             uint64_t id = service->backends[j]->id;
-            above += rendezvous_hash(s->params.id.node, id) > mine;
+            higher += rendezvous_hash(s->params.id.node, id) > own_hash;
         }
-        b->in_subset = above < want;
+        b->in_subset = higher < want;
     }
 }
--- a/lib/steer/loans.c
+++ b/lib/steer/loans.c
@@ -218,14 +218,14 @@
 }
 
 static bool
-same_units(const GwLent *lent, const GwLoanReturn *back)
+same_units(const GwLent *lent, const GwLoanReturn *returned)
 {
-    if (lent->unit_count != back->unit_count) {
+    if (lent->unit_count != returned->unit_count) {
         return false;
     }
     for (uint32_t i = 0; i < lent->unit_count; i++) {
         const GwUnit *a = &lent->units[i];
-        const GwUnit *b = &back->units[i];
+        const GwUnit *b = &returned->units[i];
         if (a->kind != b->kind || a->owner != b->owner ||
             a->index != b->index) {
             return false;
@@ -240,15 +240,15 @@
 bool
 GwSteer_ReceiveLoanReturn(GwSteer *s, int64_t now_us, const GwMessage *msg)
 {
-    const GwLoanReturn *back = &msg->u.giveback;
+    const GwLoanReturn *returned = &msg->u.giveback;
 
     for (guint i = 0; i < s->lent->len; i++) {
         GwLent *lent = &g_array_index(s->lent, GwLent, i);
-        if (lent->id != back->loan) {
+        if (lent->id != returned->loan) {
             continue;
         }
         if (!GwNodeId_Equal(lent->peer, msg->from) ||
-            !same_units(lent, back)) {
+            !same_units(lent, returned)) {
             return false;
         }
         lent->expires_us = now_us;
@@ -268,11 +268,11 @@
 {
     for (guint i = s->lent->len; i-- > 0;) {
         const GwLent *lent = &g_array_index(s->lent, GwLent, i);
-        bool over = lent->expires_us <= now_us;
+        bool expired = lent->expires_us <= now_us;
 #if GW_MUTANT != 26 /* breaks: a shift unit of a running call stays out */
-        over = over && lent->in_flight == 0;
+        expired = expired && lent->in_flight == 0;
 #endif
-        if (over) {
+        if (expired) {
             s->has_freed_units = true;
             end_lent(s, now_us, i);
         }
--- a/lib/steer/seats.c
+++ b/lib/steer/seats.c
@@ -155,8 +155,8 @@
 {
     for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeat *t = &s->seats[i];
-        bool ours = t->state == GW_SEAT_HELD || t->state == GW_SEAT_PARTING;
-        if (ours && t->contested && t->write.op == GW_SEAT_OP_NONE) {
+        bool is_held = t->state == GW_SEAT_HELD || t->state == GW_SEAT_PARTING;
+        if (is_held && t->contested && t->write.op == GW_SEAT_OP_NONE) {
             GwSeats_Write(s, now_us, i, GW_SEAT_OP_OBJECT, &t->row, out);
         }
     }
