--- a/lib/entry/calls.c
+++ b/lib/entry/calls.c
@@ -169,8 +169,8 @@
 open_call(GwCalls *c, const GwCallsEnv *env, const GwCallEvent *ev,
           uint32_t service)
 {
-    const GwService *conf = &env->config->services[service];
-    int64_t latest_us = env->now_us + max_call_time_us(c, conf);
+    const GwService *service_config = &env->config->services[service];
+    int64_t latest_us = env->now_us + max_call_time_us(c, service_config);
     GwCall *call = g_new0(GwCall, 1);
 
     call->call = ev->call;
@@ -333,8 +333,9 @@
     }
 }
 
-/* Accepts an idempotent call, or one that another region shifted here. The
- * entry there owns the ticket of a shifted call and prevents a second run. */
+/* Accepts an idempotent call, or a call shifted here from another region. The
+ * ticket of a shifted call is owned by an entry of that region, which prevents
+ * a second run. */
 static void
 accept_without_ticket(GwCalls *c, const GwCallsEnv *env, GwCall *call)
 {
@@ -347,8 +348,8 @@
     enqueue_or_refuse(c, env, call);
 }
 
-/* Returns the outcome of a call that is refused for lack of a configuration
- * or service. The call may be a resend of one that another process ran, or
+/* Returns the outcome of a call that is refused for lack of a configuration or
+ * service. The call may be a resend of a call that another process ran, or
  * that this process ran before the service was removed. NOT_RUN would then be
  * wrong, and the caller would repeat the request with a new ticket. */
 static GwOutcome
--- a/lib/entry/calls.h
+++ b/lib/entry/calls.h
@@ -32,8 +32,8 @@
 /* Accepts or refuses a call. Each call ends in exactly one FINISH action, in
  * this step or a later one. */
 void GwCalls_Arrive(GwCalls *c, const GwCallsEnv *env, const GwCallEvent *ev);
-/* Drops a call that is queued or backs off. A running call goes on, so that
- * its outcome is there for a resend, and so does a call that a resend is
+/* Drops a call that is queued or backs off. A running call continues, so that
+ * its outcome can be recorded for a resend; so does a call that a resend is
  * attached to. */
 void GwCalls_CallerDisconnected(GwCalls *c, const GwCallsEnv *env,
                                 uint64_t handle);
@@ -42,7 +42,7 @@
 void GwCalls_EndAttempt(GwCalls *c, const GwCallsEnv *env,
                         const GwAttemptEvent *ev);
 /* Refuses all waiting calls at the start of a graceful stop; running calls
- * go on. `env->leaving` must be true in this and all later steps. */
+ * continue. `env->leaving` must be true in this and all later steps. */
 void GwCalls_RefuseWaiting(GwCalls *c, const GwCallsEnv *env);
 /* Runs due timers (time-outs, hedges, back-offs), expires ticket records and
  * dispatches waiting calls. */
--- a/lib/entry/calls_start.c
+++ b/lib/entry/calls_start.c
@@ -36,7 +36,7 @@
     c->queued[call->service]--;
 }
 
-/* Returns the time an attempt takes at most, by the service's latency
+/* Returns the upper bound of an attempt's duration by the service's latency
  * estimate; 0 without samples.
  *
  * A non-idempotent call started with less time left is likely to end as
--- a/lib/entry/calls_time.c
+++ b/lib/entry/calls_time.c
@@ -126,10 +126,10 @@
     }
 }
 
-/* During a graceful stop the seats go to peers, so no capacity comes free for
- * waiting calls. Kept in the queue they would be refused at their deadlines
- * and delay the stop until then; refused now, their callers can use another
- * entry at once. */
+/* During a graceful stop the seats go to peers, so no capacity becomes free
+ * for waiting calls. If they stayed queued, they would be refused at their
+ * deadlines and delay the stop until then. After a refusal now, their callers
+ * can use another entry at once. */
 void
 GwCalls_RefuseWaiting(GwCalls *c, const GwCallsEnv *env)
 {
--- a/lib/entry/lookup.c
+++ b/lib/entry/lookup.c
@@ -3,8 +3,8 @@
  * An entry lists itself first, since it owns the tickets that it mints. If its
  * load is clearly above the mean of its region, a share of its answers equal
  * to the excess lists the least loaded entry first instead. This moves callers
- * back to an entry that was replaced; otherwise it would stay idle, and the
- * units of its seats would be used only on loan. */
+ * back to an entry that was replaced; otherwise the new entry would stay idle,
+ * and the units of its seats would be used only on loan. */
 #include "entry/node_internal.h"
 
 #include <glib.h>
--- a/lib/entry/node.c
+++ b/lib/entry/node.c
@@ -70,13 +70,13 @@
 }
 
 static GwPiggyback
-make_cargo(GwNode *n, int64_t now_us)
+make_piggyback(GwNode *n, int64_t now_us)
 {
-    GwPiggyback c = {0};
-    c.config_version = n->config == NULL ? 0 : n->config->version;
+    GwPiggyback piggyback = {0};
+    piggyback.config_version = n->config == NULL ? 0 : n->config->version;
     GwSteer_FillHeartbeat(n->steer, now_us, n->params.id, n->seats,
-                          GwCalls_Queued(n->calls), &c);
-    return c;
+                          GwCalls_Queued(n->calls), &piggyback);
+    return piggyback;
 }
 
 static uint32_t
@@ -95,14 +95,15 @@
     GwSeats_Configure(n->seats, find_seat_count(n->config, n->params.region));
     GwSteer_Configure(n->steer, now_us, n->config);
     GwCalls_Configure(n->calls, now_us, n->config);
-    GwPiggyback c = make_cargo(n, now_us);
-    GwMembers_ProbeNow(n->members, now_us, CONFIG_ANNOUNCE_PEERS, &c, out);
+    GwPiggyback piggyback = make_piggyback(n, now_us);
+    GwMembers_ProbeNow(n->members, now_us, CONFIG_ANNOUNCE_PEERS, &piggyback,
+                       out);
     publish(n, now_us, out);
 }
 
 /* Requests loans of slots from peers in the step in which a call starts to
- * wait; left to the next tick, the call would wait half a tick longer on
- * average. */
+ * wait; if the request were left to the next tick, the call would wait half a
+ * tick longer on average. */
 static void
 request_loans(GwNode *n, int64_t now_us, GwActions *out)
 {
@@ -155,8 +156,8 @@
         GwMembers_Tick(n->members, now_us, &none, out);
         return;
     }
-    GwPiggyback c = make_cargo(n, now_us);
-    GwMembers_Tick(n->members, now_us, &c, out);
+    GwPiggyback piggyback = make_piggyback(n, now_us);
+    GwMembers_Tick(n->members, now_us, &piggyback, out);
 }
 
 static void
@@ -188,17 +189,17 @@
 static void
 on_heartbeat(GwNode *n, int64_t now_us, const GwMessage *msg, GwActions *out)
 {
-    const GwHeartbeat *beat = &msg->u.heartbeat;
-    GwPiggyback c = make_cargo(n, now_us);
+    const GwHeartbeat *hb = &msg->u.heartbeat;
+    GwPiggyback c = make_piggyback(n, now_us);
 
     bool changed = GwMembers_Receive(n->members, now_us, msg, &c, out);
-    for (uint32_t i = 0; i < beat->drain_count; i++) {
-        GwSteer_ApplyDrainHint(n->steer, now_us, beat->drains[i].backend,
-                               beat->drains[i].ttl_ms);
+    for (uint32_t i = 0; i < hb->drain_count; i++) {
+        GwSteer_ApplyDrainHint(n->steer, now_us, hb->drains[i].backend,
+                               hb->drains[i].ttl_ms);
     }
     GwSync_NotePeerVersion(n->sync, now_us, msg->from,
-                           find_peer_address(n, msg->from),
-                           beat->config_version, out);
+                           find_peer_address(n, msg->from), hb->config_version,
+                           out);
     if (changed) {
         publish(n, now_us, out);
     }
@@ -253,7 +254,7 @@
     }
     n->leaving = true;
     n->leave_began_us = now_us;
-    GwPiggyback c = make_cargo(n, now_us);
+    GwPiggyback c = make_piggyback(n, now_us);
     GwMembers_AnnounceLeaving(n->members, now_us, &c, out);
     GwSeats_HandOverAll(n->seats, now_us);
     GwCallsEnv env = make_calls_env(n, now_us, out);
--- a/lib/entry/tickets.c
+++ b/lib/entry/tickets.c
@@ -16,8 +16,8 @@
     int64_t keep_us;         /* validity plus retention, from the first use */
     uint64_t last_seq;       /* last minted */
     int64_t refusal_hold_us; /* how long a refusal holds */
-    /* Set when the table is full: until the second time, tickets minted at or
-     * before the first are rejected. */
+    /* Set when the table is full: until rejected_until_us, tickets minted at
+     * or before rejected_minted_ms are rejected. */
     int64_t rejected_minted_ms;
     int64_t rejected_until_us;
     GQueue refused;     /* GwExpiry of refusals, by end of the hold */
@@ -25,8 +25,8 @@
     GQueue expiries;    /* GwExpiry of all records, earliest first */
 };
 
-/* Element of an expiry queue. It may be stale: a record that was dropped and
- * created again expires later than its first element says. */
+/* Element of an expiry queue. May be stale: a record that was dropped and
+ * created again expires later than its first element, and has a second one. */
 typedef struct {
     uint64_t seq;
     int64_t expires_us;
@@ -152,8 +152,8 @@
 #if GW_MUTANT != 18 /* breaks: the table is bounded */
     if (g_hash_table_size(t->by_seq) >= t->capacity ||
         g_queue_get_length(&t->expiries) / 2 >= t->capacity) {
-        /* This refusal can't be recorded either, so all tickets minted until
-         * now are rejected instead. */
+        /* The refusal of this ticket can't be recorded either, so all tickets
+         * minted until now are rejected instead. */
         t->rejected_minted_ms = now_us / US_PER_MS;
         t->rejected_until_us = now_us + t->refusal_hold_us;
         return NULL;
@@ -179,9 +179,10 @@
 }
 
 /* Another send of the ticket may still be in transit: through an entry that
- * has failed since, or on a slow link. If it ran, a caller that got NOT_RUN
- * and repeated the request with a new ticket would have it executed twice. So
- * the refusal holds until every earlier send is past its deadline. */
+ * has failed since, or on a slow link. If that send ran, a request whose
+ * caller got NOT_RUN and repeated it with a new ticket would be executed
+ * twice. So the refusal holds until every earlier send is past its
+ * deadline. */
 void
 GwTickets_Refuse(GwTickets *t, int64_t now_us, GwRecord *record,
                  GwReason reason, uint32_t retry_after_ms)
