--- a/lib/member/digests.c
+++ b/lib/member/digests.c
@@ -20,9 +20,9 @@
     return f;
 }
 
-/* Returns whether digests of this member are stored. In the own region all
- * are. Of each other region only a few are, which suffices to choose an
- * entry there and bounds the memory at hundreds of members. */
+/* Returns whether digests of this member are stored. All are stored in this
+ * node's region. Of each other region only a few are, which suffices to choose
+ * an entry there and bounds the memory at hundreds of members. */
 static bool
 reserve_digest_slot(GwMembers *m, int64_t now_us, const GwRecord *r)
 {
@@ -30,7 +30,7 @@
         return true;
     }
     GwForeignDigests *f = find_foreign_region(m, r->pub.info.region);
-    uint32_t place = GW_FOREIGN_DIGESTS_MAX;
+    uint32_t slot = GW_FOREIGN_DIGESTS_MAX;
 
     for (uint32_t i = 0; f != NULL && i < GW_FOREIGN_DIGESTS_MAX; i++) {
         if (f->nodes[i] == r->pub.info.id.node) {
@@ -39,17 +39,17 @@
         GwRecord *holder = GwMembers_FindRecord(m, f->nodes[i]);
         if (holder == NULL || holder->gossip_state != GW_MEMBER_ALIVE ||
             now_us - holder->digest_us > GW_DIGEST_STALE_US) {
-            place = i;
+            slot = i;
         }
     }
-    if (f == NULL || place == GW_FOREIGN_DIGESTS_MAX) {
+    if (f == NULL || slot == GW_FOREIGN_DIGESTS_MAX) {
         return false;
     }
-    GwRecord *old = GwMembers_FindRecord(m, f->nodes[place]);
+    GwRecord *old = GwMembers_FindRecord(m, f->nodes[slot]);
     if (old != NULL) {
         old->digest_count = 0;
     }
-    f->nodes[place] = r->pub.info.id.node;
+    f->nodes[slot] = r->pub.info.id.node;
     return true;
 }
 
@@ -93,15 +93,15 @@
     r->digest_us = now_us;
 }
 
-/* Adds the own digests, then some stored ones drawn at random. Other
- * regions get fewer, since they send requests to only one or two of our
- * members. */
+/* Adds this node's digests, then some stored ones drawn at random. Members of
+ * other regions get fewer, since a region sends requests to only one or two
+ * members of another. */
 void
 GwMembers_FillDigests(GwMembers *m, const GwRecord *to,
                       const GwPiggyback *piggyback, GwHeartbeat *hb)
 {
-    bool near = to != NULL && to->pub.info.region == m->self.region;
-    uint32_t want = near ? 8 : 2;
+    bool same_region = to != NULL && to->pub.info.region == m->self.region;
+    uint32_t want = same_region ? 8 : 2;
 
     for (uint32_t i = 0; i < piggyback->digest_count && i < GW_DIGESTS_MAX;
          i++) {
--- a/lib/member/gossip.c
+++ b/lib/member/gossip.c
@@ -137,9 +137,9 @@
     for (uint32_t i = 0; i < 4 * GW_UPDATES_MAX && m->visible > 0; i++) {
         const GwRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
-        bool near = r->pub.info.region == to->pub.info.region;
+        bool same_region = r->pub.info.region == to->pub.info.region;
         if (r->gossip_state == GW_MEMBER_ALIVE &&
-            (near || i >= 3 * GW_UPDATES_MAX)) {
+            (same_region || i >= 3 * GW_UPDATES_MAX)) {
             add_update(hb, r);
         }
     }
@@ -195,11 +195,11 @@
 overwrite_record(GwMembers *m, int64_t now_us, GwRecord *r,
                  const GwMemberInfo *u, GwActions *out)
 {
-    GwMemberState shown = r->pub.info.state;
+    GwMemberState visible_state = r->pub.info.state;
     bool restarted = u->id.start != r->pub.info.id.start;
 
     r->pub.info = *u;
-    r->pub.info.state = shown;
+    r->pub.info.state = visible_state;
     if (restarted) {
         GwMembers_Hide(m, r);
         r->listed_leaving = false;
@@ -218,15 +218,15 @@
     GwMembers_QueueUpdate(m, r);
 }
 
-/* Decides whether to apply a claim from a third party that a member is
- * suspect or dead. A member that sent us a message within the suspicion
- * time-out keeps its state and is sent the claim, to refute it. A member
- * heard from longer ago becomes suspect, even if the claim is DEAD, so that
- * it can still refute. Otherwise two regions that reconnect after a
- * partition would spread the states of that time, and a region would
- * consider its own live members dead for a moment. The cost: a member that
- * is really dead is removed one suspicion time-out later. Returns false if
- * the update must not be applied. */
+/* Decides whether to apply a claim from a third party that a member is suspect
+ * or dead. A member that sent us a message within the suspicion time-out keeps
+ * its state and is sent the claim, to refute it. A member whose last message
+ * is older becomes suspect, even if the claim is DEAD, so that it can still
+ * refute. Otherwise two regions that reconnect after a partition would spread
+ * the states from the partition, and a region would consider its own live
+ * members dead for a moment. In return, a member that is really dead is
+ * removed one suspicion time-out later. Returns false if the update must not
+ * be applied. */
 static bool
 accept_indirect_claim(GwMembers *m, int64_t now_us, GwRecord *r,
                       GwMemberInfo *u, const GwPiggyback *piggyback,
--- a/lib/member/member_internal.h
+++ b/lib/member/member_internal.h
@@ -20,10 +20,12 @@
 /* Members of one other region whose digests are stored. */
 #define GW_FOREIGN_DIGESTS_MAX 4
 #define GW_RELAYS_MAX          32
-#define GW_DEAD_VISIBLE_US     (120 * 1000000LL)
-#define GW_TOMBSTONE_US        (3600 * 1000000LL)
-#define GW_HEAL_PERIOD_US      (3 * 1000000LL)
-#define GW_SWEEP_PERIOD_US     (5 * 1000000LL)
+/* Times from death until a member becomes a tombstone, and until its record is
+ * removed. */
+#define GW_DEAD_VISIBLE_US (120 * 1000000LL)
+#define GW_TOMBSTONE_US    (3600 * 1000000LL)
+#define GW_HEAL_PERIOD_US  (3 * 1000000LL)
+#define GW_SWEEP_PERIOD_US (5 * 1000000LL)
 
 typedef struct {
     GwMember pub;               /* the part that other modules see */
@@ -83,7 +85,7 @@
     GQueue leaving_updates[GW_UPDATE_SENDS_MAX];
     GQueue queued_updates[GW_UPDATE_SENDS_MAX];
     GQueue suspicions;
-    GArray *unconfirmed; /* node ids of the own region to probe */
+    GArray *unconfirmed; /* node ids of this region to probe */
     GArray *round;       /* node ids, shuffled */
     uint32_t cursor;
     uint64_t next_seq;
--- a/lib/member/members.c
+++ b/lib/member/members.c
@@ -63,12 +63,12 @@
 }
 
 /* Records a message received directly from a member, which proves that the
- * path from it works. Only a direct message makes a member visible to other
- * modules. A member that is only known as ALIVE through others is a
- * candidate: it is probed and gossiped, but gets no traffic. Otherwise a
- * dead member revived by an old update, or a member that only another
- * region can reach, would get traffic. This delays the first use of a new
- * entry by one probe, about 0.2 s (members.new_entries_are_visible_soon). */
+ * path from that member works. Only a direct message makes a member visible to
+ * other modules. A member that is only known as ALIVE through others is a
+ * candidate: it is probed and gossiped, but gets no traffic. Otherwise a dead
+ * member revived by an old update, or a member that only another region can
+ * reach, would get traffic. This delays the first use of a new entry by one
+ * probe, about 0.2 s (members.new_entries_are_visible_soon). */
 static bool
 note_receipt(GwMembers *m, int64_t now_us, const GwMessage *msg, GwRecord *r,
              GwActions *out)
@@ -153,9 +153,9 @@
 }
 
 /* Applies the list's "leaving" mark at once, for the current start of the
- * member. If the mark is wrong, one entry's share of work goes elsewhere;
- * if a correct mark were ignored, requests would be cut off. A later "live"
- * only withdraws the list's own mark. */
+ * member. If the mark is wrong, one entry's share of work moves to other
+ * entries; if a correct mark were ignored, requests would be cut off. A later
+ * "live" only withdraws the list's own mark. */
 static void
 apply_listed_state(GwMembers *m, int64_t now_us,
                    const GwInstanceListItem *item, GwActions *out)
@@ -206,9 +206,9 @@
     m->self.incarnation++;
     for (uint32_t i = 0; i < m->visible; i++) {
         const GwRecord *r = g_ptr_array_index(m->records, i);
-        bool near = r->pub.info.region == m->self.region;
+        bool same_region = r->pub.info.region == m->self.region;
         if (r->gossip_state == GW_MEMBER_DEAD ||
-            (!near && foreign++ >= GW_LEAVE_FOREIGN_MAX)) {
+            (!same_region && foreign++ >= GW_LEAVE_FOREIGN_MAX)) {
             continue;
         }
         GwMembers_Send(m, GW_MSG_PROBE, r, r->pub.info.id,
@@ -233,8 +233,8 @@
     }
 }
 
-/* Returns the number of visible members: those confirmed by a direct
- * message, including the ones that died in the last minutes. */
+/* Returns the number of visible members: those confirmed by a direct message,
+ * including those declared dead in the last minutes. */
 uint32_t
 GwMembers_Count(const GwMembers *m)
 {
--- a/lib/member/probe.c
+++ b/lib/member/probe.c
@@ -2,7 +2,7 @@
  * healing. */
 #include "member/member_internal.h"
 
-/* Probes of unconfirmed members of the own region per period. */
+/* Probes of unconfirmed members of this node's region per period. */
 #define GW_UNCONFIRMED_PROBES_MAX 4
 
 static int64_t
@@ -11,8 +11,8 @@
     return m->params.probe_period_ms * 1000LL;
 }
 
-/* Appends a message of `kind`; the caller sets its seq. `to` may be NULL if
- * only the address is known. */
+/* Appends a message of `kind`, whose seq is left to be set. `to` may be NULL
+ * if only the address is known. */
 GwHeartbeat *
 GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwRecord *to,
                GwNodeId id, const char *address, const GwPiggyback *piggyback,
@@ -43,9 +43,9 @@
                           to->pub.info.peer_address, piggyback, out);
 }
 
-/* Inserts a member into the current probe round. A member of the own region
- * is probed next, since it gets traffic only after it has answered and
- * traffic stays in the region where possible. */
+/* Inserts a member into the current probe round. A member of this node's
+ * region is probed next, since members get traffic only after they have
+ * answered, and traffic stays in the region where possible. */
 void
 GwMembers_JoinRound(GwMembers *m, const GwRecord *r)
 {
@@ -152,9 +152,9 @@
     GwMembers_SendClaim(m, now_us, r, &claim, piggyback, out);
 }
 
-/* The suspicion time-out. The suspicion must reach its subject and the
- * refutation must come back; by gossip that takes a time that grows with
- * log(n). */
+/* Returns the suspicion time-out. Within that time the claim must reach the
+ * suspected member and the refutation must reach this node; by gossip both
+ * take a time that grows with log(n). */
 static int64_t
 suspicion_timeout_us(const GwMembers *m)
 {
@@ -189,16 +189,16 @@
     }
 }
 
-/* Draws a member for an indirect probe; NULL if the draw is unsuitable.
- * With `near`, only members of the target's region qualify, so that the
+/* Draws a member for an indirect probe; NULL if the draw is unsuitable. With
+ * `same_region`, only members of the target's region qualify, so that the
  * probe crosses between regions twice and not four times. */
 static const GwRecord *
-draw_relay(GwMembers *m, const GwRecord *target, bool near)
+draw_relay(GwMembers *m, const GwRecord *target, bool same_region)
 {
     const GwRecord *r = GwMembers_DrawLive(m);
 
     if (r == NULL || r == target ||
-        (near && r->pub.info.region != target->pub.info.region)) {
+        (same_region && r->pub.info.region != target->pub.info.region)) {
         return NULL;
     }
     return r;
@@ -206,10 +206,10 @@
 
 /* Handles a probe without an ack: repeats it directly and through other
  * members. A single lost message must not make a live member suspect, since
- * traffic moves away until the refutation. Members of the target's region
- * are asked first: a path through a third region would take longer than the
- * rest of the period. The last one may be of any region, for when the own
- * region and the target's cannot reach each other. */
+ * traffic moves away until the refutation. Members of the target's region are
+ * asked first: a path through a third region would take longer than the rest
+ * of the period. The last member asked may be of any region, in case this
+ * node's region and the target's cannot reach each other. */
 static void
 send_indirect_probes(GwMembers *m, const GwPiggyback *piggyback,
                      GwActions *out)
@@ -225,8 +225,8 @@
     send_to(m, GW_MSG_PROBE, target, piggyback, out)->seq = m->probe.seq;
     uint32_t want = MIN(m->params.indirect_probes, G_N_ELEMENTS(asked));
     for (uint32_t draw = 0; draw < 8 * want && count < want; draw++) {
-        bool near = draw < 4 * want && count + 1 < want;
-        const GwRecord *r = draw_relay(m, target, near);
+        bool same_region = draw < 4 * want && count + 1 < want;
+        const GwRecord *r = draw_relay(m, target, same_region);
         for (uint32_t i = 0; r != NULL && i < count; i++) {
             r = asked[i] == r->pub.info.id.node ? NULL : r;
         }
@@ -257,10 +257,10 @@
     send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->probe.seq;
 }
 
-/* Probes unconfirmed members of the own region, a few per period beside the
- * round. In a region of hundreds the round takes minutes, and unconfirmed
- * members get no traffic. A member that does not answer is left to the
- * round. */
+/* Probes unconfirmed members of this node's region, a few per period in
+ * addition to the round. In a region of hundreds of members the round takes
+ * minutes, and unconfirmed members get no traffic. A member that does not
+ * answer is left to the round. */
 static void
 probe_unconfirmed(GwMembers *m, const GwPiggyback *piggyback, GwActions *out)
 {
@@ -363,13 +363,13 @@
 bool
 GwMembers_IsDue(const GwMembers *m, int64_t now_us)
 {
-    bool waits = m->probe.active && !m->probe.acked && !m->probe.indirect;
+    bool awaits_ack = m->probe.active && !m->probe.acked && !m->probe.indirect;
     const GwRecord *oldest =
         m->suspicions.head == NULL ? NULL : m->suspicions.head->data;
 
     return now_us >= m->next_probe_us || now_us >= m->next_heal_us ||
-           (waits && now_us - m->probe.sent_us >=
-                         m->params.probe_timeout_ms * 1000LL) ||
+           (awaits_ack && now_us - m->probe.sent_us >=
+                              m->params.probe_timeout_ms * 1000LL) ||
            (oldest != NULL &&
             now_us - oldest->suspected_us >= suspicion_timeout_us(m));
 }
