--- a/lib/config/change.c
+++ b/lib/config/change.c
@@ -58,11 +58,11 @@
     finish(c, GW_CHANGE_ACCEPTED, version);
 }
 
-/* Starts a refusal, for the reason that is set. A transaction of this
- * request id, from this entry or from one that crashed during the change,
- * may still be on its way to the table and would take effect after the
- * operator got "refused". A void row under the request id makes it fail,
- * since every such transaction requires that row to be absent. */
+/* Starts a refusal, for the reason that is set. A transaction of this request
+ * id, from this entry or from an entry that crashed during the change, may
+ * still be in transit to the table and would take effect after the operator
+ * got "refused". A void row under the request id makes that transaction fail,
+ * since every such transaction requires the row to be absent. */
 static void
 refuse(GwChange *c)
 {
@@ -170,7 +170,7 @@
     finish(c, GW_CHANGE_PENDING, c->head_version);
 }
 
-/* Ends the run by the row of the request id. */
+/* Ends the run with the outcome that the row of the request id records. */
 static void
 handle_op_found(GwChange *c, const char *value)
 {
@@ -362,7 +362,7 @@
 void
 GwChange_Reply(GwChange *c, const GwTableReply *reply)
 {
-    ChangeState asked = c->state;
+    ChangeState requested = c->state;
     const GwRow *row = reply->row_count > 0 && reply->rows[0].version != 0
                            ? &reply->rows[0]
                            : NULL;
@@ -372,17 +372,17 @@
             return;
         }
 #if GW_MUTANT == 63
-        if (asked == CHANGE_WRITE) {
+        if (requested == CHANGE_WRITE) {
             accept(c, c->head_version + 1);
             return;
         }
 #endif
-        if (asked == CHANGE_WRITE || asked == CHANGE_FENCE) {
+        if (requested == CHANGE_WRITE || requested == CHANGE_FENCE) {
             c->state = CHANGE_READ_OP;
         }
         return;
     }
-    switch (asked) {
+    switch (requested) {
     case CHANGE_READ_OP:
         if (row != NULL) {
             handle_op_found(c, row->value);
--- a/lib/config/change.h
+++ b/lib/config/change.h
@@ -13,8 +13,8 @@
  *   late write of that id fail;
  * - pending: neither is known yet, since the table did not answer.
  *
- * The module does no I/O: its user sends the requests to the table and
- * passes the replies back. */
+ * The module does no I/O: the calling code sends the requests to the table
+ * and passes the replies back. */
 #ifndef GW_CONFIG_CHANGE_H
 #define GW_CONFIG_CHANGE_H
 
@@ -42,8 +42,8 @@
 } GwChangeKind;
 
 /* Computes the new document from the one in force. Returns text to be freed
- * with g_free, or NULL with `error` set. Must be deterministic: a run that
- * meets a conflict calls it again. */
+ * with g_free, or NULL with `error` set. Must be deterministic: after a
+ * conflict the function is called again. */
 typedef char *(*GwChangeEditFn)(void *ctx, const char *text, GError **error);
 
 typedef struct {
@@ -51,7 +51,7 @@
     char operator_name[GW_OPERATOR_MAX];
     int64_t when_ms;     /* for the log entry */
     const char *summary; /* for the log entry; borrowed */
-    uint64_t content;    /* hash of the change; tells reuse of a request id */
+    uint64_t content; /* hash of the change; detects reuse of the request id */
     bool has_base;
     uint64_t base_version; /* the change applies to this version only */
     GwChangeKind kind;
--- a/lib/config/change_internal.h
+++ b/lib/config/change_internal.h
@@ -14,7 +14,7 @@
     CHANGE_READ_HEAD,
     CHANGE_READ_DOC,
     CHANGE_WRITE,
-    CHANGE_FENCE,
+    CHANGE_FENCE, /* writes the void row, which makes late writes fail */
     CHANGE_END
 } ChangeState;
 
--- a/lib/config/checks.c
+++ b/lib/config/checks.c
@@ -58,23 +58,23 @@
     return true;
 }
 
-/* Rejects two backend servers of one name in a service, and two uses of one
- * address: the server would get its slots twice. */
+/* Rejects two backend servers of a service with the same name, and two with
+ * the same address: the server would get its slots twice. */
 bool
 GwChecks_Backends(const GwConfig *c, GError **error)
 {
     GHashTable *ids = g_hash_table_new(g_int64_hash, g_int64_equal);
     GHashTable *addresses = g_hash_table_new(g_str_hash, g_str_equal);
-    bool good = true;
-    for (uint32_t i = 0; i < c->backend_count && good; i++) {
-        good = check_backend(c, i, ids, addresses, error);
+    bool is_valid = true;
+    for (uint32_t i = 0; i < c->backend_count && is_valid; i++) {
+        is_valid = check_backend(c, i, ids, addresses, error);
     }
     g_hash_table_destroy(ids);
     g_hash_table_destroy(addresses);
-    return good;
+    return is_valid;
 }
 
-/* Rejects a second region of one name. */
+/* Rejects a region whose name is already used. */
 bool
 GwChecks_Region(GwConfig *c, uint32_t i, const GwReadContext *at,
                 GError **error)
@@ -86,7 +86,7 @@
                        "\"%s\" is already regions[%u]", name, first);
 }
 
-/* Rejects a second service of one name. */
+/* Rejects a service whose name is already used. */
 bool
 GwChecks_Service(GwConfig *c, uint32_t i, const GwReadContext *at,
                  GError **error)
@@ -98,7 +98,7 @@
                        "\"%s\" is already services[%u]", name, first);
 }
 
-/* Rejects a second place of one service in one region. */
+/* Rejects a second place of the same service in the same region. */
 bool
 GwChecks_Place(GwConfig *c, uint32_t i, const GwReadContext *at,
                GError **error)
@@ -149,7 +149,7 @@
                        c->regions[shift->from].name, moved);
 }
 
-/* Rejects a second limit of one link, and a link within a region. */
+/* Rejects a second limit for the same link, and a link within a region. */
 bool
 GwChecks_Link(GwConfig *c, uint32_t i, const GwReadContext *at, GError **error)
 {
--- a/lib/config/fetch.c
+++ b/lib/config/fetch.c
@@ -22,9 +22,9 @@
 
 /* Returns the wait before the next poll. It grows with the number of live
  * entries: an entry that reads a new head announces it to the others, and
- * hundreds of entries polling at the rate of a dozen would use up the
- * table's read capacity. An entry that lost its peers counts few, and polls
- * faster again. */
+ * hundreds of entries polling at the rate of a dozen would use up the table's
+ * read capacity. An entry that has lost its peers counts few live entries, and
+ * polls faster again. */
 static int64_t
 poll_us(GwSync *s)
 {
@@ -45,8 +45,8 @@
     request_row(s, now_us, GW_KEY_HEAD, 0, out);
 }
 
-/* Handles a failed table request: polls and fetches slow down, so that a
- * table in trouble gets less work from each entry, not more. */
+/* Handles a failed table request: polls and fetches slow down, so that an
+ * overloaded table gets fewer requests from each entry, not more. */
 void
 GwSync_TableFailed(GwSync *s, int64_t now_us, GwActions *out)
 {
--- a/lib/config/parse.c
+++ b/lib/config/parse.c
@@ -34,11 +34,11 @@
     if (!GwRead_String(at, "method", sizeof(op->method), op->method, error)) {
         return false;
     }
-    bool good = op->method[0] != '\0';
+    bool is_valid = op->method[0] != '\0';
     for (const char *p = op->method; *p != '\0'; p++) {
-        good = good && g_ascii_isupper(*p);
+        is_valid = is_valid && g_ascii_isupper(*p);
     }
-    return good ||
+    return is_valid ||
            GwRead_Fail(at, "method", GW_RESULT_INVALID, error,
                        "\"%s\" must be upper-case letters", op->method);
 }
@@ -376,9 +376,9 @@
     c->checksum = XXH64(text, len, 0);
     c->text_len = len;
     c->text = g_strndup(text, len);
-    bool good = read_document(c, object, error);
+    bool is_valid = read_document(c, object, error);
     json_object_put(object);
-    if (!good) {
+    if (!is_valid) {
         GwConfig_Free(c);
         return NULL;
     }
--- a/lib/config/reader.c
+++ b/lib/config/reader.c
@@ -56,11 +56,11 @@
  * the offset of the end of the object or of the error. */
 static struct json_object *
 tokenize(const char *text, size_t len, size_t *end,
-         enum json_tokener_error *why)
+         enum json_tokener_error *tokener_error)
 {
     struct json_tokener *tok = json_tokener_new_ex(MAX_DEPTH);
     if (tok == NULL) {
-        *why = json_tokener_error_size;
+        *tokener_error = json_tokener_error_size;
         return NULL;
     }
     char *line = g_malloc(len + 2);
@@ -69,7 +69,7 @@
     json_tokener_set_flags(tok, JSON_TOKENER_VALIDATE_UTF8);
     struct json_object *root =
         json_tokener_parse_ex(tok, line, (int)(len + 1));
-    *why = json_tokener_get_error(tok);
+    *tokener_error = json_tokener_get_error(tok);
     *end = MIN(json_tokener_get_parse_end(tok), len);
     json_tokener_free(tok);
     g_free(line);
@@ -80,13 +80,13 @@
  * offset. */
 static const char *
 find_fault(const char *text, size_t len, struct json_object *root,
-           enum json_tokener_error why, size_t *at)
+           enum json_tokener_error tokener_error, size_t *at)
 {
-    if (why == json_tokener_continue) {
+    if (tokener_error == json_tokener_continue) {
         return "unexpected end of text";
     }
-    if (why != json_tokener_success) {
-        return json_tokener_error_desc(why);
+    if (tokener_error != json_tokener_success) {
+        return json_tokener_error_desc(tokener_error);
     }
     if (!json_object_is_type(root, json_type_object)) {
         *at = 0;
@@ -103,7 +103,7 @@
 struct json_object *
 GwRead_Text(const char *text, size_t len, GError **error)
 {
-    enum json_tokener_error why = json_tokener_success;
+    enum json_tokener_error tokener_error = json_tokener_success;
     size_t at = 0;
     const char *nul = memchr(text, '\0', len);
     if (nul != NULL) {
@@ -112,8 +112,8 @@
                     line_at(text, (size_t)(nul - text)));
         return NULL;
     }
-    struct json_object *root = tokenize(text, len, &at, &why);
-    const char *fault = find_fault(text, len, root, why, &at);
+    struct json_object *root = tokenize(text, len, &at, &tokener_error);
+    const char *fault = find_fault(text, len, root, tokener_error, &at);
     if (fault != NULL) {
         g_set_error(error, GW_ERROR, GW_RESULT_PARSE, "line %u: %s",
                     line_at(text, at), fault);
--- a/lib/config/settings.c
+++ b/lib/config/settings.c
@@ -112,13 +112,13 @@
         known[i] = rows[i].key;
     }
     known[count] = DELAYS_KEY;
-    bool good = GwRead_Keys(at, known, error);
+    bool is_valid = GwRead_Keys(at, known, error);
     g_free(known);
-    return good;
+    return is_valid;
 }
 
-/* Reads the test hook: a map of region names ("" for other failure domains
- * of the own region) to one-way delays in microseconds. */
+/* Reads the test hook: a map of region names ("" for other failure domains of
+ * this region) to one-way delays in microseconds. */
 static bool
 read_delays(GwSettings *s, const GwReadContext *root, GError **error)
 {
@@ -173,8 +173,8 @@
                            "%u is not below seat_holdoff_ms %u", p->fence_ms,
                            p->seat_holdoff_ms);
     }
-    /* A lent unit may be in use until term and margin are over; the
-     * lender's seat must not have a new holder before. */
+    /* A lent unit may be in use until term and margin are over; the lender's
+     * seat must not have a new holder before that. */
     if (p->fence_ms + p->loan_term_ms + p->loan_margin_ms >=
         p->seat_holdoff_ms) {
         return GwRead_Fail(at, "seat_holdoff_ms", GW_RESULT_OUT_OF_BOUNDS,
@@ -211,8 +211,8 @@
     return read_delays(s, root, error) && check_related(s, root, error);
 }
 
-/* Returns NULL if any setting is invalid. The caller sets the nonce of the
- * start, node.id.start. */
+/* Returns NULL if any setting is invalid. The nonce of the start,
+ * node.id.start, is left to be set. */
 GwSettings *
 GwSettings_Parse(const char *text, size_t len, GError **error)
 {
@@ -221,9 +221,9 @@
         return NULL;
     }
     GwSettings *s = g_new0(GwSettings, 1);
-    bool good = read_settings(s, &root, error);
+    bool is_valid = read_settings(s, &root, error);
     json_object_put(root.object);
-    if (!good) {
+    if (!is_valid) {
         GwSettings_Free(s);
         return NULL;
     }
--- a/lib/config/settings.h
+++ b/lib/config/settings.h
@@ -19,7 +19,7 @@
     uint32_t snapshot_every;      /* default 10 versions; 0: none */
     uint32_t delay_count;
     /* Test hook: delay added to frames sent to that region. The item with
-     * region "" applies to other failure domains of the own region. */
+     * region "" applies to other failure domains of this region. */
     struct {
         char region[GW_NAME_MAX];
         uint32_t one_way_us;
--- a/lib/config/settings_table.c
+++ b/lib/config/settings_table.c
@@ -98,7 +98,7 @@
 };
 /* clang-format on */
 
-/* Returns all rows, in the order of the page. */
+/* Returns all rows, in the order of docs/SETTINGS.md. */
 const GwSettingRow *
 GwSettings_Rows(uint32_t *count)
 {
@@ -169,7 +169,7 @@
     "\n"
     "    \"test_delays\": {\"da-nang\": 55000, \"\": 1500}\n";
 
-/* Builds the page docs/SETTINGS.md. */
+/* Builds the text of docs/SETTINGS.md. */
 char *
 GwSettings_Doc(void)
 {
--- a/lib/config/sync.c
+++ b/lib/config/sync.c
@@ -6,7 +6,8 @@
 #include <xxhash.h>
 
 /* Creates a state without a configuration. The first poll is delayed at
- * random, so that entries started together don't read together. */
+ * random, so that entries that start at the same time do not all read at
+ * once. */
 GwSync *
 GwSync_Create(const GwNodeParams *params)
 {
@@ -74,7 +75,7 @@
     return wanted;
 }
 
-/* Updates since when a higher version is known. */
+/* Updates behind_since_us: since when a higher version is known. */
 void
 GwSync_UpdateBehind(GwSync *s, int64_t now_us)
 {
@@ -188,10 +189,10 @@
            now_us - s->behind_since_us <= GW_SYNC_BEHIND_MAX_US;
 }
 
-/* Handles a pause of this process. Meanwhile a server or a place may have
- * been taken out, and the buffers hold heartbeats and answers from before;
- * the node would send new work there until it learns of the change. So it
- * returns to the state after a start, and discards earlier requests. */
+/* Handles a pause of this process. Meanwhile a server or a place may have been
+ * taken out, and the buffers hold heartbeats and answers from before; the node
+ * would send new work there until it receives the change. So it returns to the
+ * state after a start, and discards earlier requests. */
 void
 GwSync_Resume(GwSync *s, int64_t now_us)
 {
--- a/lib/config/sync_internal.h
+++ b/lib/config/sync_internal.h
@@ -15,10 +15,11 @@
 #define GW_SYNC_PEER_TIMEOUT_US  1000000LL /* of a request to a peer */
 #define GW_SYNC_TABLE_TIMEOUT_US 3000000LL /* of a request to the table */
 #define GW_SYNC_SETTLE_US        1000000LL /* wait before peers alone suffice */
-/* Longest service on an older version than known. */
+/* How long an entry may serve with a configuration older than the highest
+ * known version. */
 #define GW_SYNC_BEHIND_MAX_US 10000000LL
-/* Lower bound of the poll period: the first value per live entry, the
- * second at most. */
+/* The poll period is at least GW_SYNC_POLL_PER_ENTRY_US times the number of
+ * live entries; this lower bound is at most GW_SYNC_POLL_SHARED_MAX_US. */
 #define GW_SYNC_POLL_PER_ENTRY_US  15000LL
 #define GW_SYNC_POLL_SHARED_MAX_US 10000000LL
 /* A peer is ignored after this many requests without result, unless a
@@ -28,7 +29,7 @@
 /* Bound on the doublings of the poll period while the table is unavailable. */
 #define GW_SYNC_BACKOFF_MAX 3
 
-/* A peer that named a version above the own one. */
+/* A peer that has announced a version above this node's. */
 typedef struct {
     GwNodeId id;
     char address[GW_ADDR_MAX];
