--- a/lib/blocks/blocks.h
+++ b/lib/blocks/blocks.h
@@ -65,7 +65,7 @@
                                size_t len);
 
 /* Encoders for tools and tests. Blocks may be in any order. In a delta, site
- * GW_SITE_NONE removes the block. The caller frees the result with g_free. */
+ * GW_SITE_NONE removes the block. Free the result with g_free. */
 uint8_t *GwBlocks_EncodeSnapshot(uint64_t version, const GwBlock *blocks,
                                  uint32_t count, size_t *len);
 uint8_t *GwBlocks_EncodeDelta(uint64_t base, uint64_t version,
--- a/lib/common/log.c
+++ b/lib/common/log.c
@@ -149,7 +149,7 @@
 }
 
 /* Applies the rate limit of the event. When lines were suppressed since the
- * last one, logs their number first. The caller holds line_mutex. */
+ * last one, logs their number first. Requires line_mutex. */
 static bool
 is_within_rate(uint32_t event)
 {
--- a/lib/common/log_ring.h
+++ b/lib/common/log_ring.h
@@ -14,7 +14,7 @@
 typedef struct {
     GString *bytes; /* whole lines, oldest first */
     gsize bytes_max;
-    uint64_t dropped; /* lines since the last one that was added */
+    uint64_t dropped; /* lines since the last added one */
     uint64_t dropped_total;
 } GwLogRing;
 
--- a/lib/common/metrics.c
+++ b/lib/common/metrics.c
@@ -85,13 +85,13 @@
     if ((double)rank < exact || rank == 0) {
         rank++;
     }
-    uint64_t seen = 0;
+    uint64_t cumulative = 0;
     uint32_t last = 0;
     for (uint32_t i = 0; i < GW_HIST_BUCKETS; i++) {
         uint64_t n = load_relaxed(&h->buckets[i]);
-        seen += n;
+        cumulative += n;
         last = n != 0 ? i : last;
-        if (seen >= rank) {
+        if (cumulative >= rank) {
             return bucket_top(i);
         }
     }
--- a/lib/common/names.h
+++ b/lib/common/names.h
@@ -1,4 +1,4 @@
-/* Hashes of names, which stand for the names on the wire and in tables. */
+/* Hashes of names, used instead of the names on the wire and in tables. */
 #ifndef GW_COMMON_NAMES_H
 #define GW_COMMON_NAMES_H
 
--- a/lib/wire/codec.h
+++ b/lib/wire/codec.h
@@ -69,8 +69,8 @@
     } u;
 } GwEnvelope;
 
-/* Encodes a whole frame, header included. The caller frees it with g_free. The
- * envelope keeps ownership of its members. */
+/* Encodes a whole frame, header included. Free it with g_free. The envelope
+ * keeps ownership of its members. */
 uint8_t *GwCodec_Frame(const GwEnvelope *envelope, size_t *len);
 /* Decodes the payload of one frame. GW_ERR(PARSE) when it is not a valid
  * envelope, GW_ERR(OUT_OF_BOUNDS) when a bound is exceeded; `out` is then
--- a/lib/wire/codec_internal.h
+++ b/lib/wire/codec_internal.h
@@ -17,8 +17,7 @@
 /* Returns a new message, or NULL and sets *error to GW_ERR(PARSE) or
  * GW_ERR(OUT_OF_BOUNDS). */
 GwMessage *GwCodec_GetControl(const Gw__Inner__Control *from, GwResult *error);
-/* Packs the envelope behind a frame header. The caller frees the frame with
- * g_free. */
+/* Packs the envelope behind a frame header. Free the frame with g_free. */
 uint8_t *GwCodec_PackFrame(const Gw__Inner__Envelope *pb, size_t *len);
 
 #endif
--- a/lib/wire/message.h
+++ b/lib/wire/message.h
@@ -49,7 +49,7 @@
 typedef struct {
     GwNodeId id;
     uint64_t service;    /* hash of the service's name */
-    uint32_t free_slots; /* own idle slots that can be lent */
+    uint32_t free_slots; /* idle slots of the entry that can be lent */
     uint32_t in_flight;
     uint32_t queued;
     uint64_t seq; /* a digest with a larger seq replaces an older one */
@@ -99,7 +99,7 @@
 
 /* Lends units. The lender reserves them for term_ms plus a margin; the
  * borrower uses them for term_ms minus a margin, counted from its request, so
- * that both never use a unit at the same time. */
+ * that they never use a unit at the same time. */
 typedef struct {
     uint64_t seq; /* seq of the GwLoanAsk */
     uint64_t loan;
