--- a/lib/admin/apply.c
+++ b/lib/admin/apply.c
@@ -154,7 +154,7 @@
 
 /* Puts an accepted document in force in this process, which sends it to its
  * peers. The result has no document when an earlier run of the change was
- * accepted; the poll of the table then reads it. */
+ * accepted; the next poll of the table then reads the document. */
 static void
 put_in_force(const GwRpc *rpc, const GwChangeResult *result)
 {
--- a/lib/admin/ctl_read.c
+++ b/lib/admin/ctl_read.c
@@ -1,4 +1,4 @@
-/* Commands that read and change nothing. */
+/* Read-only commands. */
 #include "admin/ctl_internal.h"
 #include "admin/diff.h"
 #include "config/model.h"
--- a/lib/admin/explain.c
+++ b/lib/admin/explain.c
@@ -12,8 +12,8 @@
  * longer than 6 s: a poll of the store returns after that time when nothing
  * has changed. */
 #define SERVER_LIST_STALE_MS 8000
-/* A change of a server is noted at a line of the request that follows within
- * this time. */
+/* A change of a server is added as a note to a line of the request that names
+ * the server and follows within this time. */
 #define SERVER_CHANGE_SHOWN_MS 10000
 
 /* The last change of a server that an entry logged. */
@@ -271,7 +271,8 @@
     }
 }
 
-/* Notes the first newer configuration that was in force elsewhere before. */
+/* Adds a note on the first newer configuration that was already in force at
+ * another entry. */
 static void
 note_newer_version(const GwExplain *ex, Step *step)
 {
@@ -339,7 +340,7 @@
 /* ---- Conclusion ---------------------------------------------------------- */
 
 typedef struct {
-    const char *why;
+    const char *reason;
     const char *text;
 } ReplyReason;
 
@@ -360,10 +361,10 @@
 };
 
 static const char *
-reply_reason_text(const char *why)
+reply_reason_text(const char *reason)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(reply_reasons); i++) {
-        if (strcmp(reply_reasons[i].why, why) == 0) {
+        if (strcmp(reply_reasons[i].reason, reason) == 0) {
             return reply_reasons[i].text;
         }
     }
@@ -375,9 +376,10 @@
 static void
 conclude_reply(const Step *step, GString *out)
 {
-    const char *why = field_text(step->fields, "why");
+    const char *reason = field_text(step->fields, "why");
     int64_t status = field_number(step->fields, "status");
-    bool sent = strcmp(why, "timeout") == 0 || strcmp(why, "broken") == 0;
+    bool sent =
+        strcmp(reason, "timeout") == 0 || strcmp(reason, "broken") == 0;
 
     if (status == 503) {
         g_string_append(out, "not run: ");
@@ -387,7 +389,7 @@
                                   : "unknown: an attempt may have run it; for "
                                     "another, ");
     }
-    g_string_append(out, reply_reason_text(why));
+    g_string_append(out, reply_reason_text(reason));
 }
 
 /* Describes an answer by a server, with the likely causes of its latency. */
@@ -512,8 +514,8 @@
     }
 }
 
-/* Requires that all lines have been added: logs of other entries may be added
- * after the lines of the request. */
+/* Requires that all lines have been added, since logs of other entries may be
+ * added after the lines of the request. */
 static void
 note_newer_versions(GwExplain *ex)
 {
--- a/lib/admin/http.c
+++ b/lib/admin/http.c
@@ -19,7 +19,7 @@
 
 /* Compares in a time that depends only on the header's length: a comparison
  * that stops at the first difference would reveal how many leading bytes of a
- * guessed token are correct. An empty token allows nobody. */
+ * guessed token are correct. An empty token allows no request. */
 bool
 GwAdminHttp_IsAllowed(const char *token, const char *header)
 {
--- a/lib/admin/rpc_internal.h
+++ b/lib/admin/rpc_internal.h
@@ -16,7 +16,7 @@
 /* Packs a message into memory for g_free. */
 void GwRpc_Pack(const ProtobufCMessage *message, GwRpcReply *reply);
 /* Reads one row; *row is NULL when the row is absent. False when the table did
- * not answer. The caller clears the reply in both cases. */
+ * not answer. The reply must be cleared in both cases. */
 bool GwRpc_GetRow(const GwRpc *rpc, const char *key, GwTableReply *reply,
                   GwRow **row);
 
--- a/lib/runtime/answer.h
+++ b/lib/runtime/answer.h
@@ -20,8 +20,8 @@
 GwAnswer *GwAnswer_Ref(GwAnswer *answer);
 void GwAnswer_Unref(GwAnswer *answer);
 
-/* Answers by call and attempt. Has no lock of its own: the caller
- * serializes access. */
+/* Answers by call and attempt. Has no lock of its own; access must be
+ * serialised. */
 typedef struct GwAnswers_s GwAnswers;
 
 /* max_bytes bounds the kept bodies plus a fixed overhead per answer. */
@@ -33,7 +33,8 @@
 bool GwAnswers_Keep(GwAnswers *answers, uint64_t call, uint32_t attempt,
                     GwAnswer *answer, int64_t until_us);
 /* Returns a new reference, or NULL when the answer is not kept: a resend of
- * that call's ticket then gets "unknown", which is correct but weaker. */
+ * that call's ticket then gets "unknown", which is correct but less
+ * specific. */
 GwAnswer *GwAnswers_Get(const GwAnswers *answers, uint64_t call,
                         uint32_t attempt);
 /* Drops answers whose until_us has been reached. */
--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -25,8 +25,8 @@
 
 /* An open connection occupies a thread even when idle. When most threads are
  * occupied or the process is leaving, each answer closes its connection:
- * otherwise idle callers would block new ones for the keep-alive time, and a
- * stop would break connections that callers are about to use. */
+ * otherwise idle callers would block new callers for the keep-alive time, and
+ * a stop would close connections that callers are about to use. */
 static bool
 may_keep_alive(struct mg_connection *conn)
 {
@@ -430,10 +430,10 @@
 }
 
 /* A call occupies its thread until its outcome, at most until its deadline.
- * Above the bound a call is refused unread as "not-run", so that threads stay
- * free for look-ups and health. A call with a ticket may be a resend: it goes
- * to the node with a deadline of 0, which returns the state of the ticket and
- * starts no attempt. */
+ * Above the bound a call is refused as "not-run" without reading it, so that
+ * threads stay free for look-ups and health. A call with a ticket may be a
+ * resend: it goes to the node with a deadline of 0, which returns the state of
+ * the ticket and starts no attempt. */
 static int
 on_call(struct mg_connection *conn, void *arg)
 {
--- a/lib/runtime/dispatch.c
+++ b/lib/runtime/dispatch.c
@@ -250,8 +250,8 @@
 
 /* True when no byte of the request was sent: libcurl counts the bytes written
  * on all connections of the transfer. A socket refused on a reused connection
- * means that libcurl started to resend the request; the count then proves
- * nothing. */
+ * means that libcurl started to resend the request; the count then does not
+ * show whether the server received the request. */
 static bool
 is_nothing_sent(const PoolConnection *connection)
 {
--- a/lib/runtime/net.c
+++ b/lib/runtime/net.c
@@ -227,9 +227,9 @@
     return links;
 }
 
-/* Flushing sends a ping that became due after the last frame. Otherwise a
- * call sent just after a ping would wait until its deadline on a link that
- * went silent and has nothing more to send. */
+/* Flushing sends a ping that became due after the last frame. Otherwise, on a
+ * link that no longer delivers data, a call sent just after a ping would wait
+ * until its deadline if no frame follows. */
 static void
 check_links(GwNet *net, int64_t now_us)
 {
@@ -241,7 +241,7 @@
             close_link(net, link);
         }
         /* Counted only after the queue is dropped: frames queued after the
-         * count rises go out on a new connection. */
+         * count has increased are sent on a new connection. */
         if (silent) {
             atomic_fetch_add(&net->closed_silent, 1);
         }
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -35,9 +35,9 @@
     g_free(request);
 }
 
-/* Sends a table request and reports the reply. A request that was queued for
- * 3 platform time-outs, or is left during shutdown, is reported as lost
- * without being sent: the node has made newer ones, and the queue stays
+/* Sends a table request and reports the reply. A request that was queued for 3
+ * platform time-outs, or is still queued at shutdown, is reported as lost
+ * without being sent: the node has made newer requests, and the queue stays
  * short. */
 void
 Pollers_RunTable(void *job, void *arg)
@@ -250,8 +250,8 @@
     g_free(servers);
 }
 
-/* Polls all servers in parallel: one that does not answer must not delay the
- * others. */
+/* Polls all servers in parallel: a server that does not answer must not delay
+ * the polls of the others. */
 void *
 Pollers_HealthThread(void *arg)
 {
--- a/lib/runtime/pool.c
+++ b/lib/runtime/pool.c
@@ -139,7 +139,8 @@
            now_us - connection->last_answer_us < GW_REUSE_MAX_US;
 }
 
-/* The head is the last used connection: if it may not be reused, none may. */
+/* The head is the most recently used connection: if it may not be reused, no
+ * other may. */
 static PoolConnection *
 pop_idle(GwDispatcher *d, const GwDispatchRequest *request, int64_t now_us)
 {
--- a/lib/runtime/relay.c
+++ b/lib/runtime/relay.c
@@ -272,7 +272,7 @@
 }
 
 /* Refuses a call before its ticket is checked. A call sent to this process as
- * the ticket's owner may be a resend of one that ran: without the ticket's
+ * the ticket's owner may be a resend of a call that ran: without the ticket's
  * record its outcome is unknown. */
 static void
 refuse(GwRuntime *rt, uint64_t link, const GwCallRequest *call,
