--- a/lib/config/checks.c
+++ b/lib/config/checks.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Rejects an operation with the method and path of an earlier one: the two
- * could disagree on whether a call may be repeated. */
+/* Rejects an operation with the method and path of an earlier operation: the
+ * two could disagree on whether a call may be repeated. */
 bool
 GwChecks_Operation(const GwService *service, const GwReadContext *at,
                    GError **error)
--- a/lib/config/model.c
+++ b/lib/config/model.c
@@ -102,9 +102,9 @@
     return GW_NONE;
 }
 
-/* Returns whether a server may resolve the path to a different one than the
- * prefix match compares: "/slots/../book" begins like a look-up and ends as
- * a booking. The query is not part of the path. */
+/* Returns whether a server may resolve the path to another path than the
+ * prefix match compares: "/slots/../book" begins like a look-up and ends as a
+ * booking. The query is not part of the path. */
 static bool
 is_ambiguous(const char *path)
 {
--- a/lib/config/reader.c
+++ b/lib/config/reader.c
@@ -76,8 +76,7 @@
     return root;
 }
 
-/* Returns what is wrong with the text as a whole, or NULL; `at` is the
- * offset. */
+/* Returns the fault of the text as a whole, or NULL; `at` is the offset. */
 static const char *
 find_fault(const char *text, size_t len, struct json_object *root,
            enum json_tokener_error tokener_error, size_t *at)
--- a/lib/entry/calls.h
+++ b/lib/entry/calls.h
@@ -20,7 +20,7 @@
 /* The other parts of the node, for the duration of one step. */
 typedef struct {
     int64_t now_us;
-    const GwConfig *config; /* NULL before the first one is in force */
+    const GwConfig *config; /* NULL until a configuration is in force */
     const GwMembers *members;
     GwSeats *seats;
     GwSteer *steer;
--- a/lib/entry/tickets.c
+++ b/lib/entry/tickets.c
@@ -131,7 +131,8 @@
     }
     /* An expired ticket without a record may have run before the record was
      * dropped, so running it could execute the call twice. A record outlives
-     * the validity of its ticket, so a valid ticket without one never ran. */
+     * the validity of its ticket, so a valid ticket without a record never
+     * ran. */
 #if GW_MUTANT != 1 /* breaks: an expired ticket is not run again */
     if (now_us - ticket->minted_ms * US_PER_MS > t->valid_us) {
         return GW_TICKET_EXPIRED;
--- a/lib/member/gossip.c
+++ b/lib/member/gossip.c
@@ -225,8 +225,8 @@
  * refute. Otherwise two regions that reconnect after a partition would spread
  * the states from the partition, and a region would consider its own live
  * members dead for a moment. In return, a member that is really dead is
- * removed one suspicion time-out later. Returns false if the update must not
- * be applied. */
+ * removed later, by one suspicion time-out. Returns false if the update must
+ * not be applied. */
 static bool
 accept_indirect_claim(GwMembers *m, int64_t now_us, GwRecord *r,
                       GwMemberInfo *u, const GwPiggyback *piggyback,
--- a/lib/member/records.c
+++ b/lib/member/records.c
@@ -62,7 +62,7 @@
 }
 
 /* Adds an unconfirmed record. Returns NULL if the table is full of live
- * ones. */
+ * records. */
 GwRecord *
 GwMembers_InsertRecord(GwMembers *m, int64_t now_us, const GwMemberInfo *info)
 {
--- a/lib/steer/grants.c
+++ b/lib/steer/grants.c
@@ -42,10 +42,10 @@
     return NULL;
 }
 
-/* When a unit that the configuration moved to another seat may be used
- * again. An entry that has not yet applied the new version may still use or
- * lend the unit by the old one; the block is longer than the distribution
- * of a version, a loan and the longest call together. */
+/* When a unit that the configuration moved to another seat may be used again.
+ * An entry that has not yet applied the new version may still use or lend the
+ * unit by the old version; the block is longer than the distribution of a
+ * version, a loan and the longest call together. */
 int64_t
 GwSteer_RemapBlock(const GwSteer *s, int64_t now_us, const GwSlot *unit,
                    uint32_t seat)
@@ -364,9 +364,9 @@
     return count;
 }
 
-/* The number of further calls to relay now: all waiting calls when the
- * local place accepts none, or has no slot and no peer of the region lends
- * one; otherwise the configured percentage. */
+/* The number of further calls to relay now: all waiting calls when the local
+ * place accepts none, or has no slot and no peer of the region lends a slot;
+ * otherwise the configured percentage. */
 static uint32_t
 count_wanted_grants(const GwSteer *s, int64_t now_us,
                     const GwServiceState *service, uint32_t queued)
--- a/lib/steer/seat_claim.c
+++ b/lib/steer/seat_claim.c
@@ -43,9 +43,9 @@
 }
 
 /* Claims free seats up to the fair share. A seat that has stayed free for
- * GW_SEAT_UNCLAIMED_US is claimed beyond the share, one per list, because
- * no entry can use its units. The scan starts at a random seat, so that
- * entries that start together rarely claim the same one. */
+ * GW_SEAT_UNCLAIMED_US is claimed beyond the share, one per list, because no
+ * entry can use its units. The scan starts at a random seat, so that entries
+ * that start together rarely claim the same seat. */
 void
 GwSeats_ClaimFree(GwSeats *s, int64_t now_us, const GwMembers *members,
                   GwActions *out)
--- a/lib/steer/seat_state.c
+++ b/lib/steer/seat_state.c
@@ -71,8 +71,8 @@
     }
 }
 
-/* Applies a row from a read or a confirmed write. An older version than the
- * known one is ignored, since reads and writes may overtake each other. */
+/* Applies a row from a read or a confirmed write. A version older than the
+ * known version is ignored, since reads and writes may overtake each other. */
 void
 GwSeats_ApplyRow(GwSeats *s, int64_t now_us, uint32_t seat,
                  const GwSeatRow *row, GwActions *out)
--- a/lib/steer/seats.c
+++ b/lib/steer/seats.c
@@ -277,7 +277,7 @@
     return seat < GW_SEATS_MAX && s->seats[seat].state == GW_SEAT_PARTING;
 }
 
-/* Starts the handover of every seat; no new ones are claimed. */
+/* Starts the handover of every seat; no new seats are claimed. */
 void
 GwSeats_HandOverAll(GwSeats *s, int64_t now_us)
 {
--- a/lib/steer/seats_internal.h
+++ b/lib/steer/seats_internal.h
@@ -1,10 +1,10 @@
 /* State shared by the seat*.c files; private to lib/steer.
  *
  * The row in the table is the only authority on who holds a seat. A process
- * knows a row only from a read or from a confirmed write, and every write
- * is conditional on the row version that the decision was based on. Of two
- * processes that write on the same version one fails, and the effect of a
- * write whose reply was lost is determined by reading the row. */
+ * knows a row only from a read or from a confirmed write, and every write is
+ * conditional on the row version that the decision was based on. Of two writes
+ * based on the same version only one succeeds, and the effect of a write whose
+ * reply was lost is determined by reading the row. */
 #ifndef GW_STEER_SEATS_INTERNAL_H
 #define GW_STEER_SEATS_INTERNAL_H
 
--- a/lib/steer/steer.c
+++ b/lib/steer/steer.c
@@ -175,9 +175,9 @@
     }
 }
 
-/* Releases each seat that is being handed over once none of its units is
- * busy; otherwise the next holder could start a call on a unit that still
- * runs one here. */
+/* Releases each seat that is being handed over once none of its units is busy;
+ * otherwise the next holder could start a call on a unit that still runs a
+ * call here. */
 static void
 release_parting(GwSteer *s, int64_t now_us, GwSeats *seats,
                 const GwMembers *members, GwActions *out)
@@ -360,8 +360,8 @@
     memcpy(out->address, b->address, sizeof(out->address));
 }
 
-/* No unit is free: leaves GW_PICK_WAIT where one can become free, else
- * refuses with the reason. */
+/* No unit is free: leaves GW_PICK_WAIT if a unit can become free, else refuses
+ * with the reason. */
 static void
 wait_or_refuse(const GwSteer *s, int64_t now_us, const GwServiceState *service,
                const GwPickRequest *request, GwPick *out)
