--- a/lib/admin/apply.c
+++ b/lib/admin/apply.c
@@ -212,10 +212,10 @@
         GwChange_Free(change);
     }
     else {
-        GwChangeResult bad = {.outcome = GW_CHANGE_REFUSED,
-                              .code = GW_RESULT_INVALID};
-        g_strlcpy(bad.message, fault, sizeof(bad.message));
-        pack_result(&bad, reply);
+        GwChangeResult refusal = {.outcome = GW_CHANGE_REFUSED,
+                                  .code = GW_RESULT_INVALID};
+        g_strlcpy(refusal.message, fault, sizeof(refusal.message));
+        pack_result(&refusal, reply);
     }
     g_free(summary);
     gw__admin__apply_request__free_unpacked(request, NULL);
--- a/lib/admin/ctl.c
+++ b/lib/admin/ctl.c
@@ -99,7 +99,7 @@
 }
 
 bool
-GwCtl_ParseNumber(const char *what, const char *text, uint64_t max,
+GwCtl_ParseNumber(const char *name, const char *text, uint64_t max,
                   uint64_t *out)
 {
     if (text != NULL &&
@@ -107,7 +107,7 @@
         return true;
     }
     GwCtl_UsageError(
-        "%s: \"%s\" is not a whole number of at most %" G_GUINT64_FORMAT, what,
+        "%s: \"%s\" is not a whole number of at most %" G_GUINT64_FORMAT, name,
         text != NULL ? text : "", max);
     return false;
 }
--- a/lib/admin/ctl_internal.h
+++ b/lib/admin/ctl_internal.h
@@ -21,7 +21,7 @@
 GwCtlExit GwCtl_UsageError(const char *format, ...)
     __attribute__((format(printf, 1, 2)));
 /* Parses a whole number of at most `max`; prints an error on false. */
-bool GwCtl_ParseNumber(const char *what, const char *text, uint64_t max,
+bool GwCtl_ParseNumber(const char *name, const char *text, uint64_t max,
                        uint64_t *out);
 /* Sends a change, with the request id, operator and base version of the
  * options. */
--- a/lib/admin/ctl_status.c
+++ b/lib/admin/ctl_status.c
@@ -72,8 +72,8 @@
     return all;
 }
 
-/* Whether a change must reach the member. A member that left or is considered
- * dead stays listed for a while with its last version. */
+/* Whether a change must reach the member. A member that has stopped or failed
+ * becomes dead, and stays listed for a while with its last version. */
 static bool
 is_live(struct json_object *member)
 {
@@ -135,12 +135,13 @@
 static void
 show_member(struct json_object *member)
 {
-    struct json_object *heard = json_object_object_get(member, "heard_ms_ago");
+    struct json_object *message_age_ms =
+        json_object_object_get(member, "heard_ms_ago");
     printf("  %-24s %-9s version %" PRIu64, GwJson_GetText(member, "name"),
            GwJson_GetText(member, "state"), version_of(member));
-    if (heard != NULL) {
+    if (message_age_ms != NULL) {
         printf("  last message %" PRIu64 " ms ago",
-               json_object_get_uint64(heard));
+               json_object_get_uint64(message_age_ms));
     }
     putchar('\n');
 }
--- a/lib/admin/explain.c
+++ b/lib/admin/explain.c
@@ -456,10 +456,10 @@
 }
 
 static gint
-compare_time(gconstpointer a, gconstpointer state)
+compare_time(gconstpointer a, gconstpointer b)
 {
     const Step *x = *(Step *const *)a;
-    const Step *y = *(Step *const *)state;
+    const Step *y = *(Step *const *)b;
 
     return (x->time_ms > y->time_ms) - (x->time_ms < y->time_ms);
 }
--- a/lib/blocks/blocks.h
+++ b/lib/blocks/blocks.h
@@ -4,7 +4,7 @@
  * longest matching prefix wins. A GwBlockMap is immutable: it is built from a
  * GwBlockSet, published, and replaced as a whole, so that look-ups take no
  * lock. Snapshots and deltas are validated completely before they are applied;
- * a truncated or corrupt one leaves the set unchanged.
+ * truncated or corrupt input leaves the set unchanged.
  *
  *     GwBlockSet *set = GwBlockSet_Create();
  *     GwBlockSet_ApplySnapshot(set, bytes, len);
--- a/lib/blocks/set.c
+++ b/lib/blocks/set.c
@@ -177,8 +177,8 @@
            (out->bits & ~prefix_mask(out->length)) == 0;
 }
 
-/* Decodes and validates all blocks. Returns NULL when one is invalid or out of
- * order; as the checksum has already matched, that is a fault of the
+/* Decodes and validates all blocks. Returns NULL when a block is invalid or
+ * out of order; as the checksum has already matched, that is a fault of the
  * writer. */
 static GwBlock *
 read_blocks(const uint8_t *at, uint32_t count, bool may_remove)
--- a/lib/runtime/call.c
+++ b/lib/runtime/call.c
@@ -192,7 +192,7 @@
     GwDispatchAction action;
 } HedgeJob;
 
-/* Runs an attempt in parallel to the one on the call's own thread. */
+/* Runs an attempt in parallel to the attempt on the call's own thread. */
 void
 Call_RunHedge(void *job, void *arg)
 {
--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -74,8 +74,9 @@
 }
 
 /* Refuses a request before it becomes a call: "not-run", or "unknown" if it
- * has a ticket. Its ticket has not been looked up, so it may be a resend of a
- * call that ran, and after "not-run" the caller would run it again. */
+ * has a ticket. Its ticket has not been looked up, so the request may be a
+ * resend of a call that ran; after "not-run" the caller would repeat the
+ * request, and it would run twice. */
 static int
 send_refusal(struct mg_connection *conn, uint32_t status, GwReason reason)
 {
--- a/lib/runtime/dispatch.c
+++ b/lib/runtime/dispatch.c
@@ -242,8 +242,9 @@
             curl_multi_poll(connection->multi, NULL, 0, POLL_MAX_MS, NULL);
         }
     }
-    int left = 0;
-    const CURLMsg *msg = curl_multi_info_read(connection->multi, &left);
+    int messages_left = 0;
+    const CURLMsg *msg =
+        curl_multi_info_read(connection->multi, &messages_left);
     return msg != NULL && msg->msg == CURLMSG_DONE ? msg->data.result
                                                    : CURLE_FAILED_INIT;
 }
@@ -375,7 +376,7 @@
     connection->last_answer_us = GwNet_NowUs();
     GwPool_Release(d, request->address, connection, is_complete_answer);
     /* A reused connection timed out: a middlebox may have dropped its state
-     * for the other idle connections too, and new ones are cheap. */
+     * for the other idle connections too, and new connections are cheap. */
     if (reused && result->reason == GW_REASON_SILENT) {
         GwPool_CloseIdle(d, request->address);
     }
--- a/lib/runtime/net.c
+++ b/lib/runtime/net.c
@@ -249,8 +249,8 @@
     g_ptr_array_free(links, TRUE);
 }
 
-/* Sends frames whose test delay has passed. Returns the time at which the
- * next one is due. */
+/* Sends frames whose test delay has passed. Returns the time at which the next
+ * frame is due. */
 static int64_t
 flush_delayed(GwNet *net, int64_t now_us)
 {
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -153,7 +153,7 @@
 run_health_requests(CURLM *multi)
 {
     int running = 1;
-    int left = 0;
+    int messages_left = 0;
     CURLMsg *msg;
 
     while (running > 0) {
@@ -164,7 +164,7 @@
             curl_multi_poll(multi, NULL, 0, SLEEP_STEP_MS, NULL);
         }
     }
-    while ((msg = curl_multi_info_read(multi, &left)) != NULL) {
+    while ((msg = curl_multi_info_read(multi, &messages_left)) != NULL) {
         HealthRequest *health_request = NULL;
         long status = 0;
         curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &health_request);
--- a/lib/runtime/pool.c
+++ b/lib/runtime/pool.c
@@ -61,7 +61,7 @@
  *
  * When a reused connection closes before any answer, libcurl resends the
  * request on a new connection without reporting it. The server may have run
- * the first copy, so the request would run twice while the caller sees one
+ * the first copy, so the request would run twice while the caller receives one
  * answer. An attempt may therefore open no socket on a reused connection, and
  * exactly one on a new connection. */
 static curl_socket_t
--- a/lib/runtime/runtime.c
+++ b/lib/runtime/runtime.c
@@ -111,20 +111,20 @@
     Runtime_Step(rt, &event);
 }
 
-/* Reads the first line of a secret file; at least `min` characters. `what` is
- * the setting's name for errors. */
+/* Reads the first line of a secret file; at least `min` characters. `setting`
+ * is the key of the setting, used in errors. */
 static char *
-read_secret(const char *path, const char *what, size_t min, GError **error)
+read_secret(const char *path, const char *setting, size_t min, GError **error)
 {
     char *text = NULL;
     if (!g_file_get_contents(path, &text, NULL, error)) {
-        g_prefix_error(error, "%s: ", what);
+        g_prefix_error(error, "%s: ", setting);
         return NULL;
     }
     text[strcspn(text, "\r\n")] = '\0';
     if (strlen(text) < min) {
         g_set_error(error, GW_ERROR, GW_RESULT_OUT_OF_BOUNDS,
-                    "%s: %s holds fewer than %u characters", what, path,
+                    "%s: %s holds fewer than %u characters", setting, path,
                     (unsigned)min);
         g_free(text);
         return NULL;
--- a/lib/runtime/runtime_internal.h
+++ b/lib/runtime/runtime_internal.h
@@ -1,6 +1,6 @@
 /* State shared by the files of the runtime.
  *
- * Lock order; a thread that holds a lock takes only later ones:
+ * Lock order; a thread that holds a lock takes only locks later in the list:
  *
  *   1. node_lock       one GwNode_Step, ticket minting, a dump, or copying a
  *                      publication
--- a/lib/runtime/workers.c
+++ b/lib/runtime/workers.c
@@ -57,7 +57,7 @@
 }
 
 /* Requires w->mutex. Starts a thread when more jobs are queued than threads
- * are idle, so that no job waits for a blocked one below threads_max. */
+ * are idle, so that below threads_max no job waits for a blocked job. */
 static void
 add_thread_if_needed(GwWorkers *w)
 {
--- a/lib/wire/codec.h
+++ b/lib/wire/codec.h
@@ -1,6 +1,6 @@
 /* Encodes control messages (GwMessage) and relayed calls as protobuf frames
  * and decodes them. Decoding checks every bound of wire/message.h and rejects
- * the whole message when one is exceeded. */
+ * the whole message when a bound is exceeded. */
 #ifndef GW_WIRE_CODEC_H
 #define GW_WIRE_CODEC_H
 
@@ -77,8 +77,8 @@
  * zeroed and owns nothing. */
 GwResult GwCodec_Parse(const uint8_t *payload, size_t len, GwEnvelope *out);
 /* Whether the text is valid in an HTTP request line or header. Prevents a
- * caller or peer from injecting a header or request into one that this entry
- * sends. */
+ * caller or peer from injecting a header or a second request into a request
+ * that this entry sends. */
 bool GwText_IsMethod(const char *s);
 bool GwText_IsTarget(const char *s);
 bool GwText_IsHeaderValue(const char *s);
--- a/lib/wire/handshake.h
+++ b/lib/wire/handshake.h
@@ -5,7 +5,7 @@
 
 #include "wire/codec.h"
 
-/* The side that proves: the one that connected or the one that accepted. */
+/* The side whose proof is computed or verified. */
 typedef enum {
     GW_ROLE_CONNECTOR = 'C',
     GW_ROLE_ACCEPTOR = 'A'
