--- a/lib/entry/calls.c
+++ b/lib/entry/calls.c
@@ -211,7 +211,7 @@
  * of the resend may be the earlier of the two. */
 static void
 attach_resend(GwCalls *c, const GwCallsEnv *env, GwCall *call,
-              const GwRecord *record)
+              const GwTicketRecord *record)
 {
     GwCall *first = g_hash_table_lookup(c->open, &record->call);
 
@@ -226,7 +226,7 @@
  * to the call that is still open. */
 static void
 answer_from_record(GwCalls *c, const GwCallsEnv *env, GwCall *call,
-                   const GwRecord *record)
+                   const GwTicketRecord *record)
 {
     GwCallEnd end = {0};
 
@@ -304,7 +304,7 @@
 accept_with_ticket(GwCalls *c, const GwCallsEnv *env, GwCall *call,
                    const GwCallEvent *ev)
 {
-    GwRecord *record = NULL;
+    GwTicketRecord *record = NULL;
 
     call->ticket = ev->ticket;
     if (ev->ticket.seq == 0) {
@@ -356,7 +356,7 @@
 find_early_refusal_outcome(GwCalls *c, int64_t now_us, const GwCallEvent *ev)
 {
 #if GW_MUTANT != 9 /* breaks: an early NOT_RUN is true */
-    GwRecord *record = NULL;
+    GwTicketRecord *record = NULL;
     if (ev->ticket.seq == 0) {
         return GW_OUTCOME_NOT_RUN;
     }
--- a/lib/entry/calls_finish.c
+++ b/lib/entry/calls_finish.c
@@ -52,7 +52,7 @@
         !GwNodeId_Equal(call->ticket.owner, c->params.id)) {
         return;
     }
-    GwRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
+    GwTicketRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
     if (record == NULL || record->state != GW_RECORD_RUNNING ||
         record->call != call->call) {
         return;
--- a/lib/entry/calls_time.c
+++ b/lib/entry/calls_time.c
@@ -44,7 +44,7 @@
 static void
 detach_resend(GwCalls *c, GwCall *call)
 {
-    GwRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
+    GwTicketRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
     GwCall *prev =
         record == NULL ? NULL : g_hash_table_lookup(c->open, &record->call);
 
--- a/lib/entry/tickets.c
+++ b/lib/entry/tickets.c
@@ -21,7 +21,7 @@
     int64_t rejected_minted_ms;
     int64_t rejected_until_us;
     GQueue refused;     /* GwExpiry of refusals, by end of the hold */
-    GHashTable *by_seq; /* &record->seq -> GwRecord, owned */
+    GHashTable *by_seq; /* &record->seq -> GwTicketRecord, owned */
     GQueue expiries;    /* GwExpiry of all records, earliest first */
 };
 
@@ -103,7 +103,7 @@
         .owner = t->self, .minted_ms = now_us / US_PER_MS, .seq = t->last_seq};
 }
 
-GwRecord *
+GwTicketRecord *
 GwTickets_Find(GwTickets *t, uint64_t seq)
 {
     return g_hash_table_lookup(t->by_seq, &seq);
@@ -111,7 +111,7 @@
 
 GwTicketCheck
 GwTickets_Check(GwTickets *t, int64_t now_us, const GwTicket *ticket,
-                GwRecord **record)
+                GwTicketRecord **record)
 {
     if (!GwNodeId_Equal(ticket->owner, t->self)) {
         return GW_TICKET_FOREIGN;
@@ -145,7 +145,7 @@
     return GW_TICKET_NEW;
 }
 
-GwRecord *
+GwTicketRecord *
 GwTickets_Begin(GwTickets *t, int64_t now_us, uint64_t seq, uint64_t call)
 {
     /* Elements of the expiry queue outlive dropped records, so the queue is
@@ -160,7 +160,7 @@
         return NULL;
     }
 #endif
-    GwRecord *record = g_new0(GwRecord, 1);
+    GwTicketRecord *record = g_new0(GwTicketRecord, 1);
     record->seq = seq;
     record->state = GW_RECORD_RUNNING;
     record->call = call;
@@ -185,7 +185,7 @@
  * twice. So the refusal holds until every earlier send is past its
  * deadline. */
 void
-GwTickets_Refuse(GwTickets *t, int64_t now_us, GwRecord *record,
+GwTickets_Refuse(GwTickets *t, int64_t now_us, GwTicketRecord *record,
                  GwReason reason, uint32_t retry_after_ms)
 {
     GwExpiry *expiry = g_new(GwExpiry, 1);
@@ -213,7 +213,7 @@
     GwExpiry *expiry = g_queue_peek_head(&t->refused);
 
     while (expiry != NULL && expiry->expires_us <= now_us) {
-        GwRecord *record = GwTickets_Find(t, expiry->seq);
+        GwTicketRecord *record = GwTickets_Find(t, expiry->seq);
         if (record != NULL && record->state == GW_RECORD_REFUSED &&
             record->refused_until_us <= now_us) {
             GwTickets_Remove(t, expiry->seq);
@@ -231,7 +231,7 @@
     GwExpiry *expiry = g_queue_peek_head(&t->expiries);
 
     while (expiry != NULL && expiry->expires_us <= now_us) {
-        GwRecord *record = GwTickets_Find(t, expiry->seq);
+        GwTicketRecord *record = GwTickets_Find(t, expiry->seq);
         if (record != NULL && record->expires_us <= now_us) {
             if (record->state == GW_RECORD_RUNNING) {
                 return;
--- a/lib/entry/tickets.h
+++ b/lib/entry/tickets.h
@@ -25,7 +25,7 @@
     uint32_t retry_after_ms;  /* REFUSED */
     int64_t refused_until_us; /* REFUSED */
     int64_t expires_us;
-} GwRecord;
+} GwTicketRecord;
 
 typedef enum {
     GW_TICKET_NEW = 1,     /* valid and never run: may run */
@@ -43,21 +43,21 @@
 /* Classifies the ticket of an arriving call. Sets *record if KNOWN; the
  * pointer is valid until the table is changed. */
 GwTicketCheck GwTickets_Check(GwTickets *t, int64_t now_us,
-                              const GwTicket *ticket, GwRecord **record);
+                              const GwTicket *ticket, GwTicketRecord **record);
 /* Sets how long refusals hold. Must be at least the longest deadline of any
  * service, so that a send of the ticket still in transit arrives either within
  * the hold or past its deadline. */
 void GwTickets_SetRefusalHold(GwTickets *t, int64_t refusal_hold_us);
 /* Creates a RUNNING record. Returns NULL if the table is full; tickets minted
  * until now without a record are then rejected for the hold. */
-GwRecord *GwTickets_Begin(GwTickets *t, int64_t now_us, uint64_t seq,
-                          uint64_t call);
+GwTicketRecord *GwTickets_Begin(GwTickets *t, int64_t now_us, uint64_t seq,
+                                uint64_t call);
 /* Records that the call did not run, which is the outcome its caller gets. */
-void GwTickets_Refuse(GwTickets *t, int64_t now_us, GwRecord *record,
+void GwTickets_Refuse(GwTickets *t, int64_t now_us, GwTicketRecord *record,
                       GwReason reason, uint32_t retry_after_ms);
 void GwTickets_Remove(GwTickets *t, uint64_t seq);
 /* Returns NULL if there is no record. */
-GwRecord *GwTickets_Find(GwTickets *t, uint64_t seq);
+GwTicketRecord *GwTickets_Find(GwTickets *t, uint64_t seq);
 /* Drops refusals past their hold, and records past validity and retention. */
 void GwTickets_Expire(GwTickets *t, int64_t now_us);
 uint32_t GwTickets_Count(const GwTickets *t);
--- a/lib/member/digests.c
+++ b/lib/member/digests.c
@@ -24,7 +24,7 @@
  * node's region. Of each other region only a few are, which suffices to choose
  * an entry there and bounds the memory at hundreds of members. */
 static bool
-reserve_digest_slot(GwMembers *m, int64_t now_us, const GwRecord *r)
+reserve_digest_slot(GwMembers *m, int64_t now_us, const GwMemberRecord *r)
 {
     if (r->pub.info.region == m->self.region) {
         return true;
@@ -36,7 +36,7 @@
         if (f->nodes[i] == r->pub.info.id.node) {
             return true;
         }
-        GwRecord *holder = GwMembers_FindRecord(m, f->nodes[i]);
+        GwMemberRecord *holder = GwMembers_FindRecord(m, f->nodes[i]);
         if (holder == NULL || holder->gossip_state != GW_MEMBER_ALIVE ||
             now_us - holder->digest_us > GW_DIGEST_STALE_US) {
             slot = i;
@@ -45,7 +45,7 @@
     if (f == NULL || slot == GW_FOREIGN_DIGESTS_MAX) {
         return false;
     }
-    GwRecord *old = GwMembers_FindRecord(m, f->nodes[slot]);
+    GwMemberRecord *old = GwMembers_FindRecord(m, f->nodes[slot]);
     if (old != NULL) {
         old->digest_count = 0;
     }
@@ -54,7 +54,7 @@
 }
 
 static GwDigest *
-find_digest(const GwRecord *r, uint64_t service)
+find_digest(const GwMemberRecord *r, uint64_t service)
 {
     for (uint32_t i = 0; i < r->digest_count; i++) {
         if (r->digests[i].service == service) {
@@ -69,7 +69,7 @@
 void
 GwMembers_StoreDigest(GwMembers *m, int64_t now_us, const GwDigest *d)
 {
-    GwRecord *r = GwMembers_FindRecord(m, d->id.node);
+    GwMemberRecord *r = GwMembers_FindRecord(m, d->id.node);
 
     if (r == NULL || r->gossip_state == GW_MEMBER_DEAD ||
         r->pub.info.id.start != d->id.start ||
@@ -97,7 +97,7 @@
  * other regions get fewer, since a region sends requests to only one or two
  * members of another. */
 void
-GwMembers_FillDigests(GwMembers *m, const GwRecord *to,
+GwMembers_FillDigests(GwMembers *m, const GwMemberRecord *to,
                       const GwPiggyback *piggyback, GwHeartbeat *hb)
 {
     bool same_region = to != NULL && to->pub.info.region == m->self.region;
@@ -108,7 +108,7 @@
         hb->digests[hb->digest_count++] = piggyback->digests[i];
     }
     for (uint32_t i = 0; i < want && m->visible > 0; i++) {
-        const GwRecord *r =
+        const GwMemberRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
         if (r == to || r->gossip_state == GW_MEMBER_DEAD ||
             r->digest_count == 0 || hb->digest_count >= GW_DIGESTS_MAX) {
@@ -123,7 +123,7 @@
 const GwDigest *
 GwMembers_Digest(const GwMembers *m, uint64_t node, uint64_t service)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, node);
+    const GwMemberRecord *r = GwMembers_FindRecord(m, node);
 
     return r == NULL ? NULL : find_digest(r, service);
 }
--- a/lib/member/gossip.c
+++ b/lib/member/gossip.c
@@ -24,7 +24,7 @@
 }
 
 static void
-enqueue(GwMembers *m, GwRecord *r, bool at_head)
+enqueue(GwMembers *m, GwMemberRecord *r, bool at_head)
 {
     GQueue *queues = r->gossip_state == GW_MEMBER_LEAVING ? m->leaving_updates
                                                           : m->queued_updates;
@@ -41,7 +41,7 @@
 
 /* Takes the update of a member off its queue. */
 void
-GwMembers_DequeueUpdate(GwRecord *r)
+GwMembers_DequeueUpdate(GwMemberRecord *r)
 {
     if (r->update_queue != NULL) {
         g_queue_unlink(r->update_queue, &r->update_link);
@@ -51,7 +51,7 @@
 
 /* Queues the update of a member for sending, before older ones. */
 void
-GwMembers_QueueUpdate(GwMembers *m, GwRecord *r)
+GwMembers_QueueUpdate(GwMembers *m, GwMemberRecord *r)
 {
     GwMembers_DequeueUpdate(r);
     r->update_sends = 0;
@@ -60,7 +60,7 @@
 
 /* Returns the info of a member with its gossip state, as sent to peers. */
 static GwMemberInfo
-make_wire_info(const GwRecord *r)
+make_wire_info(const GwMemberRecord *r)
 {
     GwMemberInfo info = r->pub.info;
     info.state = r->gossip_state;
@@ -79,7 +79,7 @@
 }
 
 static void
-add_update(GwHeartbeat *hb, const GwRecord *r)
+add_update(GwHeartbeat *hb, const GwMemberRecord *r)
 {
     if (hb->update_count < GW_UPDATES_MAX &&
         !has_update(hb, r->pub.info.id.node)) {
@@ -91,14 +91,14 @@
 add_queued_updates(GwMembers *m, GQueue *queues, GwHeartbeat *hb)
 {
     uint32_t limit = sends_limit(m);
-    GwRecord *taken[GW_UPDATES_MAX];
+    GwMemberRecord *taken[GW_UPDATES_MAX];
     uint32_t count = 0;
 
     for (uint32_t sends = 0; sends < GW_UPDATE_SENDS_MAX; sends++) {
         GQueue *queue = &queues[sends];
         while (queue->head != NULL && count < GW_UPDATES_MAX &&
                hb->update_count < GW_UPDATES_MAX) {
-            GwRecord *r = queue->head->data;
+            GwMemberRecord *r = queue->head->data;
             add_update(hb, r);
             GwMembers_DequeueUpdate(r);
             taken[count++] = r;
@@ -117,8 +117,8 @@
 {
     for (uint32_t i = 0; i < GW_RANDOM_UPDATES_MAX && m->records->len > 0;
          i++) {
-        GwRecord *r = g_ptr_array_index(m->records,
-                                        GwRng_Below(&m->rng, m->records->len));
+        GwMemberRecord *r = g_ptr_array_index(
+            m->records, GwRng_Below(&m->rng, m->records->len));
         if (!r->is_tombstone) {
             add_update(hb, r);
         }
@@ -129,13 +129,13 @@
  * of the receiver's region. Otherwise a new entry would learn of hundreds
  * of members only through the few random updates. */
 static void
-add_bootstrap_members(GwMembers *m, const GwRecord *to, GwHeartbeat *hb)
+add_bootstrap_members(GwMembers *m, const GwMemberRecord *to, GwHeartbeat *hb)
 {
     if (to == NULL || m->tick_us - to->confirmed_us > GW_BOOTSTRAP_US) {
         return;
     }
     for (uint32_t i = 0; i < 4 * GW_UPDATES_MAX && m->visible > 0; i++) {
-        const GwRecord *r =
+        const GwMemberRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
         bool same_region = r->pub.info.region == to->pub.info.region;
         if (r->gossip_state == GW_MEMBER_ALIVE &&
@@ -150,7 +150,7 @@
  * only the receiver can refute it; leaving members; other queued updates,
  * those with the fewest sends first; random members. */
 void
-GwMembers_FillUpdates(GwMembers *m, const GwRecord *to, GwHeartbeat *hb)
+GwMembers_FillUpdates(GwMembers *m, const GwMemberRecord *to, GwHeartbeat *hb)
 {
     hb->updates[hb->update_count++] = m->self;
     if (to != NULL && to->gossip_state != GW_MEMBER_ALIVE) {
@@ -192,7 +192,7 @@
 }
 
 static void
-overwrite_record(GwMembers *m, int64_t now_us, GwRecord *r,
+overwrite_record(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                  const GwMemberInfo *u, GwActions *out)
 {
     GwMemberState visible_state = r->pub.info.state;
@@ -228,7 +228,7 @@
  * removed later, by one suspicion time-out. Returns false if the update must
  * not be applied. */
 static bool
-accept_indirect_claim(GwMembers *m, int64_t now_us, GwRecord *r,
+accept_indirect_claim(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                       GwMemberInfo *u, const GwPiggyback *piggyback,
                       GwActions *out)
 {
@@ -257,7 +257,7 @@
     if (u->state == GW_MEMBER_DEAD) {
         return false;
     }
-    GwRecord *r = GwMembers_InsertRecord(m, now_us, u);
+    GwMemberRecord *r = GwMembers_InsertRecord(m, now_us, u);
     if (r == NULL) {
         return false;
     }
@@ -277,7 +277,7 @@
                       GwActions *out)
 {
     GwMemberInfo u = *update;
-    GwRecord *r = GwMembers_FindRecord(m, u.id.node);
+    GwMemberRecord *r = GwMembers_FindRecord(m, u.id.node);
 
     if (u.id.node == m->self.id.node) {
         return refute(m, &u);
--- a/lib/member/member_internal.h
+++ b/lib/member/member_internal.h
@@ -44,7 +44,7 @@
     uint32_t digest_count;
     GwDigest *digests; /* array of GW_MAX_SERVICES, or NULL */
     int64_t digest_us; /* when a digest was last renewed */
-} GwRecord;
+} GwMemberRecord;
 
 /* A probe sent on behalf of another member. */
 typedef struct {
@@ -103,50 +103,51 @@
 };
 
 /* records.c */
-GwRecord *GwMembers_FindRecord(const GwMembers *m, uint64_t node);
-GwRecord *GwMembers_InsertRecord(GwMembers *m, int64_t now_us,
-                                 const GwMemberInfo *info);
-void GwMembers_Confirm(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMemberRecord *GwMembers_FindRecord(const GwMembers *m, uint64_t node);
+GwMemberRecord *GwMembers_InsertRecord(GwMembers *m, int64_t now_us,
+                                       const GwMemberInfo *info);
+void GwMembers_Confirm(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                        GwActions *out);
-void GwMembers_Hide(GwMembers *m, GwRecord *r);
-void GwMembers_SetState(GwMembers *m, int64_t now_us, GwRecord *r,
+void GwMembers_Hide(GwMembers *m, GwMemberRecord *r);
+void GwMembers_SetState(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                         GwMemberState state, GwActions *out);
-void GwMembers_UpdateVisibleState(GwMembers *m, int64_t now_us, GwRecord *r,
-                                  GwActions *out);
-void GwMembers_ClearSuspicion(GwMembers *m, GwRecord *r);
+void GwMembers_UpdateVisibleState(GwMembers *m, int64_t now_us,
+                                  GwMemberRecord *r, GwActions *out);
+void GwMembers_ClearSuspicion(GwMembers *m, GwMemberRecord *r);
 void GwMembers_Sweep(GwMembers *m, int64_t now_us);
 
 /* gossip.c */
-void GwMembers_QueueUpdate(GwMembers *m, GwRecord *r);
-void GwMembers_DequeueUpdate(GwRecord *r);
-void GwMembers_FillUpdates(GwMembers *m, const GwRecord *to, GwHeartbeat *hb);
+void GwMembers_QueueUpdate(GwMembers *m, GwMemberRecord *r);
+void GwMembers_DequeueUpdate(GwMemberRecord *r);
+void GwMembers_FillUpdates(GwMembers *m, const GwMemberRecord *to,
+                           GwHeartbeat *hb);
 bool GwMembers_ApplyUpdate(GwMembers *m, int64_t now_us,
                            const GwMemberInfo *update, bool direct,
                            const GwPiggyback *piggyback, GwActions *out);
 
 /* digests.c */
 void GwMembers_StoreDigest(GwMembers *m, int64_t now_us, const GwDigest *d);
-void GwMembers_FillDigests(GwMembers *m, const GwRecord *to,
+void GwMembers_FillDigests(GwMembers *m, const GwMemberRecord *to,
                            const GwPiggyback *piggyback, GwHeartbeat *hb);
 
 /* probe.c */
 GwHeartbeat *GwMembers_Send(GwMembers *m, GwMessageKind kind,
-                            const GwRecord *to, GwNodeId id,
+                            const GwMemberRecord *to, GwNodeId id,
                             const char *address, const GwPiggyback *piggyback,
                             GwActions *out);
-void GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwRecord *r,
+void GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                          const GwMemberInfo *claim,
                          const GwPiggyback *piggyback, GwActions *out);
-void GwMembers_Suspect(GwMembers *m, int64_t now_us, GwRecord *r,
+void GwMembers_Suspect(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                        const GwPiggyback *piggyback, GwActions *out);
-void GwMembers_JoinRound(GwMembers *m, const GwRecord *r);
+void GwMembers_JoinRound(GwMembers *m, const GwMemberRecord *r);
 void GwMembers_ProbeTick(GwMembers *m, int64_t now_us,
                          const GwPiggyback *piggyback, GwActions *out);
 void GwMembers_ReceiveAck(GwMembers *m, const GwMessage *msg,
                           const GwPiggyback *piggyback, GwActions *out);
 void GwMembers_ReceivePingReq(GwMembers *m, const GwMessage *msg,
-                              const GwRecord *requester,
+                              const GwMemberRecord *requester,
                               const GwPiggyback *piggyback, GwActions *out);
-GwRecord *GwMembers_DrawLive(GwMembers *m);
+GwMemberRecord *GwMembers_DrawLive(GwMembers *m);
 
 #endif
--- a/lib/member/members.c
+++ b/lib/member/members.c
@@ -42,7 +42,7 @@
         return;
     }
     for (uint32_t i = 0; i < m->records->len; i++) {
-        GwRecord *r = g_ptr_array_index(m->records, i);
+        GwMemberRecord *r = g_ptr_array_index(m->records, i);
         g_free(r->digests);
     }
     g_hash_table_destroy(m->by_node);
@@ -70,8 +70,8 @@
  * reach, would get traffic. This delays the first use of a new entry by one
  * probe, about 0.2 s (members.new_entries_are_visible_soon). */
 static bool
-note_receipt(GwMembers *m, int64_t now_us, const GwMessage *msg, GwRecord *r,
-             GwActions *out)
+note_receipt(GwMembers *m, int64_t now_us, const GwMessage *msg,
+             GwMemberRecord *r, GwActions *out)
 {
     bool was_confirmed = r->is_confirmed;
 
@@ -86,12 +86,12 @@
 /* Finds the sender's record, after applying the update that the sender
  * carries about itself. Returns NULL if the message is from this node, from
  * an earlier start or from an unknown node. */
-static GwRecord *
+static GwMemberRecord *
 resolve_sender(GwMembers *m, int64_t now_us, const GwMessage *msg,
                const GwPiggyback *piggyback, bool *changed, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
-    GwRecord *r = GwMembers_FindRecord(m, msg->from.node);
+    GwMemberRecord *r = GwMembers_FindRecord(m, msg->from.node);
 
     if (msg->from.node == m->self.id.node || msg->from.node == 0 ||
         (r != NULL && msg->from.start < r->pub.info.id.start)) {
@@ -118,7 +118,8 @@
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
     bool changed = false;
-    GwRecord *from = resolve_sender(m, now_us, msg, piggyback, &changed, out);
+    GwMemberRecord *from =
+        resolve_sender(m, now_us, msg, piggyback, &changed, out);
 
     if (from == NULL) {
         return false;
@@ -160,7 +161,7 @@
 apply_listed_state(GwMembers *m, int64_t now_us,
                    const GwInstanceListItem *item, GwActions *out)
 {
-    GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(item->name));
+    GwMemberRecord *r = GwMembers_FindRecord(m, GwName_Hash64(item->name));
 
     if (r != NULL && r->listed_leaving != item->leaving) {
         r->listed_leaving = item->leaving;
@@ -205,7 +206,7 @@
     m->self.state = GW_MEMBER_LEAVING;
     m->self.incarnation++;
     for (uint32_t i = 0; i < m->visible; i++) {
-        const GwRecord *r = g_ptr_array_index(m->records, i);
+        const GwMemberRecord *r = g_ptr_array_index(m->records, i);
         bool same_region = r->pub.info.region == m->self.region;
         if (r->gossip_state == GW_MEMBER_DEAD ||
             (!same_region && foreign++ >= GW_LEAVE_FOREIGN_MAX)) {
@@ -223,7 +224,7 @@
                    const GwPiggyback *piggyback, GwActions *out)
 {
     for (uint32_t i = 0; i < count; i++) {
-        const GwRecord *r = GwMembers_DrawLive(m);
+        const GwMemberRecord *r = GwMembers_DrawLive(m);
         if (r == NULL) {
             return;
         }
@@ -250,7 +251,7 @@
 const GwMember *
 GwMembers_At(const GwMembers *m, uint32_t i)
 {
-    const GwRecord *r = g_ptr_array_index(m->records, i);
+    const GwMemberRecord *r = g_ptr_array_index(m->records, i);
 
     return &r->pub;
 }
@@ -260,7 +261,7 @@
 const GwMember *
 GwMembers_Find(const GwMembers *m, uint64_t node)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, node);
+    const GwMemberRecord *r = GwMembers_FindRecord(m, node);
 
     return r == NULL || r->is_tombstone ? NULL : &r->pub;
 }
--- a/lib/member/probe.c
+++ b/lib/member/probe.c
@@ -14,7 +14,7 @@
 /* Appends a message of `kind`, whose seq is left to be set. `to` may be NULL
  * if only the address is known. */
 GwHeartbeat *
-GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwRecord *to,
+GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwMemberRecord *to,
                GwNodeId id, const char *address, const GwPiggyback *piggyback,
                GwActions *out)
 {
@@ -36,7 +36,7 @@
 }
 
 static GwHeartbeat *
-send_to(GwMembers *m, GwMessageKind kind, const GwRecord *to,
+send_to(GwMembers *m, GwMessageKind kind, const GwMemberRecord *to,
         const GwPiggyback *piggyback, GwActions *out)
 {
     return GwMembers_Send(m, kind, to, to->pub.info.id,
@@ -47,7 +47,7 @@
  * region is probed next, since members get traffic only after they have
  * answered, and traffic stays in the region where possible. */
 void
-GwMembers_JoinRound(GwMembers *m, const GwRecord *r)
+GwMembers_JoinRound(GwMembers *m, const GwMemberRecord *r)
 {
     uint64_t node = r->pub.info.id.node;
     uint32_t at = m->cursor;
@@ -64,7 +64,7 @@
     g_array_set_size(m->round, 0);
     m->cursor = 0;
     for (uint32_t i = 0; i < m->records->len; i++) {
-        const GwRecord *r = g_ptr_array_index(m->records, i);
+        const GwMemberRecord *r = g_ptr_array_index(m->records, i);
         if (r->gossip_state != GW_MEMBER_DEAD) {
             g_array_append_val(m->round, r->pub.info.id.node);
         }
@@ -80,13 +80,13 @@
 }
 
 /* Returns the next member to probe, or NULL if none is left. */
-static GwRecord *
+static GwMemberRecord *
 next_target(GwMembers *m)
 {
     for (uint32_t round = 0; round < 2; round++) {
         while (m->cursor < m->round->len) {
             uint64_t node = g_array_index(m->round, uint64_t, m->cursor++);
-            GwRecord *r = GwMembers_FindRecord(m, node);
+            GwMemberRecord *r = GwMembers_FindRecord(m, node);
             if (r != NULL && r->gossip_state != GW_MEMBER_DEAD) {
                 return r;
             }
@@ -98,11 +98,11 @@
 
 /* Draws a random visible member that is not dead; NULL if a few draws found
  * none. */
-GwRecord *
+GwMemberRecord *
 GwMembers_DrawLive(GwMembers *m)
 {
     for (uint32_t i = 0; i < 8 && m->visible > 0; i++) {
-        GwRecord *r =
+        GwMemberRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
         if (r->gossip_state != GW_MEMBER_DEAD) {
             return r;
@@ -114,7 +114,7 @@
 /* Sends a member the claim that others make about it, at most once per
  * period, so that one received message cannot make this node send many. */
 void
-GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                     const GwMemberInfo *claim, const GwPiggyback *piggyback,
                     GwActions *out)
 {
@@ -135,7 +135,7 @@
  * local. The member is notified at once, since no other node can refute the
  * claim. */
 void
-GwMembers_Suspect(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMembers_Suspect(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                   const GwPiggyback *piggyback, GwActions *out)
 {
     if (r->suspected_us != 0 || r->gossip_state == GW_MEMBER_DEAD) {
@@ -174,7 +174,7 @@
                   GwActions *out)
 {
     while (m->suspicions.head != NULL) {
-        GwRecord *r = m->suspicions.head->data;
+        GwMemberRecord *r = m->suspicions.head->data;
         if (now_us - r->suspected_us < suspicion_timeout_us(m)) {
             return;
         }
@@ -192,10 +192,10 @@
 /* Draws a member for an indirect probe; NULL if the draw is unsuitable. With
  * `same_region`, only members of the target's region qualify, so that the
  * probe crosses between regions twice and not four times. */
-static const GwRecord *
-draw_relay(GwMembers *m, const GwRecord *target, bool same_region)
+static const GwMemberRecord *
+draw_relay(GwMembers *m, const GwMemberRecord *target, bool same_region)
 {
-    const GwRecord *r = GwMembers_DrawLive(m);
+    const GwMemberRecord *r = GwMembers_DrawLive(m);
 
     if (r == NULL || r == target ||
         (same_region && r->pub.info.region != target->pub.info.region)) {
@@ -214,7 +214,8 @@
 send_indirect_probes(GwMembers *m, const GwPiggyback *piggyback,
                      GwActions *out)
 {
-    const GwRecord *target = GwMembers_FindRecord(m, m->probe.target.node);
+    const GwMemberRecord *target =
+        GwMembers_FindRecord(m, m->probe.target.node);
     uint64_t asked[16];
     uint32_t count = 0;
 
@@ -226,7 +227,7 @@
     uint32_t want = MIN(m->params.indirect_probes, G_N_ELEMENTS(asked));
     for (uint32_t draw = 0; draw < 8 * want && count < want; draw++) {
         bool same_region = draw < 4 * want && count + 1 < want;
-        const GwRecord *r = draw_relay(m, target, same_region);
+        const GwMemberRecord *r = draw_relay(m, target, same_region);
         for (uint32_t i = 0; r != NULL && i < count; i++) {
             r = asked[i] == r->pub.info.id.node ? NULL : r;
         }
@@ -244,7 +245,7 @@
 start_probe(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
             GwActions *out)
 {
-    GwRecord *r = next_target(m);
+    GwMemberRecord *r = next_target(m);
 
     m->probe = (GwProbe){0};
     if (r == NULL) {
@@ -269,7 +270,7 @@
     while (m->unconfirmed->len > 0 && sent < GW_UNCONFIRMED_PROBES_MAX) {
         uint32_t last = m->unconfirmed->len - 1;
         uint64_t node = g_array_index(m->unconfirmed, uint64_t, last);
-        const GwRecord *r = GwMembers_FindRecord(m, node);
+        const GwMemberRecord *r = GwMembers_FindRecord(m, node);
         g_array_set_size(m->unconfirmed, last);
         if (r == NULL || r->is_confirmed ||
             r->gossip_state == GW_MEMBER_DEAD) {
@@ -284,7 +285,7 @@
 finish_probe(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
              GwActions *out)
 {
-    GwRecord *r = GwMembers_FindRecord(m, m->probe.target.node);
+    GwMemberRecord *r = GwMembers_FindRecord(m, m->probe.target.node);
 
     if (!m->probe.active || m->probe.acked || r == NULL ||
         !GwNodeId_Equal(r->pub.info.id, m->probe.target) ||
@@ -297,7 +298,7 @@
 static bool
 needs_healing(const GwMembers *m, const char *name)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(name));
+    const GwMemberRecord *r = GwMembers_FindRecord(m, GwName_Hash64(name));
 
     return r == NULL || r->gossip_state == GW_MEMBER_DEAD;
 }
@@ -306,7 +307,8 @@
 probe_seed(GwMembers *m, const GwInstanceListItem *seed,
            const GwPiggyback *piggyback, GwActions *out)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(seed->name));
+    const GwMemberRecord *r =
+        GwMembers_FindRecord(m, GwName_Hash64(seed->name));
 
     GwMembers_Send(m, GW_MSG_PROBE, r, (GwNodeId){0}, seed->peer_address,
                    piggyback, out)
@@ -334,7 +336,7 @@
     uint32_t count = m->records->len;
     start = count > 0 ? GwRng_Below(&m->rng, count) : 0;
     for (uint32_t i = 0; i < count; i++) {
-        GwRecord *r = g_ptr_array_index(m->records, (start + i) % count);
+        GwMemberRecord *r = g_ptr_array_index(m->records, (start + i) % count);
         if (r->gossip_state == GW_MEMBER_DEAD) {
             send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->next_seq++;
             return;
@@ -353,7 +355,7 @@
 #endif
     m->probe = (GwProbe){0};
     for (GList *l = m->suspicions.head; l != NULL; l = l->next) {
-        GwRecord *r = l->data;
+        GwMemberRecord *r = l->data;
         r->suspected_us += gap_us;
     }
 }
@@ -364,7 +366,7 @@
 GwMembers_IsDue(const GwMembers *m, int64_t now_us)
 {
     bool awaits_ack = m->probe.active && !m->probe.acked && !m->probe.indirect;
-    const GwRecord *oldest =
+    const GwMemberRecord *oldest =
         m->suspicions.head == NULL ? NULL : m->suspicions.head->data;
 
     return now_us >= m->next_probe_us || now_us >= m->next_heal_us ||
@@ -442,11 +444,11 @@
 /* Handles a PING_REQ: probes the target and records the requester. */
 void
 GwMembers_ReceivePingReq(GwMembers *m, const GwMessage *msg,
-                         const GwRecord *requester,
+                         const GwMemberRecord *requester,
                          const GwPiggyback *piggyback, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
-    const GwRecord *target = GwMembers_FindRecord(m, hb->target.node);
+    const GwMemberRecord *target = GwMembers_FindRecord(m, hb->target.node);
 
     if (target == NULL || !GwNodeId_Equal(target->pub.info.id, hb->target)) {
         return;
--- a/lib/member/records.c
+++ b/lib/member/records.c
@@ -4,14 +4,14 @@
 #include <string.h>
 
 /* Returns the record of a node, dead ones and tombstones included, or NULL. */
-GwRecord *
+GwMemberRecord *
 GwMembers_FindRecord(const GwMembers *m, uint64_t node)
 {
     return g_hash_table_lookup(m->by_node, &node);
 }
 
 static bool
-is_live(const GwRecord *r)
+is_live(const GwMemberRecord *r)
 {
     return r->gossip_state != GW_MEMBER_DEAD;
 }
@@ -19,8 +19,8 @@
 static void
 swap_records(GwMembers *m, uint32_t a, uint32_t b)
 {
-    GwRecord *ra = g_ptr_array_index(m->records, a);
-    GwRecord *rb = g_ptr_array_index(m->records, b);
+    GwMemberRecord *ra = g_ptr_array_index(m->records, a);
+    GwMemberRecord *rb = g_ptr_array_index(m->records, b);
     m->records->pdata[a] = rb;
     m->records->pdata[b] = ra;
     ra->index = b;
@@ -28,7 +28,7 @@
 }
 
 static void
-remove_record(GwMembers *m, GwRecord *r)
+remove_record(GwMembers *m, GwMemberRecord *r)
 {
     GwMembers_Hide(m, r);
     GwMembers_DequeueUpdate(r);
@@ -45,13 +45,13 @@
 
 /* Returns the record that has been dead longest, to be evicted; NULL if
  * none. */
-static GwRecord *
+static GwMemberRecord *
 find_oldest_dead(GwMembers *m)
 {
-    GwRecord *oldest = NULL;
+    GwMemberRecord *oldest = NULL;
 
     for (uint32_t i = 0; i < m->records->len; i++) {
-        GwRecord *r = g_ptr_array_index(m->records, i);
+        GwMemberRecord *r = g_ptr_array_index(m->records, i);
         if (!is_live(r) &&
             (oldest == NULL ||
              r->pub.state_since_us < oldest->pub.state_since_us)) {
@@ -63,17 +63,17 @@
 
 /* Adds an unconfirmed record. Returns NULL if the table is full of live
  * records. */
-GwRecord *
+GwMemberRecord *
 GwMembers_InsertRecord(GwMembers *m, int64_t now_us, const GwMemberInfo *info)
 {
     if (m->records->len >= GW_RECORDS_MAX) {
-        GwRecord *old = find_oldest_dead(m);
+        GwMemberRecord *old = find_oldest_dead(m);
         if (old == NULL) {
             return NULL;
         }
         remove_record(m, old);
     }
-    GwRecord *r = g_new0(GwRecord, 1);
+    GwMemberRecord *r = g_new0(GwMemberRecord, 1);
     r->pub.info = *info;
     r->pub.state_since_us = now_us;
     r->gossip_state = info->state;
@@ -88,7 +88,8 @@
 
 /* Makes the record visible. */
 void
-GwMembers_Confirm(GwMembers *m, int64_t now_us, GwRecord *r, GwActions *out)
+GwMembers_Confirm(GwMembers *m, int64_t now_us, GwMemberRecord *r,
+                  GwActions *out)
 {
     if (r->is_confirmed) {
         return;
@@ -107,7 +108,7 @@
 
 /* Makes the record invisible. */
 void
-GwMembers_Hide(GwMembers *m, GwRecord *r)
+GwMembers_Hide(GwMembers *m, GwMemberRecord *r)
 {
     if (!r->is_confirmed) {
         return;
@@ -119,7 +120,7 @@
 
 /* Ends a suspicion: the member refuted it, or is now dead. */
 void
-GwMembers_ClearSuspicion(GwMembers *m, GwRecord *r)
+GwMembers_ClearSuspicion(GwMembers *m, GwMemberRecord *r)
 {
     if (r->suspected_us != 0) {
         r->suspected_us = 0;
@@ -148,7 +149,7 @@
  * work, although its process has not been notified yet and still reports
  * ALIVE. */
 void
-GwMembers_UpdateVisibleState(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMembers_UpdateVisibleState(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                              GwActions *out)
 {
     GwMemberState state = r->gossip_state;
@@ -169,7 +170,7 @@
 /* Sets the gossip state of a member, and updates the live count and the
  * suspicion accordingly. */
 void
-GwMembers_SetState(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMembers_SetState(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                    GwMemberState state, GwActions *out)
 {
     bool was_live = is_live(r);
@@ -196,7 +197,7 @@
 GwMembers_Sweep(GwMembers *m, int64_t now_us)
 {
     for (uint32_t i = m->records->len; i-- > 0;) {
-        GwRecord *r = g_ptr_array_index(m->records, i);
+        GwMemberRecord *r = g_ptr_array_index(m->records, i);
         if (is_live(r)) {
             continue;
         }
