--- a/lib/entry/calls_time.c
+++ b/lib/entry/calls_time.c
@@ -44,7 +44,7 @@
 static void
 detach_resend(GwCalls *c, GwCall *call)
 {
-    GwRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
+    GwTicketRecord *record = GwTickets_Find(c->tickets, call->ticket.seq);
     GwCall *prev =
         record == NULL ? NULL : g_hash_table_lookup(c->open, &record->call);
 
@@ -126,10 +126,10 @@
     }
 }
 
-/* During a graceful stop the seats go to peers, so no capacity comes free for
- * waiting calls. Kept in the queue they would be refused at their deadlines
- * and delay the stop until then; refused now, their callers can use another
- * entry at once. */
+/* During a graceful stop the seats go to peers, so no capacity becomes free
+ * for waiting calls. If they stayed queued, they would be refused at their
+ * deadlines and delay the stop until then. After a refusal now, their callers
+ * can use another entry at once. */
 void
 GwCalls_RefuseWaiting(GwCalls *c, const GwCallsEnv *env)
 {
--- a/lib/entry/tickets.c
+++ b/lib/entry/tickets.c
@@ -16,17 +16,17 @@
     int64_t keep_us;         /* validity plus retention, from the first use */
     uint64_t last_seq;       /* last minted */
     int64_t refusal_hold_us; /* how long a refusal holds */
-    /* Set when the table is full: until the second time, tickets minted at or
-     * before the first are rejected. */
+    /* Set when the table is full: until rejected_until_us, tickets minted at
+     * or before rejected_minted_ms are rejected. */
     int64_t rejected_minted_ms;
     int64_t rejected_until_us;
     GQueue refused;     /* GwExpiry of refusals, by end of the hold */
-    GHashTable *by_seq; /* &record->seq -> GwRecord, owned */
+    GHashTable *by_seq; /* &record->seq -> GwTicketRecord, owned */
     GQueue expiries;    /* GwExpiry of all records, earliest first */
 };
 
-/* Element of an expiry queue. It may be stale: a record that was dropped and
- * created again expires later than its first element says. */
+/* Element of an expiry queue. May be stale: a record that was dropped and
+ * created again expires later than its first element, and has a second one. */
 typedef struct {
     uint64_t seq;
     int64_t expires_us;
@@ -103,7 +103,7 @@
         .owner = t->self, .minted_ms = now_us / US_PER_MS, .seq = t->last_seq};
 }
 
-GwRecord *
+GwTicketRecord *
 GwTickets_Find(GwTickets *t, uint64_t seq)
 {
     return g_hash_table_lookup(t->by_seq, &seq);
@@ -111,7 +111,7 @@
 
 GwTicketCheck
 GwTickets_Check(GwTickets *t, int64_t now_us, const GwTicket *ticket,
-                GwRecord **record)
+                GwTicketRecord **record)
 {
     if (!GwNodeId_Equal(ticket->owner, t->self)) {
         return GW_TICKET_FOREIGN;
@@ -131,7 +131,8 @@
     }
     /* An expired ticket without a record may have run before the record was
      * dropped, so running it could execute the call twice. A record outlives
-     * the validity of its ticket, so a valid ticket without one never ran. */
+     * the validity of its ticket, so a valid ticket without a record never
+     * ran. */
 #if GW_MUTANT != 1 /* breaks: an expired ticket is not run again */
     if (now_us - ticket->minted_ms * US_PER_MS > t->valid_us) {
         return GW_TICKET_EXPIRED;
@@ -144,7 +145,7 @@
     return GW_TICKET_NEW;
 }
 
-GwRecord *
+GwTicketRecord *
 GwTickets_Begin(GwTickets *t, int64_t now_us, uint64_t seq, uint64_t call)
 {
     /* Elements of the expiry queue outlive dropped records, so the queue is
@@ -152,14 +153,14 @@
 #if GW_MUTANT != 18 /* breaks: the table is bounded */
     if (g_hash_table_size(t->by_seq) >= t->capacity ||
         g_queue_get_length(&t->expiries) / 2 >= t->capacity) {
-        /* This refusal can't be recorded either, so all tickets minted until
-         * now are rejected instead. */
+        /* The refusal of this ticket can't be recorded either, so all tickets
+         * minted until now are rejected instead. */
         t->rejected_minted_ms = now_us / US_PER_MS;
         t->rejected_until_us = now_us + t->refusal_hold_us;
         return NULL;
     }
 #endif
-    GwRecord *record = g_new0(GwRecord, 1);
+    GwTicketRecord *record = g_new0(GwTicketRecord, 1);
     record->seq = seq;
     record->state = GW_RECORD_RUNNING;
     record->call = call;
@@ -179,11 +180,12 @@
 }
 
 /* Another send of the ticket may still be in transit: through an entry that
- * has failed since, or on a slow link. If it ran, a caller that got NOT_RUN
- * and repeated the request with a new ticket would have it executed twice. So
- * the refusal holds until every earlier send is past its deadline. */
+ * has failed since, or on a slow link. If that send ran, a request whose
+ * caller got NOT_RUN and repeated it with a new ticket would be executed
+ * twice. So the refusal holds until every earlier send is past its
+ * deadline. */
 void
-GwTickets_Refuse(GwTickets *t, int64_t now_us, GwRecord *record,
+GwTickets_Refuse(GwTickets *t, int64_t now_us, GwTicketRecord *record,
                  GwReason reason, uint32_t retry_after_ms)
 {
     GwExpiry *expiry = g_new(GwExpiry, 1);
@@ -211,7 +213,7 @@
     GwExpiry *expiry = g_queue_peek_head(&t->refused);
 
     while (expiry != NULL && expiry->expires_us <= now_us) {
-        GwRecord *record = GwTickets_Find(t, expiry->seq);
+        GwTicketRecord *record = GwTickets_Find(t, expiry->seq);
         if (record != NULL && record->state == GW_RECORD_REFUSED &&
             record->refused_until_us <= now_us) {
             GwTickets_Remove(t, expiry->seq);
@@ -229,7 +231,7 @@
     GwExpiry *expiry = g_queue_peek_head(&t->expiries);
 
     while (expiry != NULL && expiry->expires_us <= now_us) {
-        GwRecord *record = GwTickets_Find(t, expiry->seq);
+        GwTicketRecord *record = GwTickets_Find(t, expiry->seq);
         if (record != NULL && record->expires_us <= now_us) {
             if (record->state == GW_RECORD_RUNNING) {
                 return;
--- a/lib/member/digests.c
+++ b/lib/member/digests.c
@@ -20,41 +20,41 @@
     return f;
 }
 
-/* Returns whether digests of this member are stored. In the own region all
- * are. Of each other region only a few are, which suffices to choose an
- * entry there and bounds the memory at hundreds of members. */
+/* Returns whether digests of this member are stored. All are stored in this
+ * node's region. Of each other region only a few are, which suffices to choose
+ * an entry there and bounds the memory at hundreds of members. */
 static bool
-reserve_digest_slot(GwMembers *m, int64_t now_us, const GwRecord *r)
+reserve_digest_slot(GwMembers *m, int64_t now_us, const GwMemberRecord *r)
 {
     if (r->pub.info.region == m->self.region) {
         return true;
     }
     GwForeignDigests *f = find_foreign_region(m, r->pub.info.region);
-    uint32_t place = GW_FOREIGN_DIGESTS_MAX;
+    uint32_t slot = GW_FOREIGN_DIGESTS_MAX;
 
     for (uint32_t i = 0; f != NULL && i < GW_FOREIGN_DIGESTS_MAX; i++) {
         if (f->nodes[i] == r->pub.info.id.node) {
             return true;
         }
-        GwRecord *holder = GwMembers_FindRecord(m, f->nodes[i]);
+        GwMemberRecord *holder = GwMembers_FindRecord(m, f->nodes[i]);
         if (holder == NULL || holder->gossip_state != GW_MEMBER_ALIVE ||
             now_us - holder->digest_us > GW_DIGEST_STALE_US) {
-            place = i;
+            slot = i;
         }
     }
-    if (f == NULL || place == GW_FOREIGN_DIGESTS_MAX) {
+    if (f == NULL || slot == GW_FOREIGN_DIGESTS_MAX) {
         return false;
     }
-    GwRecord *old = GwMembers_FindRecord(m, f->nodes[place]);
+    GwMemberRecord *old = GwMembers_FindRecord(m, f->nodes[slot]);
     if (old != NULL) {
         old->digest_count = 0;
     }
-    f->nodes[place] = r->pub.info.id.node;
+    f->nodes[slot] = r->pub.info.id.node;
     return true;
 }
 
 static GwDigest *
-find_digest(const GwRecord *r, uint64_t service)
+find_digest(const GwMemberRecord *r, uint64_t service)
 {
     for (uint32_t i = 0; i < r->digest_count; i++) {
         if (r->digests[i].service == service) {
@@ -69,7 +69,7 @@
 void
 GwMembers_StoreDigest(GwMembers *m, int64_t now_us, const GwDigest *d)
 {
-    GwRecord *r = GwMembers_FindRecord(m, d->id.node);
+    GwMemberRecord *r = GwMembers_FindRecord(m, d->id.node);
 
     if (r == NULL || r->gossip_state == GW_MEMBER_DEAD ||
         r->pub.info.id.start != d->id.start ||
@@ -93,22 +93,22 @@
     r->digest_us = now_us;
 }
 
-/* Adds the own digests, then some stored ones drawn at random. Other
- * regions get fewer, since they send requests to only one or two of our
- * members. */
+/* Adds this node's digests, then some stored ones drawn at random. Members of
+ * other regions get fewer, since a region sends requests to only one or two
+ * members of another. */
 void
-GwMembers_FillDigests(GwMembers *m, const GwRecord *to,
+GwMembers_FillDigests(GwMembers *m, const GwMemberRecord *to,
                       const GwPiggyback *piggyback, GwHeartbeat *hb)
 {
-    bool near = to != NULL && to->pub.info.region == m->self.region;
-    uint32_t want = near ? 8 : 2;
+    bool same_region = to != NULL && to->pub.info.region == m->self.region;
+    uint32_t want = same_region ? 8 : 2;
 
     for (uint32_t i = 0; i < piggyback->digest_count && i < GW_DIGESTS_MAX;
          i++) {
         hb->digests[hb->digest_count++] = piggyback->digests[i];
     }
     for (uint32_t i = 0; i < want && m->visible > 0; i++) {
-        const GwRecord *r =
+        const GwMemberRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
         if (r == to || r->gossip_state == GW_MEMBER_DEAD ||
             r->digest_count == 0 || hb->digest_count >= GW_DIGESTS_MAX) {
@@ -123,7 +123,7 @@
 const GwDigest *
 GwMembers_Digest(const GwMembers *m, uint64_t node, uint64_t service)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, node);
+    const GwMemberRecord *r = GwMembers_FindRecord(m, node);
 
     return r == NULL ? NULL : find_digest(r, service);
 }
--- a/lib/member/probe.c
+++ b/lib/member/probe.c
@@ -2,7 +2,7 @@
  * healing. */
 #include "member/member_internal.h"
 
-/* Probes of unconfirmed members of the own region per period. */
+/* Probes of unconfirmed members of this node's region per period. */
 #define GW_UNCONFIRMED_PROBES_MAX 4
 
 static int64_t
@@ -11,10 +11,10 @@
     return m->params.probe_period_ms * 1000LL;
 }
 
-/* Appends a message of `kind`; the caller sets its seq. `to` may be NULL if
- * only the address is known. */
+/* Appends a message of `kind`, whose seq is left to be set. `to` may be NULL
+ * if only the address is known. */
 GwHeartbeat *
-GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwRecord *to,
+GwMembers_Send(GwMembers *m, GwMessageKind kind, const GwMemberRecord *to,
                GwNodeId id, const char *address, const GwPiggyback *piggyback,
                GwActions *out)
 {
@@ -36,18 +36,18 @@
 }
 
 static GwHeartbeat *
-send_to(GwMembers *m, GwMessageKind kind, const GwRecord *to,
+send_to(GwMembers *m, GwMessageKind kind, const GwMemberRecord *to,
         const GwPiggyback *piggyback, GwActions *out)
 {
     return GwMembers_Send(m, kind, to, to->pub.info.id,
                           to->pub.info.peer_address, piggyback, out);
 }
 
-/* Inserts a member into the current probe round. A member of the own region
- * is probed next, since it gets traffic only after it has answered and
- * traffic stays in the region where possible. */
+/* Inserts a member into the current probe round. A member of this node's
+ * region is probed next, since members get traffic only after they have
+ * answered, and traffic stays in the region where possible. */
 void
-GwMembers_JoinRound(GwMembers *m, const GwRecord *r)
+GwMembers_JoinRound(GwMembers *m, const GwMemberRecord *r)
 {
     uint64_t node = r->pub.info.id.node;
     uint32_t at = m->cursor;
@@ -64,7 +64,7 @@
     g_array_set_size(m->round, 0);
     m->cursor = 0;
     for (uint32_t i = 0; i < m->records->len; i++) {
-        const GwRecord *r = g_ptr_array_index(m->records, i);
+        const GwMemberRecord *r = g_ptr_array_index(m->records, i);
         if (r->gossip_state != GW_MEMBER_DEAD) {
             g_array_append_val(m->round, r->pub.info.id.node);
         }
@@ -80,13 +80,13 @@
 }
 
 /* Returns the next member to probe, or NULL if none is left. */
-static GwRecord *
+static GwMemberRecord *
 next_target(GwMembers *m)
 {
     for (uint32_t round = 0; round < 2; round++) {
         while (m->cursor < m->round->len) {
             uint64_t node = g_array_index(m->round, uint64_t, m->cursor++);
-            GwRecord *r = GwMembers_FindRecord(m, node);
+            GwMemberRecord *r = GwMembers_FindRecord(m, node);
             if (r != NULL && r->gossip_state != GW_MEMBER_DEAD) {
                 return r;
             }
@@ -98,11 +98,11 @@
 
 /* Draws a random visible member that is not dead; NULL if a few draws found
  * none. */
-GwRecord *
+GwMemberRecord *
 GwMembers_DrawLive(GwMembers *m)
 {
     for (uint32_t i = 0; i < 8 && m->visible > 0; i++) {
-        GwRecord *r =
+        GwMemberRecord *r =
             g_ptr_array_index(m->records, GwRng_Below(&m->rng, m->visible));
         if (r->gossip_state != GW_MEMBER_DEAD) {
             return r;
@@ -114,7 +114,7 @@
 /* Sends a member the claim that others make about it, at most once per
  * period, so that one received message cannot make this node send many. */
 void
-GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMembers_SendClaim(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                     const GwMemberInfo *claim, const GwPiggyback *piggyback,
                     GwActions *out)
 {
@@ -135,7 +135,7 @@
  * local. The member is notified at once, since no other node can refute the
  * claim. */
 void
-GwMembers_Suspect(GwMembers *m, int64_t now_us, GwRecord *r,
+GwMembers_Suspect(GwMembers *m, int64_t now_us, GwMemberRecord *r,
                   const GwPiggyback *piggyback, GwActions *out)
 {
     if (r->suspected_us != 0 || r->gossip_state == GW_MEMBER_DEAD) {
@@ -152,9 +152,9 @@
     GwMembers_SendClaim(m, now_us, r, &claim, piggyback, out);
 }
 
-/* The suspicion time-out. The suspicion must reach its subject and the
- * refutation must come back; by gossip that takes a time that grows with
- * log(n). */
+/* Returns the suspicion time-out. Within that time the claim must reach the
+ * suspected member and the refutation must reach this node; by gossip both
+ * take a time that grows with log(n). */
 static int64_t
 suspicion_timeout_us(const GwMembers *m)
 {
@@ -174,7 +174,7 @@
                   GwActions *out)
 {
     while (m->suspicions.head != NULL) {
-        GwRecord *r = m->suspicions.head->data;
+        GwMemberRecord *r = m->suspicions.head->data;
         if (now_us - r->suspected_us < suspicion_timeout_us(m)) {
             return;
         }
@@ -189,16 +189,16 @@
     }
 }
 
-/* Draws a member for an indirect probe; NULL if the draw is unsuitable.
- * With `near`, only members of the target's region qualify, so that the
+/* Draws a member for an indirect probe; NULL if the draw is unsuitable. With
+ * `same_region`, only members of the target's region qualify, so that the
  * probe crosses between regions twice and not four times. */
-static const GwRecord *
-draw_relay(GwMembers *m, const GwRecord *target, bool near)
+static const GwMemberRecord *
+draw_relay(GwMembers *m, const GwMemberRecord *target, bool same_region)
 {
-    const GwRecord *r = GwMembers_DrawLive(m);
+    const GwMemberRecord *r = GwMembers_DrawLive(m);
 
     if (r == NULL || r == target ||
-        (near && r->pub.info.region != target->pub.info.region)) {
+        (same_region && r->pub.info.region != target->pub.info.region)) {
         return NULL;
     }
     return r;
@@ -206,15 +206,16 @@
 
 /* Handles a probe without an ack: repeats it directly and through other
  * members. A single lost message must not make a live member suspect, since
- * traffic moves away until the refutation. Members of the target's region
- * are asked first: a path through a third region would take longer than the
- * rest of the period. The last one may be of any region, for when the own
- * region and the target's cannot reach each other. */
+ * traffic moves away until the refutation. Members of the target's region are
+ * asked first: a path through a third region would take longer than the rest
+ * of the period. The last member asked may be of any region, in case this
+ * node's region and the target's cannot reach each other. */
 static void
 send_indirect_probes(GwMembers *m, const GwPiggyback *piggyback,
                      GwActions *out)
 {
-    const GwRecord *target = GwMembers_FindRecord(m, m->probe.target.node);
+    const GwMemberRecord *target =
+        GwMembers_FindRecord(m, m->probe.target.node);
     uint64_t asked[16];
     uint32_t count = 0;
 
@@ -225,8 +226,8 @@
     send_to(m, GW_MSG_PROBE, target, piggyback, out)->seq = m->probe.seq;
     uint32_t want = MIN(m->params.indirect_probes, G_N_ELEMENTS(asked));
     for (uint32_t draw = 0; draw < 8 * want && count < want; draw++) {
-        bool near = draw < 4 * want && count + 1 < want;
-        const GwRecord *r = draw_relay(m, target, near);
+        bool same_region = draw < 4 * want && count + 1 < want;
+        const GwMemberRecord *r = draw_relay(m, target, same_region);
         for (uint32_t i = 0; r != NULL && i < count; i++) {
             r = asked[i] == r->pub.info.id.node ? NULL : r;
         }
@@ -244,7 +245,7 @@
 start_probe(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
             GwActions *out)
 {
-    GwRecord *r = next_target(m);
+    GwMemberRecord *r = next_target(m);
 
     m->probe = (GwProbe){0};
     if (r == NULL) {
@@ -257,10 +258,10 @@
     send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->probe.seq;
 }
 
-/* Probes unconfirmed members of the own region, a few per period beside the
- * round. In a region of hundreds the round takes minutes, and unconfirmed
- * members get no traffic. A member that does not answer is left to the
- * round. */
+/* Probes unconfirmed members of this node's region, a few per period in
+ * addition to the round. In a region of hundreds of members the round takes
+ * minutes, and unconfirmed members get no traffic. A member that does not
+ * answer is left to the round. */
 static void
 probe_unconfirmed(GwMembers *m, const GwPiggyback *piggyback, GwActions *out)
 {
@@ -269,7 +270,7 @@
     while (m->unconfirmed->len > 0 && sent < GW_UNCONFIRMED_PROBES_MAX) {
         uint32_t last = m->unconfirmed->len - 1;
         uint64_t node = g_array_index(m->unconfirmed, uint64_t, last);
-        const GwRecord *r = GwMembers_FindRecord(m, node);
+        const GwMemberRecord *r = GwMembers_FindRecord(m, node);
         g_array_set_size(m->unconfirmed, last);
         if (r == NULL || r->is_confirmed ||
             r->gossip_state == GW_MEMBER_DEAD) {
@@ -284,7 +285,7 @@
 finish_probe(GwMembers *m, int64_t now_us, const GwPiggyback *piggyback,
              GwActions *out)
 {
-    GwRecord *r = GwMembers_FindRecord(m, m->probe.target.node);
+    GwMemberRecord *r = GwMembers_FindRecord(m, m->probe.target.node);
 
     if (!m->probe.active || m->probe.acked || r == NULL ||
         !GwNodeId_Equal(r->pub.info.id, m->probe.target) ||
@@ -297,7 +298,7 @@
 static bool
 needs_healing(const GwMembers *m, const char *name)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(name));
+    const GwMemberRecord *r = GwMembers_FindRecord(m, GwName_Hash64(name));
 
     return r == NULL || r->gossip_state == GW_MEMBER_DEAD;
 }
@@ -306,7 +307,8 @@
 probe_seed(GwMembers *m, const GwInstanceListItem *seed,
            const GwPiggyback *piggyback, GwActions *out)
 {
-    const GwRecord *r = GwMembers_FindRecord(m, GwName_Hash64(seed->name));
+    const GwMemberRecord *r =
+        GwMembers_FindRecord(m, GwName_Hash64(seed->name));
 
     GwMembers_Send(m, GW_MSG_PROBE, r, (GwNodeId){0}, seed->peer_address,
                    piggyback, out)
@@ -334,7 +336,7 @@
     uint32_t count = m->records->len;
     start = count > 0 ? GwRng_Below(&m->rng, count) : 0;
     for (uint32_t i = 0; i < count; i++) {
-        GwRecord *r = g_ptr_array_index(m->records, (start + i) % count);
+        GwMemberRecord *r = g_ptr_array_index(m->records, (start + i) % count);
         if (r->gossip_state == GW_MEMBER_DEAD) {
             send_to(m, GW_MSG_PROBE, r, piggyback, out)->seq = m->next_seq++;
             return;
@@ -353,7 +355,7 @@
 #endif
     m->probe = (GwProbe){0};
     for (GList *l = m->suspicions.head; l != NULL; l = l->next) {
-        GwRecord *r = l->data;
+        GwMemberRecord *r = l->data;
         r->suspected_us += gap_us;
     }
 }
@@ -363,13 +365,13 @@
 bool
 GwMembers_IsDue(const GwMembers *m, int64_t now_us)
 {
-    bool waits = m->probe.active && !m->probe.acked && !m->probe.indirect;
-    const GwRecord *oldest =
+    bool awaits_ack = m->probe.active && !m->probe.acked && !m->probe.indirect;
+    const GwMemberRecord *oldest =
         m->suspicions.head == NULL ? NULL : m->suspicions.head->data;
 
     return now_us >= m->next_probe_us || now_us >= m->next_heal_us ||
-           (waits && now_us - m->probe.sent_us >=
-                         m->params.probe_timeout_ms * 1000LL) ||
+           (awaits_ack && now_us - m->probe.sent_us >=
+                              m->params.probe_timeout_ms * 1000LL) ||
            (oldest != NULL &&
             now_us - oldest->suspected_us >= suspicion_timeout_us(m));
 }
@@ -442,11 +444,11 @@
 /* Handles a PING_REQ: probes the target and records the requester. */
 void
 GwMembers_ReceivePingReq(GwMembers *m, const GwMessage *msg,
-                         const GwRecord *requester,
+                         const GwMemberRecord *requester,
                          const GwPiggyback *piggyback, GwActions *out)
 {
     const GwHeartbeat *hb = &msg->u.heartbeat;
-    const GwRecord *target = GwMembers_FindRecord(m, hb->target.node);
+    const GwMemberRecord *target = GwMembers_FindRecord(m, hb->target.node);
 
     if (target == NULL || !GwNodeId_Equal(target->pub.info.id, hb->target)) {
         return;
--- a/lib/runtime/caller.c
+++ b/lib/runtime/caller.c
@@ -25,8 +25,8 @@
 
 /* An open connection occupies a thread even when idle. When most threads are
  * occupied or the process is leaving, each answer closes its connection:
- * otherwise idle callers would block new ones for the keep-alive time, and a
- * stop would break connections that callers are about to use. */
+ * otherwise idle callers would block new callers for the keep-alive time, and
+ * a stop would close connections that callers are about to use. */
 static bool
 may_keep_alive(struct mg_connection *conn)
 {
@@ -74,8 +74,9 @@
 }
 
 /* Refuses a request before it becomes a call: "not-run", or "unknown" if it
- * has a ticket. Its ticket has not been looked up, so it may be a resend of a
- * call that ran, and after "not-run" the caller would run it again. */
+ * has a ticket. Its ticket has not been looked up, so the request may be a
+ * resend of a call that ran; after "not-run" the caller would repeat the
+ * request, and it would run twice. */
 static int
 send_refusal(struct mg_connection *conn, uint32_t status, GwReason reason)
 {
@@ -431,10 +432,10 @@
 }
 
 /* A call occupies its thread until its outcome, at most until its deadline.
- * Above the bound a call is refused unread as "not-run", so that threads stay
- * free for look-ups and health. A call with a ticket may be a resend: it goes
- * to the node with a deadline of 0, which returns the state of the ticket and
- * starts no attempt. */
+ * Above the bound a call is refused as "not-run" without reading it, so that
+ * threads stay free for look-ups and health. A call with a ticket may be a
+ * resend: it goes to the node with a deadline of 0, which returns the state of
+ * the ticket and starts no attempt. */
 static int
 on_call(struct mg_connection *conn, void *arg)
 {
--- a/lib/runtime/pollers.c
+++ b/lib/runtime/pollers.c
@@ -35,9 +35,9 @@
     g_free(request);
 }
 
-/* Sends a table request and reports the reply. A request that was queued for
- * 3 platform time-outs, or is left during shutdown, is reported as lost
- * without being sent: the node has made newer ones, and the queue stays
+/* Sends a table request and reports the reply. A request that was queued for 3
+ * platform time-outs, or is still queued at shutdown, is reported as lost
+ * without being sent: the node has made newer requests, and the queue stays
  * short. */
 void
 Pollers_RunTable(void *job, void *arg)
@@ -153,7 +153,7 @@
 run_health_requests(CURLM *multi)
 {
     int running = 1;
-    int left = 0;
+    int messages_left = 0;
     CURLMsg *msg;
 
     while (running > 0) {
@@ -164,7 +164,7 @@
             curl_multi_poll(multi, NULL, 0, SLEEP_STEP_MS, NULL);
         }
     }
-    while ((msg = curl_multi_info_read(multi, &left)) != NULL) {
+    while ((msg = curl_multi_info_read(multi, &messages_left)) != NULL) {
         HealthRequest *health_request = NULL;
         long status = 0;
         curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &health_request);
@@ -250,8 +250,8 @@
     g_free(servers);
 }
 
-/* Polls all servers in parallel: one that does not answer must not delay the
- * others. */
+/* Polls all servers in parallel: a server that does not answer must not delay
+ * the polls of the others. */
 void *
 Pollers_HealthThread(void *arg)
 {
--- a/lib/runtime/pool.c
+++ b/lib/runtime/pool.c
@@ -61,7 +61,7 @@
  *
  * When a reused connection closes before any answer, libcurl resends the
  * request on a new connection without reporting it. The server may have run
- * the first copy, so the request would run twice while the caller sees one
+ * the first copy, so the request would run twice while the caller receives one
  * answer. An attempt may therefore open no socket on a reused connection, and
  * exactly one on a new connection. */
 static curl_socket_t
@@ -139,7 +139,8 @@
            now_us - connection->last_answer_us < GW_REUSE_MAX_US;
 }
 
-/* The head is the last used connection: if it may not be reused, none may. */
+/* The head is the most recently used connection: if it may not be reused, no
+ * other may. */
 static PoolConnection *
 pop_idle(GwDispatcher *d, const GwDispatchRequest *request, int64_t now_us)
 {
--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -86,10 +86,11 @@
     return false;
 }
 
-/* The member whose digest shows the most idle units. Digests lag, so a peer
- * of this region whose digest shows none is still asked, last: an unneeded
- * request costs one round trip, while a missing one leaves a queue beside
- * idle slots. A peer of another region without idle units is not asked. */
+/* The member whose digest shows the most idle units. Digests lag, so a peer of
+ * this region whose digest shows none is still asked, last: an unneeded
+ * request costs one round trip, while a missing request makes calls wait
+ * although slots are idle. A peer of another region without idle units is not
+ * asked. */
 static const GwMember *
 best_lender(const GwSteer *s, const GwMembers *members,
             const GwAskState *asking, uint32_t regions, uint64_t service,
@@ -202,14 +203,15 @@
             GwActions *out)
 {
     const GwLoanGive *give = &msg->u.give;
-    bool asked = give->seq > s->seq_base && give->seq <= s->seq_base + s->seq;
+    bool was_requested =
+        give->seq > s->seq_base && give->seq <= s->seq_base + s->seq;
 
 #if GW_MUTANT == 24 /* breaks: no return while calls run on the loan */
     bool has_loan = false;
 #else
     bool has_loan = GwSteer_FindBorrowed(s, give->loan) != NULL;
 #endif
-    if (asked && !has_loan && give->unit_count > 0) {
+    if (was_requested && !has_loan && give->unit_count > 0) {
         send_return(s, members, msg->from, give->loan, give->unit_count,
                     give->units, out);
     }
@@ -325,10 +327,10 @@
     }
 }
 
-/* Whether a waiting call could still run on the loan. A loan that ends
- * before the calls' deadlines cannot be used here, and its lender would
- * count the units as lent for the rest of the term: they would be idle
- * beside a queue. */
+/* Whether a waiting call could still run on the loan. A loan that ends before
+ * the calls' deadlines cannot be used here, and its lender would count the
+ * units as lent for the rest of the term: they would be idle while calls
+ * wait. */
 static bool
 is_wanted(const GwSteer *s, const GwBorrowed *b, const uint32_t *queued)
 {
@@ -358,23 +360,23 @@
 {
     for (guint i = s->borrowed->len; i-- > 0;) {
         GwBorrowed *b = &g_array_index(s->borrowed, GwBorrowed, i);
-        bool over = b->use_until_us <= now_us;
+        bool expired = b->use_until_us <= now_us;
         bool idle = now_us - b->used_us >= idle_limit_us(s, b);
 #if GW_MUTANT == 27 /* breaks: no return while calls run on the loan */
-        bool busy = over && is_busy(s, b);
+        bool busy = expired && is_busy(s, b);
 #else
         bool busy = is_busy(s, b);
 #endif
         if (busy) {
-            if (over) {
+            if (expired) {
                 GwSteer_DropLoan(s, now_us, b->id);
             }
             continue;
         }
-        if (!over && (!idle || is_wanted(s, b, queued))) {
+        if (!expired && (!idle || is_wanted(s, b, queued))) {
             continue;
         }
-        if (!over) {
+        if (!expired) {
             send_return(s, members, b->peer, b->id, b->unit_count, b->units,
                         out);
         }
--- a/lib/wire/codec.h
+++ b/lib/wire/codec.h
@@ -1,6 +1,6 @@
 /* Encodes control messages (GwMessage) and relayed calls as protobuf frames
  * and decodes them. Decoding checks every bound of wire/message.h and rejects
- * the whole message when one is exceeded. */
+ * the whole message when a bound is exceeded. */
 #ifndef GW_WIRE_CODEC_H
 #define GW_WIRE_CODEC_H
 
@@ -69,16 +69,16 @@
     } u;
 } GwEnvelope;
 
-/* Encodes a whole frame, header included. The caller frees it with g_free. The
- * envelope keeps ownership of its members. */
+/* Encodes a whole frame, header included. Free it with g_free. The envelope
+ * keeps ownership of its members. */
 uint8_t *GwCodec_Frame(const GwEnvelope *envelope, size_t *len);
 /* Decodes the payload of one frame. GW_ERR(PARSE) when it is not a valid
  * envelope, GW_ERR(OUT_OF_BOUNDS) when a bound is exceeded; `out` is then
  * zeroed and owns nothing. */
 GwResult GwCodec_Parse(const uint8_t *payload, size_t len, GwEnvelope *out);
 /* Whether the text is valid in an HTTP request line or header. Prevents a
- * caller or peer from injecting a header or request into one that this entry
- * sends. */
+ * caller or peer from injecting a header or a second request into a request
+ * that this entry sends. */
 bool GwText_IsMethod(const char *s);
 bool GwText_IsTarget(const char *s);
 bool GwText_IsHeaderValue(const char *s);
