--- a/lib/steer/borrow.c
+++ b/lib/steer/borrow.c
@@ -65,7 +65,7 @@
 }
 
 static bool
-was_tried(const GwAskState *asking, uint64_t node)
+was_tried(const GwLoanRequestState *asking, uint64_t node)
 {
     for (uint32_t i = 0; i < asking->tried_count; i++) {
         if (asking->tried[i] == node) {
@@ -93,8 +93,8 @@
  * asked. */
 static const GwMember *
 best_lender(const GwSteer *s, const GwMembers *members,
-            const GwAskState *asking, uint32_t regions, uint64_t service,
-            GwUnitKind kind)
+            const GwLoanRequestState *asking, uint32_t regions,
+            uint64_t service, GwUnitKind kind)
 {
     const GwMember *best = NULL;
     uint32_t best_free = 0;
@@ -126,7 +126,7 @@
  * after a short pause. */
 bool
 GwSteer_SendAsk(GwSteer *s, int64_t now_us, const GwMembers *members,
-                GwAskState *asking, uint32_t regions, GwLoanAsk *ask,
+                GwLoanRequestState *asking, uint32_t regions, GwLoanAsk *ask,
                 GwActions *out)
 {
     const GwMember *m = NULL;
@@ -159,7 +159,7 @@
 ask_for_slots(GwSteer *s, int64_t now_us, GwServiceState *service,
               uint32_t queued, const GwMembers *members, GwActions *out)
 {
-    GwAskState *asking = &service->slots;
+    GwLoanRequestState *asking = &service->slots;
     uint32_t idle = GwSteer_CountFreeUnits(service, now_us);
 
     if (asking->seq != 0 && now_us - asking->asked_us < GW_ASK_TIMEOUT_US) {
@@ -251,7 +251,7 @@
     if (service == NULL || give->unit_count > GW_UNITS_MAX) {
         return false;
     }
-    GwAskState *asking =
+    GwLoanRequestState *asking =
         give->kind == GW_UNIT_SLOT ? &service->slots : &service->grants;
     bool expected = asking->seq != 0 && asking->seq == give->seq &&
                     GwNodeId_Equal(asking->peer, msg->from);
@@ -387,8 +387,8 @@
 
 /* Requests slots for the waiting calls of every service. */
 void
-GwSteer_AskForSlots(GwSteer *s, int64_t now_us, const GwMembers *members,
-                    const uint32_t *queued, GwActions *out)
+GwSteer_SendSlotRequests(GwSteer *s, int64_t now_us, const GwMembers *members,
+                         const uint32_t *queued, GwActions *out)
 {
     if (s->leaving || s->fenced || s->params.policy != GW_POLICY_SLOTS) {
         return;
@@ -408,5 +408,5 @@
 {
     GwSteer_ExpireLent(s, now_us);
     GwSteer_ReturnIdle(s, now_us, members, queued, out);
-    GwSteer_AskForSlots(s, now_us, members, queued, out);
+    GwSteer_SendSlotRequests(s, now_us, members, queued, out);
 }
--- a/lib/steer/grants.c
+++ b/lib/steer/grants.c
@@ -161,7 +161,7 @@
 
 /* Decides at random, by the configured percentage, whether to shift a call. */
 bool
-GwSteer_DrawShift(GwSteer *s, uint32_t service)
+GwSteer_ShouldShift(GwSteer *s, uint32_t service)
 {
     uint32_t percent = 0;
 
@@ -398,7 +398,7 @@
 ask_for_grants(GwSteer *s, int64_t now_us, GwServiceState *service,
                uint32_t queued, const GwMembers *members, GwActions *out)
 {
-    GwAskState *asking = &service->grants;
+    GwLoanRequestState *asking = &service->grants;
     uint32_t regions = 0;
 
     if (asking->seq != 0 && now_us - asking->asked_us < GW_ASK_TIMEOUT_US) {
--- a/lib/steer/seat_handover.c
+++ b/lib/steer/seat_handover.c
@@ -80,7 +80,7 @@
 
     for (uint32_t i = 0; i < s->total; i++) {
         GwSeatState state = s->seats[i].state;
-        if (state == GW_SEAT_PARTING || state == GW_SEAT_RELEASED) {
+        if (state == GW_SEAT_HANDING_OVER || state == GW_SEAT_RELEASED) {
             return;
         }
         if (state == GW_SEAT_HELD) {
@@ -91,7 +91,7 @@
     if (last != GW_NONE && held > GwSeats_FairShare(s, members) &&
         find_smallest_holder(s, NULL, members, 0, &fewest) != NULL &&
         fewest + 2 <= held) {
-        GwSeats_SetState(s, last, GW_SEAT_PARTING, out);
+        GwSeats_SetState(s, last, GW_SEAT_HANDING_OVER, out);
     }
 }
 
@@ -200,7 +200,7 @@
                 const GwMembers *members, GwActions *out)
 {
     GwSeats_CheckPause(s, now_us, out);
-    if (seat >= GW_SEATS_MAX || s->seats[seat].state != GW_SEAT_PARTING ||
+    if (seat >= GW_SEATS_MAX || s->seats[seat].state != GW_SEAT_HANDING_OVER ||
         s->fenced) {
         return;
     }
--- a/lib/steer/seat_state.c
+++ b/lib/steer/seat_state.c
@@ -15,7 +15,7 @@
     bool was = is_seat_usable(t);
 
     if (state == GW_SEAT_HELD && (s->leaving || seat >= s->total)) {
-        state = GW_SEAT_PARTING;
+        state = GW_SEAT_HANDING_OVER;
     }
     if (state == GW_SEAT_HELD && t->state == GW_SEAT_NONE) {
         GwActions_Log(out, GW_LOG_SEAT_CLAIMED, "seat=%u claim=%" PRIu64, seat,
@@ -34,7 +34,7 @@
 {
     GwSeat *t = &s->seats[seat];
 
-    if (t->state == GW_SEAT_HELD || t->state == GW_SEAT_PARTING) {
+    if (t->state == GW_SEAT_HELD || t->state == GW_SEAT_HANDING_OVER) {
         GwActions_Log(out, GW_LOG_SEAT_LOST, "seat=%u holder=%s", seat,
                       t->row.name);
     }
--- a/lib/steer/seats.c
+++ b/lib/steer/seats.c
@@ -29,7 +29,7 @@
     s->max_total = MAX(s->max_total, s->total);
     for (uint32_t i = s->total; i < s->max_total; i++) {
         if (s->seats[i].state == GW_SEAT_HELD) {
-            s->seats[i].state = GW_SEAT_PARTING;
+            s->seats[i].state = GW_SEAT_HANDING_OVER;
             s->epoch++;
         }
     }
@@ -155,7 +155,8 @@
 {
     for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeat *t = &s->seats[i];
-        bool is_held = t->state == GW_SEAT_HELD || t->state == GW_SEAT_PARTING;
+        bool is_held =
+            t->state == GW_SEAT_HELD || t->state == GW_SEAT_HANDING_OVER;
         if (is_held && t->contested && t->write.op == GW_SEAT_OP_NONE) {
             GwSeats_Write(s, now_us, i, GW_SEAT_OP_OBJECT, &t->row, out);
         }
@@ -272,9 +273,9 @@
 }
 
 bool
-GwSeats_IsParting(const GwSeats *s, uint32_t seat)
+GwSeats_IsHandingOver(const GwSeats *s, uint32_t seat)
 {
-    return seat < GW_SEATS_MAX && s->seats[seat].state == GW_SEAT_PARTING;
+    return seat < GW_SEATS_MAX && s->seats[seat].state == GW_SEAT_HANDING_OVER;
 }
 
 /* Starts the handover of every seat; no new seats are claimed. */
@@ -284,7 +285,7 @@
     s->leaving = true;
     for (uint32_t i = 0; i < s->max_total; i++) {
         if (s->seats[i].state == GW_SEAT_HELD) {
-            s->seats[i].state = GW_SEAT_PARTING;
+            s->seats[i].state = GW_SEAT_HANDING_OVER;
         }
     }
     s->epoch++;
@@ -299,7 +300,7 @@
 
     for (uint32_t i = 0; i < s->max_total; i++) {
         GwSeatState state = s->seats[i].state;
-        count += state == GW_SEAT_HELD || state == GW_SEAT_PARTING ||
+        count += state == GW_SEAT_HELD || state == GW_SEAT_HANDING_OVER ||
                          state == GW_SEAT_RELEASED
                      ? 1
                      : 0;
--- a/lib/steer/seats.h
+++ b/lib/steer/seats.h
@@ -35,7 +35,7 @@
 /* True while `seat` is being handed over: GwSeats_IsUsable() is already false,
  * and steer.c calls GwSeats_Release() once no unit of the seat is in use or on
  * loan. */
-bool GwSeats_IsParting(const GwSeats *s, uint32_t seat);
+bool GwSeats_IsHandingOver(const GwSeats *s, uint32_t seat);
 void GwSeats_Release(GwSeats *s, int64_t now_us, uint32_t seat,
                      const GwMembers *members, GwActions *out);
 /* Starts the handover of every seat; it is complete when
--- a/lib/steer/seats_internal.h
+++ b/lib/steer/seats_internal.h
@@ -46,13 +46,13 @@
 #define GW_SEAT_SLOW_POLL_ROWS 64
 
 typedef enum {
-    GW_SEAT_NONE = 0,     /* not held here */
-    GW_SEAT_HELD = 1,     /* the row names this process */
-    GW_SEAT_PARTING = 2,  /* held; waits for its units to become idle */
-    GW_SEAT_RELEASED = 3, /* the row still names this process; offered to
+    GW_SEAT_NONE = 0,         /* not held here */
+    GW_SEAT_HELD = 1,         /* the row names this process */
+    GW_SEAT_HANDING_OVER = 2, /* held; waits for its units to become idle */
+    GW_SEAT_RELEASED = 3,     /* the row still names this process; offered to
                            * peers, never used again */
-    GW_SEAT_GIVEN = 4,    /* a peer accepted the offer */
-    GW_SEAT_TAKING = 5    /* offer accepted here; the row is not yet written */
+    GW_SEAT_GIVEN = 4,        /* a peer accepted the offer */
+    GW_SEAT_TAKING = 5 /* offer accepted here; the row is not yet written */
 } GwSeatState;
 
 /* Purpose of the write in flight. */
--- a/lib/steer/steer.c
+++ b/lib/steer/steer.c
@@ -186,7 +186,7 @@
     bool found = false;
 
     for (uint32_t seat = 0; seat < s->seat_total; seat++) {
-        if (!GwSeats_IsParting(seats, seat)) {
+        if (!GwSeats_IsHandingOver(seats, seat)) {
             continue;
         }
         if (!found) {
@@ -298,7 +298,7 @@
         return;
     }
     sync_seats(s, now_us, seats);
-    GwSteer_AskForSlots(s, now_us, members, queued, out);
+    GwSteer_SendSlotRequests(s, now_us, members, queued, out);
 }
 
 bool
@@ -401,7 +401,7 @@
         refuse(out, GW_REASON_NO_GRANT);
         return;
     }
-    if (!request->relayed && GwSteer_DrawShift(s, request->service) &&
+    if (!request->relayed && GwSteer_ShouldShift(s, request->service) &&
         GwSteer_PickPeer(s, now_us, service, request, members, out)) {
         return;
     }
--- a/lib/steer/steer_internal.h
+++ b/lib/steer/steer_internal.h
@@ -102,7 +102,7 @@
     int64_t next_us;
     uint32_t tried_count;
     uint64_t tried[GW_TRIED_MAX];
-} GwAskState;
+} GwLoanRequestState;
 
 typedef struct {
     uint64_t hash;
@@ -114,8 +114,8 @@
     GwBackendState **scratch; /* candidates of one choice */
     uint32_t in_flight;       /* without held uses */
     int64_t latency_us;       /* mean over the place's servers */
-    GwAskState slots;
-    GwAskState grants;
+    GwLoanRequestState slots;
+    GwLoanRequestState grants;
     int64_t wait_deadline_us; /* earliest deadline of the waiting calls */
     bool has_waiting;       /* wait_deadline_us was set since the last tick */
     int64_t panic_probe_us; /* when a call may next try an ejected server */
@@ -269,8 +269,8 @@
 GwLent *GwSteer_FindLent(const GwSteer *s, uint64_t loan);
 GwBorrowed *GwSteer_FindBorrowed(const GwSteer *s, uint64_t loan);
 bool GwSteer_SendAsk(GwSteer *s, int64_t now_us, const GwMembers *members,
-                     GwAskState *asking, uint32_t regions, GwLoanAsk *ask,
-                     GwActions *out);
+                     GwLoanRequestState *asking, uint32_t regions,
+                     GwLoanAsk *ask, GwActions *out);
 GwMessage *GwSteer_SendTo(GwSteer *s, const GwMembers *members, GwNodeId to,
                           GwMessageKind kind, GwActions *out);
 void GwSteer_SendGive(GwSteer *s, const GwMembers *members,
@@ -281,8 +281,9 @@
 void GwSteer_ExpireLent(GwSteer *s, int64_t now_us);
 void GwSteer_TickLoans(GwSteer *s, int64_t now_us, const GwMembers *members,
                        const uint32_t *queued, GwActions *out);
-void GwSteer_AskForSlots(GwSteer *s, int64_t now_us, const GwMembers *members,
-                         const uint32_t *queued, GwActions *out);
+void GwSteer_SendSlotRequests(GwSteer *s, int64_t now_us,
+                              const GwMembers *members, const uint32_t *queued,
+                              GwActions *out);
 void GwSteer_ReceiveLoanAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
                             const GwMembers *members, const uint32_t *queued,
                             GwActions *out);
@@ -313,7 +314,7 @@
 bool GwSteer_PickPeer(GwSteer *s, int64_t now_us, GwServiceState *service,
                       const GwPickRequest *request, const GwMembers *members,
                       GwPick *out);
-bool GwSteer_DrawShift(GwSteer *s, uint32_t service);
+bool GwSteer_ShouldShift(GwSteer *s, uint32_t service);
 void GwSteer_TickGrants(GwSteer *s, int64_t now_us, const GwMembers *members,
                         const uint32_t *queued, GwActions *out);
 void GwSteer_ReceiveGrantAsk(GwSteer *s, int64_t now_us, const GwMessage *msg,
--- a/tests/property/seats.cpp
+++ b/tests/property/seats.cpp
@@ -300,7 +300,7 @@
         GwSeats_Tick(p.seats, now_us_, p.members, &out_);
         runActions(i);
         for (uint32_t seat = 0; seat < plan_.seats; seat++) {
-            if (!GwSeats_IsParting(p.seats, seat)) {
+            if (!GwSeats_IsHandingOver(p.seats, seat)) {
                 p.release_us.erase(seat);
                 continue;
             }
--- a/tests/property/steer_fake.hpp
+++ b/tests/property/steer_fake.hpp
@@ -44,7 +44,7 @@
 }
 
 bool
-GwSeats_IsParting(const GwSeats *s, uint32_t seat)
+GwSeats_IsHandingOver(const GwSeats *s, uint32_t seat)
 {
     return s->parting[seat];
 }
