--- a/lib/config/sync_internal.h
+++ b/lib/config/sync_internal.h
@@ -56,9 +56,9 @@
     uint64_t head_version;
     uint64_t head_checksum;
     uint64_t refused_version; /* its document in the table was invalid */
-    int64_t
-        behind_since_us; /* since when a higher version is known; 0: none is */
-    bool has_served;     /* has been ready since the start */
+    /* Time since which a higher version is known; 0: none is. */
+    int64_t behind_since_us;
+    bool has_served; /* has been ready since the start */
     int64_t next_poll_us;
     int64_t next_doc_us;
     uint32_t table_failures;
--- a/lib/edge/quarantine_rows.c
+++ b/lib/edge/quarantine_rows.c
@@ -17,8 +17,8 @@
     bool has_read;
     char *after;    /* key of the last row read; NULL: none yet */
     GQueue waiting; /* GwSuspect waiting to be written */
-    int64_t
-        at_us; /* time of the next attempt, or time limit of the current one */
+    /* Time of the next attempt, or time limit of the current one. */
+    int64_t at_us;
 };
 
 /* ---- Values -------------------------------------------------------------- */
--- a/standins/site/caller.c
+++ b/standins/site/caller.c
@@ -21,9 +21,8 @@
     bool idle;
     GPtrArray *entries; /* addresses */
     int64_t lookup_us;
-    char at[32]; /* address of the current or last entry */
-    uint32_t
-        process; /* process of that entry, see SiteJournal_CurrentProcess */
+    char at[32];      /* address of the current or last entry */
+    uint32_t process; /* of that entry, see SiteJournal_CurrentProcess */
     uint64_t seq;
     GQueue sent; /* SiteRequest, oldest first */
     uv_timer_t timer;
--- a/tests/fakes/outages.h
+++ b/tests/fakes/outages.h
@@ -50,15 +50,15 @@
     uint32_t sends_after;
     uint32_t crashing_refused;
     uint64_t records_sent; /* suspect records, between entries */
-    uint32_t
-        quarantined_ms; /* from the third crash until all reachable entries
-                              quarantine the request; 0: never */
+    /* From the third crash until all reachable entries quarantine the request;
+     * 0: never. */
+    uint32_t quarantined_ms;
     /* Most requests above the allowed number that a limited server received in
      * some 4 s, from entries that knew the limit; 0: limits were kept. */
     uint32_t above_limit;
     double used_share; /* requests to limited servers, as share of the limit */
-    double
-        used_share_after; /* after the limits ended, as share of an equal part */
+    /* After the limits ended, as share of an equal part. */
+    double used_share_after;
     uint32_t still_idle; /* formerly limited servers that stay idle */
 } OutageReport;
 
--- a/tests/unit/test_edge_late.c
+++ b/tests/unit/test_edge_late.c
@@ -33,8 +33,8 @@
     int other; /* another caller, which stays connected */
     CallerThen then;
     const char *awaited;
-    uint32_t
-        before; /* times that servers had received it when its caller acted */
+    /* Times that servers had received it when its caller acted. */
+    uint32_t before;
     uint32_t open; /* expected number of open requests */
 } Late;
 
--- a/tests/unit/test_fetch_tree.c
+++ b/tests/unit/test_fetch_tree.c
@@ -133,8 +133,7 @@
     uint32_t large; /* entries with the large link */
     uint32_t large_kbps;
     uint32_t small_kbps;
-    uint32_t
-        all; /* all entries of the deployment, which share the store's link */
+    uint32_t all; /* entries of the deployment; they share the store's link */
 } Fleet;
 
 #define STORE_KBPS 4000000u
