--- a/lib/router/choose.c
+++ b/lib/router/choose.c
@@ -343,9 +343,9 @@
     return c;
 }
 
-/* Returns whether the route names the regions of its servers. */
+/* Whether the route restricts the regions of its servers. */
 static bool
-has_home_regions(const GwRequest *req)
+is_region_bound(const GwRequest *req)
 {
     return req->route->home_count > 0;
 }
@@ -364,7 +364,7 @@
     GwRegionRule rule = GwRouter_RegionRule(r, now_us);
 
     c.prefers_remote = c.server != NULL && !c.server->same_region;
-    if (c.server == NULL || rule == GW_REGIONS_ALL || has_home_regions(req) ||
+    if (c.server == NULL || rule == GW_REGIONS_ALL || is_region_bound(req) ||
         c.prefers_remote == (rule == GW_REGIONS_REMOTE)) {
         return c;
     }
